--- a/crates/decide/nickelshed-fleet/src/datagram.rs
+++ b/crates/decide/nickelshed-fleet/src/datagram.rs
@@ -2,198 +2,200 @@
 //!
 //! A version, a kind, the fleet's tag, and a seal of eight bytes over all of it; then fields of a tag, a length and so
 //! many bytes. A tag that is not known is passed over, so members of unlike programs understand one another.
-use crate::member::{Claim, Facts, Id, Incarnation, State, MOST_NAME, MOST_SITE};
+use crate::member::{Incarnation, MemberId, MemberInfo, MemberStatus, State, MAX_NAME_BYTES, MAX_SITE_BYTES};
 use std::net::{IpAddr, SocketAddr};
 
 /// The platform takes no longer one.
-pub const MOST: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// Of the form. A greater one is of a program that has broken with it.
-const VERSION: u8 = 1;
-const HEAD: usize = 6;
-const SEAL: usize = 8;
+const FORMAT_VERSION: u8 = 1;
+const HEADER_BYTES: usize = 6;
+const MAC_BYTES: usize = 8;
 
 mod tag {
-    pub const FROM: u8 = 1;
+    pub const SENDER: u8 = 1;
     pub const SEQ: u8 = 2;
     pub const TARGET: u8 = 3;
-    pub const AT: u8 = 4;
-    pub const ROOT: u8 = 5;
+    pub const TARGET_ADDRESS: u8 = 4;
+    pub const VIEW_DIGEST: u8 = 5;
     pub const LOAD: u8 = 6;
-    pub const NEWS: u8 = 7;
-    pub const WHOLE: u8 = 8;
-    pub const WANT: u8 = 9;
-    pub const MARKS: u8 = 10;
-    pub const LISTED: u8 = 11;
+    pub const UPDATE: u8 = 7;
+    pub const RECORD: u8 = 8;
+    pub const RECORD_REQUEST: u8 = 9;
+    pub const CHILD_DIGESTS: u8 = 10;
+    pub const LISTED_PREFIX: u8 = 11;
 }
 
 /// How many children each part of a view has that marks are compared of.
-pub const CHILDREN: usize = 16;
+pub const CHILDREN_PER_PREFIX: usize = 16;
 /// Accusers that are named of one suspect; more change nothing.
-pub const MOST_ACCUSERS: usize = 5;
+pub const MAX_REPORTERS: usize = 5;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Kind {
+pub enum DatagramKind {
     Ping = 1,
     Ack = 2,
     /// Please ask the target for me (SWIM, section 3.1: `ping-req`).
-    PingFor = 3,
+    PingReq = 3,
     /// It has not answered me either (Lifeguard, section IV.A: `nack`).
     Nack = 4,
     Sync = 5,
 }
 
-impl Kind {
-    fn from_byte(byte: u8) -> Option<Kind> {
-        [Kind::Ping, Kind::Ack, Kind::PingFor, Kind::Nack, Kind::Sync].into_iter().find(|k| *k as u8 == byte)
+impl DatagramKind {
+    fn from_byte(byte: u8) -> Option<DatagramKind> {
+        [DatagramKind::Ping, DatagramKind::Ack, DatagramKind::PingReq, DatagramKind::Nack, DatagramKind::Sync]
+            .into_iter()
+            .find(|k| *k as u8 == byte)
     }
 }
 
 /// A piece of a view: all ids that begin with so many half bytes of `prefix`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct IdPrefix {
     pub depth: u8,
-    pub prefix: u64,
+    pub bits: u64,
 }
 
 /// Beyond it ids are told apart one by one.
-pub const DEEPEST: u8 = 15;
+pub const MAX_PREFIX_DEPTH: u8 = 15;
 
-impl Part {
+impl IdPrefix {
     fn mask(self) -> u64 {
         match self.depth {
             0 => 0,
-            depth => u64::MAX << (64 - 4 * u32::from(depth.min(DEEPEST))),
+            depth => u64::MAX << (64 - 4 * u32::from(depth.min(MAX_PREFIX_DEPTH))),
         }
     }
 
     #[must_use]
-    pub fn holds(self, id: Id) -> bool {
-        (id.0 ^ self.prefix) & self.mask() == 0
+    pub fn contains(self, id: MemberId) -> bool {
+        (id.0 ^ self.bits) & self.mask() == 0
     }
 
     #[must_use]
-    pub fn child(self, number: usize) -> Part {
-        let shift = 60 - 4 * u32::from(self.depth.min(DEEPEST));
-        Part { depth: self.depth + 1, prefix: self.prefix & self.mask() | (number as u64) << shift }
+    pub fn child(self, index: usize) -> IdPrefix {
+        let shift = 60 - 4 * u32::from(self.depth.min(MAX_PREFIX_DEPTH));
+        IdPrefix { depth: self.depth + 1, bits: self.bits & self.mask() | (index as u64) << shift }
     }
 
     /// Which child an id that it holds is in.
     #[must_use]
-    pub fn child_of(self, id: Id) -> usize {
-        (id.0 >> (60 - 4 * u32::from(self.depth.min(DEEPEST)))) as usize % CHILDREN
+    pub fn child_index(self, id: MemberId) -> usize {
+        (id.0 >> (60 - 4 * u32::from(self.depth.min(MAX_PREFIX_DEPTH)))) as usize % CHILDREN_PER_PREFIX
     }
 }
 
 /// Marks of all children of a part, under a salt, so that what one salt hides the next one shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Marks {
-    pub part: Part,
+pub struct ChildDigests {
+    pub prefix: IdPrefix,
     pub salt: u32,
-    pub of: [u32; CHILDREN],
+    pub digests: [u32; CHILDREN_PER_PREFIX],
 }
 
 /// A claim, and who is known to accuse its member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct News {
-    pub claim: Claim,
-    pub accusers: Vec<u32>,
+pub struct StatusUpdate {
+    pub status: MemberStatus,
+    pub reporters: Vec<u32>,
 }
 
 /// A claim with the facts of its member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Whole {
-    pub claim: Claim,
-    pub facts: Facts,
+pub struct MemberRecord {
+    pub status: MemberStatus,
+    pub info: MemberInfo,
     /// For how many seconds it has been in that state, as far as its teller knows.
-    pub age: u16,
+    pub seconds_in_state: u16,
 }
 
 /// One datagram, read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    pub kind: Kind,
+    pub kind: DatagramKind,
     /// Of its sender, as it sees itself; none if it only observes.
-    pub from: Option<Claim>,
+    pub sender_status: Option<MemberStatus>,
     pub seq: u32,
-    pub target: Id,
+    pub target: MemberId,
     /// Where the target is.
-    pub at: Option<SocketAddr>,
+    pub target_address: Option<SocketAddr>,
     /// The mark of the sender's whole view.
-    pub root: Option<u64>,
+    pub view_digest: Option<u64>,
     /// In 255ths of what the sender can carry.
     pub load: u8,
-    pub news: Vec<News>,
-    pub whole: Vec<Whole>,
-    pub want: Vec<Id>,
-    pub marks: Vec<Marks>,
+    pub updates: Vec<StatusUpdate>,
+    pub records: Vec<MemberRecord>,
+    pub wanted_records: Vec<MemberId>,
+    pub digests: Vec<ChildDigests>,
     /// Parts of which the news here is all that its sender holds.
-    pub listed: Vec<Part>,
+    pub listed_prefixes: Vec<IdPrefix>,
 }
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Dropped {
+pub enum DropReason {
     TooLong,
     TooShort,
     /// Its form is of a later program.
-    Ahead,
+    NewerVersion,
     OtherFleet,
     /// Its seal is not that of the fleet's key, or it was changed on its way.
-    Unsealed,
+    NotAuthentic,
     /// Sealed by the key, and yet not in the form.
-    Spoilt,
+    Malformed,
 }
 
 /// The fleet's name and key, as every datagram proves them.
 #[derive(Clone)]
-pub struct Seal {
-    tag: [u8; 4],
+pub struct Authenticator {
+    fleet_tag: [u8; 4],
     key: [u8; 32],
 }
 
-impl std::fmt::Debug for Seal {
+impl std::fmt::Debug for Authenticator {
     // A key has no place in a log.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Seal").field("tag", &self.tag).finish_non_exhaustive()
+        f.debug_struct("Seal").field("tag", &self.fleet_tag).finish_non_exhaustive()
     }
 }
 
-impl Seal {
+impl Authenticator {
     /// Of a fleet's name and the bytes of its key, which may be empty where the network is trusted.
     #[must_use]
-    pub fn new(fleet: &str, key: &[u8]) -> Seal {
-        let named = blake3::derive_key("nickelshed fleet datagrams, name", fleet.as_bytes());
-        let mut material = named.to_vec();
+    pub fn new(fleet: &str, key: &[u8]) -> Authenticator {
+        let name_key = blake3::derive_key("nickelshed fleet datagrams, name", fleet.as_bytes());
+        let mut material = name_key.to_vec();
         material.extend_from_slice(key);
         let key = blake3::derive_key("nickelshed fleet datagrams, key", &material);
-        Seal { tag: named[..4].try_into().expect("a key has 32 bytes"), key }
+        Authenticator { fleet_tag: name_key[..4].try_into().expect("a key has 32 bytes"), key }
     }
 
-    fn of(&self, head: &[u8], body: &[u8]) -> [u8; SEAL] {
+    fn mac(&self, header: &[u8], body: &[u8]) -> [u8; MAC_BYTES] {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
-        hasher.update(head).update(body);
-        hasher.finalize().as_bytes()[..SEAL].try_into().expect("a hash has 32 bytes")
+        hasher.update(header).update(body);
+        hasher.finalize().as_bytes()[..MAC_BYTES].try_into().expect("a hash has 32 bytes")
     }
 }
 
 /// A datagram that is being written, field by field.
-pub struct Writer {
+pub struct DatagramWriter {
     bytes: Vec<u8>,
 }
 
-impl Writer {
+impl DatagramWriter {
     #[must_use]
-    pub fn new(kind: Kind) -> Writer {
-        let mut bytes = Vec::with_capacity(MOST);
-        bytes.extend([VERSION, kind as u8]);
-        bytes.resize(HEAD + SEAL, 0);
-        Writer { bytes }
+    pub fn new(kind: DatagramKind) -> DatagramWriter {
+        let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
+        bytes.extend([FORMAT_VERSION, kind as u8]);
+        bytes.resize(HEADER_BYTES + MAC_BYTES, 0);
+        DatagramWriter { bytes }
     }
 
     /// Adds a field if it fits; whether it did.
-    fn field(&mut self, tag: u8, value: &[u8]) -> bool {
-        if self.bytes.len() + 2 + value.len() > MOST {
+    fn write_field(&mut self, tag: u8, value: &[u8]) -> bool {
+        if self.bytes.len() + 2 + value.len() > MAX_DATAGRAM_BYTES {
             return false;
         }
         self.bytes.extend([tag, value.len() as u8]);
@@ -201,82 +203,82 @@
         true
     }
 
-    pub fn from(&mut self, own: &Claim) {
+    pub fn sender(&mut self, own: &MemberStatus) {
         let mut value = Vec::new();
-        put_claim(&mut value, own);
-        self.field(tag::FROM, &value);
+        put_status(&mut value, own);
+        self.write_field(tag::SENDER, &value);
     }
 
     pub fn seq(&mut self, seq: u32) {
-        self.field(tag::SEQ, &seq.to_le_bytes());
+        self.write_field(tag::SEQ, &seq.to_le_bytes());
     }
 
-    pub fn target(&mut self, id: Id) {
-        self.field(tag::TARGET, &id.0.to_le_bytes());
+    pub fn target(&mut self, id: MemberId) {
+        self.write_field(tag::TARGET, &id.0.to_le_bytes());
     }
 
-    pub fn at(&mut self, address: SocketAddr) {
+    pub fn target_address(&mut self, address: SocketAddr) {
         let mut value = Vec::new();
         put_address(&mut value, address);
-        self.field(tag::AT, &value);
+        self.write_field(tag::TARGET_ADDRESS, &value);
     }
 
-    pub fn root(&mut self, root: u64) {
-        self.field(tag::ROOT, &root.to_le_bytes());
+    pub fn view_digest(&mut self, view_digest: u64) {
+        self.write_field(tag::VIEW_DIGEST, &view_digest.to_le_bytes());
     }
 
     pub fn load(&mut self, load: u8) {
-        self.field(tag::LOAD, &[load]);
+        self.write_field(tag::LOAD, &[load]);
     }
 
     /// Whether it fitted; the same for those below.
-    pub fn news(&mut self, news: &News) -> bool {
+    pub fn update(&mut self, update: &StatusUpdate) -> bool {
         let mut value = Vec::new();
-        put_claim(&mut value, &news.claim);
-        for accuser in news.accusers.iter().take(MOST_ACCUSERS) {
-            value.extend(accuser.to_le_bytes());
+        put_status(&mut value, &update.status);
+        for reporter in update.reporters.iter().take(MAX_REPORTERS) {
+            value.extend(reporter.to_le_bytes());
         }
-        self.field(tag::NEWS, &value)
+        self.write_field(tag::UPDATE, &value)
     }
 
     /// `age`: for how many seconds it has been in that state.
-    pub fn whole(&mut self, claim: &Claim, facts: &Facts, age: u16) -> bool {
+    pub fn record(&mut self, status: &MemberStatus, info: &MemberInfo, seconds_in_state: u16) -> bool {
         let mut value = Vec::new();
-        put_claim(&mut value, claim);
-        for part in facts.version {
-            value.extend(part.to_le_bytes());
+        put_status(&mut value, status);
+        for component in info.version {
+            value.extend(component.to_le_bytes());
         }
-        value.extend(facts.settings.to_le_bytes());
-        put_address(&mut value, facts.address);
-        for text in [&facts.name, &facts.site] {
+        value.extend(info.settings.to_le_bytes());
+        put_address(&mut value, info.address);
+        for text in [&info.name, &info.site] {
             value.push(text.len() as u8);
             value.extend(text.as_bytes());
         }
-        value.extend(age.to_le_bytes());
-        self.field(tag::WHOLE, &value)
+        value.extend(seconds_in_state.to_le_bytes());
+        self.write_field(tag::RECORD, &value)
     }
 
-    pub fn want(&mut self, id: Id) -> bool {
-        self.field(tag::WANT, &id.0.to_le_bytes())
+    pub fn record_request(&mut self, id: MemberId) -> bool {
+        self.write_field(tag::RECORD_REQUEST, &id.0.to_le_bytes())
     }
 
-    pub fn marks(&mut self, marks: &Marks) -> bool {
-        let mut value = vec![marks.part.depth];
-        value.extend(marks.part.prefix.to_le_bytes());
-        value.extend(marks.salt.to_le_bytes());
-        marks.of.iter().for_each(|m| value.extend(m.to_le_bytes()));
-        self.field(tag::MARKS, &value)
+    pub fn child_digests(&mut self, child_digests: &ChildDigests) -> bool {
+        let mut value = vec![child_digests.prefix.depth];
+        value.extend(child_digests.prefix.bits.to_le_bytes());
+        value.extend(child_digests.salt.to_le_bytes());
+        child_digests.digests.iter().for_each(|m| value.extend(m.to_le_bytes()));
+        self.write_field(tag::CHILD_DIGESTS, &value)
     }
 
-    pub fn listed(&mut self, part: Part) -> bool {
-        let mut value = vec![part.depth];
-        value.extend(part.prefix.to_le_bytes());
-        self.field(tag::LISTED, &value)
+    pub fn listed_prefix(&mut self, prefix: IdPrefix) -> bool {
+        let mut value = vec![prefix.depth];
+        value.extend(prefix.bits.to_le_bytes());
+        self.write_field(tag::LISTED_PREFIX, &value)
     }
 
     /// A field of any tag: what a later program may write.
-    pub fn unknown(&mut self, tag: u8, value: &[u8]) -> bool {
-        self.field(tag, value)
+    pub fn raw_field(&mut self, tag: u8, value: &[u8]) -> bool {
+        self.write_field(tag, value)
     }
 
     #[must_use]
@@ -285,28 +287,28 @@
     }
 
     /// Takes back what was written beyond that length.
-    pub(crate) fn cut(&mut self, length: usize) {
+    pub(crate) fn truncate(&mut self, length: usize) {
         self.bytes.truncate(length);
     }
 
     /// Seals it.
     #[must_use]
-    pub fn end(mut self, seal: &Seal) -> Vec<u8> {
-        self.bytes[2..HEAD].copy_from_slice(&seal.tag);
-        let (head, rest) = self.bytes.split_at(HEAD);
-        let sealed = seal.of(head, &rest[SEAL..]);
-        self.bytes[HEAD..HEAD + SEAL].copy_from_slice(&sealed);
+    pub fn finish(mut self, authenticator: &Authenticator) -> Vec<u8> {
+        self.bytes[2..HEADER_BYTES].copy_from_slice(&authenticator.fleet_tag);
+        let (header, after_header) = self.bytes.split_at(HEADER_BYTES);
+        let mac = authenticator.mac(header, &after_header[MAC_BYTES..]);
+        self.bytes[HEADER_BYTES..HEADER_BYTES + MAC_BYTES].copy_from_slice(&mac);
         self.bytes
     }
 }
 
-fn put_claim(value: &mut Vec<u8>, claim: &Claim) {
-    value.extend(claim.id.0.to_le_bytes());
-    let i = claim.incarnation;
-    for part in [i.start, i.nonce, i.word] {
-        value.extend(part.to_le_bytes());
+fn put_status(value: &mut Vec<u8>, status: &MemberStatus) {
+    value.extend(status.id.0.to_le_bytes());
+    let incarnation = status.incarnation;
+    for component in [incarnation.start_number, incarnation.nonce, incarnation.number] {
+        value.extend(component.to_le_bytes());
     }
-    value.push(claim.state as u8);
+    value.push(status.state as u8);
 }
 
 fn put_address(value: &mut Vec<u8>, address: SocketAddr) {
@@ -327,14 +329,14 @@
 struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
-    fn take(&mut self, length: usize) -> Option<&'a [u8]> {
-        let (taken, rest) = self.0.split_at_checked(length)?;
-        self.0 = rest;
-        Some(taken)
+    fn read_bytes(&mut self, length: usize) -> Option<&'a [u8]> {
+        let (bytes, remaining) = self.0.split_at_checked(length)?;
+        self.0 = remaining;
+        Some(bytes)
     }
 
     fn array<const N: usize>(&mut self) -> Option<[u8; N]> {
-        self.take(N)?.try_into().ok()
+        self.read_bytes(N)?.try_into().ok()
     }
 
     fn u8(&mut self) -> Option<u8> {
@@ -354,16 +356,16 @@
     }
 
     fn incarnation(&mut self) -> Option<Incarnation> {
-        Some(Incarnation { start: self.u32()?, nonce: self.u32()?, word: self.u32()? })
+        Some(Incarnation { start_number: self.u32()?, nonce: self.u32()?, number: self.u32()? })
     }
 
-    fn claim(&mut self) -> Option<Claim> {
-        let claim = Claim {
-            id: Id(self.u64()?),
+    fn status(&mut self) -> Option<MemberStatus> {
+        let status = MemberStatus {
+            id: MemberId(self.u64()?),
             incarnation: self.incarnation()?,
             state: State::from_byte(self.u8()?)?,
         };
-        (claim.id != Id::NOBODY).then_some(claim)
+        (status.id != MemberId::UNSPECIFIED).then_some(status)
     }
 
     fn address(&mut self) -> Option<SocketAddr> {
@@ -376,31 +378,31 @@
         Some(SocketAddr::new(ip, port))
     }
 
-    fn text(&mut self, most: usize) -> Option<String> {
+    fn text(&mut self, max_bytes: usize) -> Option<String> {
         let length = usize::from(self.u8()?);
-        let text = std::str::from_utf8(self.take(length)?).ok()?;
-        (length <= most).then(|| text.to_string())
+        let text = std::str::from_utf8(self.read_bytes(length)?).ok()?;
+        (length <= max_bytes).then(|| text.to_string())
     }
 
-    fn facts(&mut self) -> Option<Facts> {
+    fn info(&mut self) -> Option<MemberInfo> {
         let version = [self.u16()?, self.u16()?, self.u16()?];
         let (settings, address) = (self.u32()?, self.address()?);
-        let (name, site) = (self.text(MOST_NAME)?, self.text(MOST_SITE)?);
-        Some(Facts { name, address, site, version, settings })
+        let (name, site) = (self.text(MAX_NAME_BYTES)?, self.text(MAX_SITE_BYTES)?);
+        Some(MemberInfo { name, address, site, version, settings })
     }
 
-    fn part(&mut self) -> Option<Part> {
-        let part = Part { depth: self.u8()?, prefix: self.u64()? };
-        (part.depth <= DEEPEST).then_some(part)
+    fn id_prefix(&mut self) -> Option<IdPrefix> {
+        let prefix = IdPrefix { depth: self.u8()?, bits: self.u64()? };
+        (prefix.depth <= MAX_PREFIX_DEPTH).then_some(prefix)
     }
 
-    fn marks(&mut self) -> Option<Marks> {
-        let (part, salt) = (self.part()?, self.u32()?);
-        let mut of = [0; CHILDREN];
-        for mark in &mut of {
-            *mark = self.u32()?;
+    fn child_digests(&mut self) -> Option<ChildDigests> {
+        let (prefix, salt) = (self.id_prefix()?, self.u32()?);
+        let mut digests = [0; CHILDREN_PER_PREFIX];
+        for digest in &mut digests {
+            *digest = self.u32()?;
         }
-        Some(Marks { part, salt, of })
+        Some(ChildDigests { prefix, salt, digests })
     }
 }
 
@@ -408,76 +410,81 @@
 ///
 /// # Errors
 /// Why it is none of this fleet's.
-pub fn read(bytes: &[u8], seal: &Seal) -> Result<Datagram, Dropped> {
-    if bytes.len() > MOST {
-        return Err(Dropped::TooLong);
-    }
-    let (head, rest) = bytes.split_at_checked(HEAD).ok_or(Dropped::TooShort)?;
-    let (sealed, body) = rest.split_at_checked(SEAL).ok_or(Dropped::TooShort)?;
-    if head[0] != VERSION {
-        return Err(if head[0] > VERSION { Dropped::Ahead } else { Dropped::Spoilt });
-    }
-    if head[2..] != seal.tag {
-        return Err(Dropped::OtherFleet);
+pub fn parse_datagram(bytes: &[u8], authenticator: &Authenticator) -> Result<Datagram, DropReason> {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(DropReason::TooLong);
+    }
+    let (header, after_header) = bytes.split_at_checked(HEADER_BYTES).ok_or(DropReason::TooShort)?;
+    let (mac, body) = after_header.split_at_checked(MAC_BYTES).ok_or(DropReason::TooShort)?;
+    if header[0] != FORMAT_VERSION {
+        return Err(if header[0] > FORMAT_VERSION {
+            DropReason::NewerVersion
+        } else {
+            DropReason::Malformed
+        });
+    }
+    if header[2..] != authenticator.fleet_tag {
+        return Err(DropReason::OtherFleet);
     }
     // Both are hashes: comparing them in constant time is the library's.
-    if !equal(&seal.of(head, body), sealed) {
-        return Err(Dropped::Unsealed);
+    if !constant_time_eq(&authenticator.mac(header, body), mac) {
+        return Err(DropReason::NotAuthentic);
     }
     // A kind that is not known is of a program ahead within the same form.
-    let kind = Kind::from_byte(head[1]).ok_or(Dropped::Ahead)?;
-    fields(kind, body).ok_or(Dropped::Spoilt)
+    let kind = DatagramKind::from_byte(header[1]).ok_or(DropReason::NewerVersion)?;
+    parse_fields(kind, body).ok_or(DropReason::Malformed)
 }
 
 /// Takes the same time wherever they differ, so that a seal can't be guessed byte by byte.
-fn equal(a: &[u8; SEAL], b: &[u8]) -> bool {
-    b.len() == SEAL && a.iter().zip(b).fold(0, |all, (x, y)| all | (x ^ y)) == 0
+fn constant_time_eq(expected: &[u8; MAC_BYTES], received: &[u8]) -> bool {
+    received.len() == MAC_BYTES
+        && expected.iter().zip(received).fold(0, |difference, (left, right)| difference | (left ^ right)) == 0
 }
 
-fn fields(kind: Kind, body: &[u8]) -> Option<Datagram> {
-    let mut d = Datagram {
+fn parse_fields(kind: DatagramKind, body: &[u8]) -> Option<Datagram> {
+    let mut datagram = Datagram {
         kind,
-        from: None,
+        sender_status: None,
         seq: 0,
-        target: Id::NOBODY,
-        at: None,
-        root: None,
+        target: MemberId::UNSPECIFIED,
+        target_address: None,
+        view_digest: None,
         load: 0,
-        news: Vec::new(),
-        whole: Vec::new(),
-        want: Vec::new(),
-        marks: Vec::new(),
-        listed: Vec::new(),
+        updates: Vec::new(),
+        records: Vec::new(),
+        wanted_records: Vec::new(),
+        digests: Vec::new(),
+        listed_prefixes: Vec::new(),
     };
     let mut reader = Reader(body);
     while !reader.0.is_empty() {
         let (tag, length) = (reader.u8()?, reader.u8()?);
         // What a later program adds at the end of a field is passed over too.
-        let mut field = Reader(reader.take(usize::from(length))?);
+        let mut field = Reader(reader.read_bytes(usize::from(length))?);
         match tag {
-            tag::FROM => d.from = Some(field.claim()?),
-            tag::SEQ => d.seq = field.u32()?,
-            tag::TARGET => d.target = Id(field.u64()?),
-            tag::AT => d.at = Some(field.address()?),
-            tag::ROOT => d.root = Some(field.u64()?),
-            tag::LOAD => d.load = field.u8()?,
-            tag::NEWS => {
-                let claim = field.claim()?;
-                let accusers = std::iter::from_fn(|| field.u32()).take(MOST_ACCUSERS).collect();
-                d.news.push(News { claim, accusers });
+            tag::SENDER => datagram.sender_status = Some(field.status()?),
+            tag::SEQ => datagram.seq = field.u32()?,
+            tag::TARGET => datagram.target = MemberId(field.u64()?),
+            tag::TARGET_ADDRESS => datagram.target_address = Some(field.address()?),
+            tag::VIEW_DIGEST => datagram.view_digest = Some(field.u64()?),
+            tag::LOAD => datagram.load = field.u8()?,
+            tag::UPDATE => {
+                let status = field.status()?;
+                let reporters = std::iter::from_fn(|| field.u32()).take(MAX_REPORTERS).collect();
+                datagram.updates.push(StatusUpdate { status, reporters });
             }
-            tag::WHOLE => {
-                let (claim, facts, age) = (field.claim()?, field.facts()?, field.u16()?);
-                if Id::of(&facts.name) != claim.id {
+            tag::RECORD => {
+                let (status, info, seconds_in_state) = (field.status()?, field.info()?, field.u16()?);
+                if MemberId::from_name(&info.name) != status.id {
                     return None;
                 }
-                d.whole.push(Whole { claim, facts, age });
+                datagram.records.push(MemberRecord { status, info, seconds_in_state });
             }
-            tag::WANT => d.want.push(Id(field.u64()?)),
-            tag::MARKS => d.marks.push(field.marks()?),
-            tag::LISTED => d.listed.push(field.part()?),
+            tag::RECORD_REQUEST => datagram.wanted_records.push(MemberId(field.u64()?)),
+            tag::CHILD_DIGESTS => datagram.digests.push(field.child_digests()?),
+            tag::LISTED_PREFIX => datagram.listed_prefixes.push(field.id_prefix()?),
             _ => {}
         }
     }
-    Some(d)
+    Some(datagram)
 }
--- a/crates/decide/nickelshed-fleet/src/health.rs
+++ b/crates/decide/nickelshed-fleet/src/health.rs
@@ -2,27 +2,27 @@
 use crate::Ns;
 
 /// The worst score. Each point makes a probe wait as much longer again.
-const WORST: u32 = 4;
+const MAX_SCORE: u32 = 4;
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Health {
+pub struct LocalHealth {
     score: u32,
 }
 
-impl Health {
+impl LocalHealth {
     /// Somebody answered in time.
-    pub fn better(&mut self) {
+    pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
     /// Nobody answered, nor did any who was asked for help; or it had to refute that it is gone itself.
-    pub fn worse(&mut self, points: u32) {
-        self.score = (self.score + points).min(WORST);
+    pub fn degrade(&mut self, points: u32) {
+        self.score = (self.score + points).min(MAX_SCORE);
     }
 
     /// How long to wait where one in full health waits so long.
     #[must_use]
-    pub fn stretch(&self, time: Ns) -> Ns {
-        time * Ns::from(self.score + 1)
+    pub fn scale(&self, duration: Ns) -> Ns {
+        duration * Ns::from(self.score + 1)
     }
 }
--- a/crates/decide/nickelshed-fleet/src/lib.rs
+++ b/crates/decide/nickelshed-fleet/src/lib.rs
@@ -28,10 +28,13 @@
 /// Nanoseconds of the monotonic clock that the machine is handed.
 pub type Ns = i64;
 
-pub use budget::{Budget, Weight};
-pub use datagram::{read, Datagram, Dropped, Kind, News, Seal, Whole, Writer, MOST};
-pub use fleet::{Change, Config, Counts, Fleet, Input, Output, PERIOD};
-pub use member::{Claim, Facts, Id, Incarnation, State, MOST_NAME, MOST_SITE};
-pub use observer::{Observer, Told};
+pub use budget::{Budget, Priority};
+pub use datagram::{
+    parse_datagram, Authenticator, Datagram, DatagramKind, DatagramWriter, DropReason, MemberRecord,
+    StatusUpdate, MAX_DATAGRAM_BYTES,
+};
+pub use fleet::{Change, Config, Counts, Fleet, Input, Output, PROBE_INTERVAL};
+pub use member::{Incarnation, MemberId, MemberInfo, MemberStatus, State, MAX_NAME_BYTES, MAX_SITE_BYTES};
+pub use observer::{Observer, ReportedMember};
 pub use random::Random;
 pub use view::Member;
--- a/crates/decide/nickelshed-fleet/src/parts.rs
+++ b/crates/decide/nickelshed-fleet/src/parts.rs
@@ -7,53 +7,53 @@
 //! One that falls silent may be dead, or may go on sending on the other side of a cut, and nobody can tell which. If its
 //! part lies idle, some of a limit is lost; if both use it, customers are pushed over. The second does more harm, so the
 //! part is kept, and only what answers tell of room is taken up, by small steps that are given back as fast as it ends.
-use crate::member::Id;
+use crate::member::MemberId;
 use crate::Ns;
 use std::collections::BTreeMap;
 
 const SECOND: Ns = 1_000_000_000;
 /// Of all parts so much may be taken up from the silent without a sign of room.
-pub const UNSEEN: f64 = 0.1;
+pub const UNCONDITIONAL_RECLAIM: f64 = 0.1;
 /// What is not present keeps its part for so long, whatever answers tell: it may be back, or say otherwise.
-const SURE: Ns = 10 * SECOND;
+const SILENCE_CONFIRMED_AFTER: Ns = 10 * SECOND;
 /// One that left on purpose may still end what it has out.
-const WINDING_UP: Ns = 4 * SECOND;
+const LEAVE_GRACE: Ns = 4 * SECOND;
 /// One that begins, or wakes, takes this fraction of a part.
-pub const SMALL: f64 = 0.25;
+pub const JOINING_SHARE: f64 = 0.25;
 /// For so long at least, so that all others reckon with it by then.
-const BEGINS: Ns = 5 * SECOND;
+const MIN_JOINING_TIME: Ns = 5 * SECOND;
 /// From one step to the next, and how much of what is left to take up one is.
-const STEP: Ns = 2 * SECOND;
-const STEP_PART: f64 = 0.15;
+const RECLAIM_INTERVAL: Ns = 2 * SECOND;
+const RECLAIM_STEP: f64 = 0.15;
 /// Answers that leave this much of a limit tell of room; those that leave less than the second one, of none.
-const ROOM: f64 = 0.4;
-const NO_ROOM: f64 = 0.15;
+const AMPLE_HEADROOM: f64 = 0.4;
+const LOW_HEADROOM: f64 = 0.15;
 /// A word on room that is older says nothing.
-const STALE: Ns = 5 * SECOND;
+const HEADROOM_EXPIRY: Ns = 5 * SECOND;
 
 /// The most that the parts of `n` senders add up to while `joining` more are not known to all.
 #[must_use]
-pub fn most_sum(n: usize, joining: usize) -> f64 {
-    1.0 / (1.0 - UNSEEN) + SMALL * joining as f64 / n.max(1) as f64
+pub fn max_total_share(senders: usize, joining: usize) -> f64 {
+    1.0 / (1.0 - UNCONDITIONAL_RECLAIM) + JOINING_SHARE * joining as f64 / senders.max(1) as f64
 }
 
 /// What the view says of the others.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct MembershipSummary {
     /// Those that are present, suspects too.
-    pub present: Vec<Id>,
+    pub present: Vec<MemberId>,
     /// Those that are gone; this one may never have met them.
-    pub gone: Vec<Id>,
+    pub failed: Vec<MemberId>,
     /// Those that said that they end.
-    pub left: Vec<Id>,
+    pub left: Vec<MemberId>,
     /// This member stood still, or others may not hear it.
-    pub doubts_itself: bool,
+    pub local_health_degraded: bool,
     /// Its view is that of the others that it heard lately, or there are none.
-    pub settled: bool,
+    pub converged: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stand {
+enum Presence {
     Present,
     /// Not present any more, since then.
     Silent(Ns),
@@ -61,39 +61,39 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Parts {
+pub struct LimitQuota {
     now: Ns,
     /// How many the settings name. It is all that one knows that has heard nobody yet.
     configured: usize,
-    others: BTreeMap<Id, Stand>,
+    others: BTreeMap<MemberId, Presence>,
     /// The most that it ever reckoned with at once, itself counted.
-    most: usize,
+    max_known: usize,
     /// Since when it takes a small part, until it has settled.
-    begins: Option<Ns>,
+    joining_since: Option<Ns>,
     /// The settings name all there can be: whoever begins comes back to a part that the others have kept for it.
-    closed: bool,
-    began: Ns,
+    is_fixed: bool,
+    created_at: Ns,
     /// How many of the silent ones' parts are taken up because answers told of room.
-    taken: f64,
-    stepped: Ns,
-    room: Option<(Ns, f64)>,
+    reclaimed: f64,
+    last_step_at: Ns,
+    headroom: Option<(Ns, f64)>,
 }
 
-impl Parts {
+impl LimitQuota {
     /// `configured`: how many senders the settings name, this one counted.
     #[must_use]
-    pub fn new(configured: usize, now: Ns) -> Parts {
-        Parts {
+    pub fn new(configured: usize, now: Ns) -> LimitQuota {
+        LimitQuota {
             now,
             configured: configured.max(1),
             others: BTreeMap::new(),
-            most: 1,
-            begins: Some(now),
-            closed: false,
-            began: now,
-            taken: 0.0,
-            stepped: now,
-            room: None,
+            max_known: 1,
+            joining_since: Some(now),
+            is_fixed: false,
+            created_at: now,
+            reclaimed: 0.0,
+            last_step_at: now,
+            headroom: None,
         }
     }
 
@@ -101,106 +101,117 @@
     /// as it would without a view; only after it stood still for as long as silence takes to be sure does it begin small.
     /// Until the others have seen it again, its part and what they took up of it may both be used.
     #[must_use]
-    pub fn closed(configured: usize, now: Ns) -> Parts {
-        Parts { begins: None, closed: true, ..Parts::new(configured, now) }
+    pub fn fixed(configured: usize, now: Ns) -> LimitQuota {
+        LimitQuota { joining_since: None, is_fixed: true, ..LimitQuota::new(configured, now) }
     }
 
     /// An answer told how much of a limit is left, 0 to 1; the least that is told within a step counts.
-    pub fn room(&mut self, now: Ns, left: f64) {
-        if !left.is_finite() {
+    pub fn record_headroom(&mut self, now: Ns, remaining: f64) {
+        if !remaining.is_finite() {
             return;
         }
-        let left = left.clamp(0.0, 1.0);
-        self.room = Some(match self.room {
-            Some((at, least)) if now - at < STEP => (at, least.min(left)),
-            _ => (now, left),
+        let remaining = remaining.clamp(0.0, 1.0);
+        self.headroom = Some(match self.headroom {
+            Some((at, minimum)) if now - at < RECLAIM_INTERVAL => (at, minimum.min(remaining)),
+            _ => (now, remaining),
         });
     }
 
     /// Takes the view as it is now. To be called when it changes, and once a second.
-    pub fn see(&mut self, now: Ns, seen: &Seen) {
-        let stood_still = now - self.now >= SURE;
+    pub fn update(&mut self, now: Ns, summary: &MembershipSummary) {
+        let stalled = now - self.now >= SILENCE_CONFIRMED_AFTER;
         self.now = self.now.max(now);
         let now = self.now;
-        for stand in self.others.values_mut().filter(|s| **s == Stand::Present) {
-            *stand = Stand::Silent(now);
+        for presence in self.others.values_mut().filter(|s| **s == Presence::Present) {
+            *presence = Presence::Silent(now);
         }
-        for &id in &seen.present {
+        for &id in &summary.present {
             // It may have been silent a moment ago, and has its whole part again at once.
-            self.others.insert(id, Stand::Present);
+            self.others.insert(id, Presence::Present);
         }
-        for &id in &seen.gone {
-            self.others.entry(id).or_insert(Stand::Silent(now));
+        for &id in &summary.failed {
+            self.others.entry(id).or_insert(Presence::Silent(now));
         }
-        self.most = self.most.max(self.others.len() + 1);
-        for id in &seen.left {
-            if let Some(stand) = self.others.get_mut(id).filter(|s| !matches!(s, Stand::Left(_))) {
-                *stand = Stand::Left(now);
+        self.max_known = self.max_known.max(self.others.len() + 1);
+        for id in &summary.left {
+            if let Some(presence) = self.others.get_mut(id).filter(|s| !matches!(s, Presence::Left(_))) {
+                *presence = Presence::Left(now);
             }
         }
-        self.others.retain(|_, s| !matches!(s, Stand::Left(at) if now - *at > WINDING_UP));
-        let begins_anew = if self.closed { stood_still } else { seen.doubts_itself };
-        if begins_anew {
-            self.begins = Some(now);
+        self.others.retain(|_, s| !matches!(s, Presence::Left(at) if now - *at > LEAVE_GRACE));
+        let rejoins = if self.is_fixed { stalled } else { summary.local_health_degraded };
+        if rejoins {
+            self.joining_since = Some(now);
         }
-        if let Some(since) = self.begins {
+        if let Some(since) = self.joining_since {
             // While many are silent nobody knows with whom they reckon: who begins then stays small, but for room.
-            let silent = self.silent() as f64 - self.taken > 2.0 * self.few();
-            if seen.settled && now - since >= BEGINS && !silent {
+            let many_silent = self.silent_count() as f64 - self.reclaimed > 2.0 * self.max_unconditional();
+            if summary.converged && now - since >= MIN_JOINING_TIME && !many_silent {
                 // A whole part is a large step by itself: what the silent ones leave is for those after it.
-                (self.begins, self.taken, self.stepped) = (None, 0.0, now);
+                (self.joining_since, self.reclaimed, self.last_step_at) = (None, 0.0, now);
             }
         }
-        self.step(seen);
+        self.adjust_reclaimed(summary);
     }
 
     /// Those that the settings name and that were never met: they may all be on the other side of a cut.
-    fn never_met(&self) -> usize {
-        self.configured.saturating_sub(self.most)
+    fn never_seen(&self) -> usize {
+        self.configured.saturating_sub(self.max_known)
     }
 
-    fn silent(&self) -> usize {
-        self.never_met() + self.others.values().filter(|s| matches!(s, Stand::Silent(_))).count()
+    fn silent_count(&self) -> usize {
+        self.never_seen() + self.others.values().filter(|s| matches!(s, Presence::Silent(_))).count()
     }
 
     /// Those whose parts may be taken up.
-    fn surely_silent(&self) -> usize {
-        let silent = |s: &&Stand| matches!(s, Stand::Silent(at) if self.now - *at >= SURE);
+    fn confirmed_silent_count(&self) -> usize {
+        let is_confirmed =
+            |s: &&Presence| matches!(s, Presence::Silent(at) if self.now - *at >= SILENCE_CONFIRMED_AFTER);
         // In a closed fleet they may only be slower to begin.
-        let never_met = if self.closed && self.now - self.began < SURE { 0 } else { self.never_met() };
-        never_met + self.others.values().filter(silent).count()
+        let never_seen = if self.is_fixed && self.now - self.created_at < SILENCE_CONFIRMED_AFTER {
+            0
+        } else {
+            self.never_seen()
+        };
+        never_seen + self.others.values().filter(is_confirmed).count()
     }
 
-    fn all(&self) -> f64 {
-        (self.others.len() + 1 + self.never_met()) as f64
+    fn total_senders(&self) -> f64 {
+        (self.others.len() + 1 + self.never_seen()) as f64
     }
 
     /// So many may be taken up unseen. What joins while others are silent is no reason to take up more of them.
-    fn few(&self) -> f64 {
-        UNSEEN * self.all().min(self.configured as f64)
+    fn max_unconditional(&self) -> f64 {
+        UNCONDITIONAL_RECLAIM * self.total_senders().min(self.configured as f64)
     }
 
-    fn unseen(&self) -> f64 {
-        (self.surely_silent() as f64).min(self.few())
+    fn unconditionally_reclaimed(&self) -> f64 {
+        (self.confirmed_silent_count() as f64).min(self.max_unconditional())
     }
 
     /// Parts of the silent that only answers can free.
-    fn held(&self) -> f64 {
-        self.surely_silent() as f64 - self.unseen()
+    fn conditionally_reclaimable(&self) -> f64 {
+        self.confirmed_silent_count() as f64 - self.unconditionally_reclaimed()
     }
 
-    fn step(&mut self, seen: &Seen) {
+    fn adjust_reclaimed(&mut self, summary: &MembershipSummary) {
         let now = self.now;
-        let held = self.held();
-        self.taken = self.taken.min(held);
-        if now - self.stepped < STEP {
+        let reclaimable = self.conditionally_reclaimable();
+        self.reclaimed = self.reclaimed.min(reclaimable);
+        if now - self.last_step_at < RECLAIM_INTERVAL {
             return;
         }
-        self.stepped = now;
-        match self.room {
-            Some((at, left)) if now - at < STALE && left < NO_ROOM => self.taken /= 2.0,
-            Some((at, left)) if now - at < STALE && left > ROOM && !seen.doubts_itself => {
-                self.taken += STEP_PART * (held - self.taken);
+        self.last_step_at = now;
+        match self.headroom {
+            Some((at, remaining)) if now - at < HEADROOM_EXPIRY && remaining < LOW_HEADROOM => {
+                self.reclaimed /= 2.0
+            }
+            Some((at, remaining))
+                if now - at < HEADROOM_EXPIRY
+                    && remaining > AMPLE_HEADROOM
+                    && !summary.local_health_degraded =>
+            {
+                self.reclaimed += RECLAIM_STEP * (reclaimable - self.reclaimed);
             }
             _ => {}
         }
@@ -208,20 +219,20 @@
 
     /// How many senders share each limit, as this one has to reckon: its part is one of so many.
     #[must_use]
-    pub fn senders(&self) -> f64 {
-        let all = self.all();
-        let sharing = all - self.unseen() - self.taken;
-        match self.begins {
+    pub fn sender_count(&self) -> f64 {
+        let total = self.total_senders();
+        let sharing = total - self.unconditionally_reclaimed() - self.reclaimed;
+        match self.joining_since {
             // It may not know all others yet, and none of them reckons with it.
-            Some(_) => all.max(self.configured as f64) / SMALL,
+            Some(_) => total.max(self.configured as f64) / JOINING_SHARE,
             None => sharing,
         }
     }
 
     /// Whether it takes a small part for now.
     #[must_use]
-    pub fn is_beginning(&self) -> bool {
-        self.begins.is_some()
+    pub fn is_joining(&self) -> bool {
+        self.joining_since.is_some()
     }
 }
 
@@ -230,109 +241,113 @@
     use super::*;
 
     #[test]
-    fn in_a_closed_fleet_one_that_begins_has_its_part_and_one_that_stood_still_for_long_begins_small() {
-        let mut parts = Parts::closed(4, 0);
-        assert_eq!((parts.senders(), parts.is_beginning()), (4.0, false));
-        parts.see(SECOND, &seen(0..1));
-        assert_eq!(parts.senders(), 4.0, "others may be slower to begin");
-        parts.see(2 * SECOND, &seen(0..3));
-        assert_eq!(parts.senders(), 4.0);
-        parts.see(3 * SECOND, &Seen { doubts_itself: true, ..seen(0..3) });
-        assert_eq!(parts.senders(), 4.0, "the others have kept its part");
-        parts.see(13 * SECOND, &seen(0..3));
-        assert_eq!((parts.senders(), parts.is_beginning()), (4.0 / SMALL, true));
-        parts.see(19 * SECOND, &seen(0..3));
-        assert_eq!(parts.senders(), 4.0);
+    fn in_a_fixed_fleet_a_start_takes_a_full_share_and_a_long_stall_a_joining_share() {
+        let mut quota = LimitQuota::fixed(4, 0);
+        assert_eq!((quota.sender_count(), quota.is_joining()), (4.0, false));
+        quota.update(SECOND, &summary(0..1));
+        assert_eq!(quota.sender_count(), 4.0, "others may be slower to begin");
+        quota.update(2 * SECOND, &summary(0..3));
+        assert_eq!(quota.sender_count(), 4.0);
+        quota.update(3 * SECOND, &MembershipSummary { local_health_degraded: true, ..summary(0..3) });
+        assert_eq!(quota.sender_count(), 4.0, "the others have kept its part");
+        quota.update(13 * SECOND, &summary(0..3));
+        assert_eq!((quota.sender_count(), quota.is_joining()), (4.0 / JOINING_SHARE, true));
+        quota.update(19 * SECOND, &summary(0..3));
+        assert_eq!(quota.sender_count(), 4.0);
         // What is silent keeps its part for as long as in any fleet.
-        parts.see(20 * SECOND, &seen(0..2));
-        parts.see(29 * SECOND, &seen(0..2));
-        assert_eq!(parts.senders(), 4.0);
-        parts.see(30 * SECOND, &seen(0..2));
-        assert!(parts.senders() < 4.0 && parts.senders() >= 3.6);
+        quota.update(20 * SECOND, &summary(0..2));
+        quota.update(29 * SECOND, &summary(0..2));
+        assert_eq!(quota.sender_count(), 4.0);
+        quota.update(30 * SECOND, &summary(0..2));
+        assert!(quota.sender_count() < 4.0 && quota.sender_count() >= 3.6);
     }
 
-    fn seen(ids: std::ops::Range<u64>) -> Seen {
-        Seen { present: ids.map(Id).collect(), settled: true, ..Seen::default() }
+    fn summary(ids: std::ops::Range<u64>) -> MembershipSummary {
+        MembershipSummary {
+            present: ids.map(MemberId).collect(),
+            converged: true,
+            ..MembershipSummary::default()
+        }
     }
 
-    fn settled(others: u64) -> Parts {
-        let mut parts = Parts::new(others as usize + 1, 0);
+    fn converged_quota(others: u64) -> LimitQuota {
+        let mut quota = LimitQuota::new(others as usize + 1, 0);
         for second in 0..8 {
-            parts.see(second * SECOND, &seen(1..others + 1));
+            quota.update(second * SECOND, &summary(1..others + 1));
         }
-        parts
+        quota
     }
 
     #[test]
-    fn one_that_begins_takes_a_small_part_of_what_the_settings_name() {
-        let mut parts = Parts::new(10, 0);
-        assert!((parts.senders() - 40.0).abs() < 1e-9);
-        parts.see(SECOND, &seen(1..20));
-        assert!((parts.senders() - 80.0).abs() < 1e-9);
-        parts.see(6 * SECOND, &seen(1..20));
-        assert!((parts.senders() - 20.0).abs() < 1e-9);
+    fn joining_member_takes_a_small_share_of_the_configured_count() {
+        let mut quota = LimitQuota::new(10, 0);
+        assert!((quota.sender_count() - 40.0).abs() < 1e-9);
+        quota.update(SECOND, &summary(1..20));
+        assert!((quota.sender_count() - 80.0).abs() < 1e-9);
+        quota.update(6 * SECOND, &summary(1..20));
+        assert!((quota.sender_count() - 20.0).abs() < 1e-9);
     }
 
     #[test]
-    fn a_half_that_falls_silent_keeps_all_but_a_tenth_until_answers_tell_of_room() {
-        let mut parts = settled(19);
-        let half = seen(1..10);
+    fn silent_half_keeps_all_but_a_tenth_until_headroom_is_reported() {
+        let mut quota = converged_quota(19);
+        let half = summary(1..10);
         for second in 8..60 {
-            parts.see(second * SECOND, &half);
+            quota.update(second * SECOND, &half);
         }
-        assert!((parts.senders() - 18.0).abs() < 1e-9, "{}", parts.senders());
+        assert!((quota.sender_count() - 18.0).abs() < 1e-9, "{}", quota.sender_count());
         for second in 60..120 {
-            parts.room(second * SECOND, 0.5);
-            parts.see(second * SECOND, &half);
+            quota.record_headroom(second * SECOND, 0.5);
+            quota.update(second * SECOND, &half);
         }
-        assert!(parts.senders() < 10.5, "{}", parts.senders());
+        assert!(quota.sender_count() < 10.5, "{}", quota.sender_count());
         // Where the other half still sends, there is no room, and all is given back.
         for second in 120..160 {
-            parts.room(second * SECOND, 0.05);
-            parts.see(second * SECOND, &half);
+            quota.record_headroom(second * SECOND, 0.05);
+            quota.update(second * SECOND, &half);
         }
-        assert!(parts.senders() > 17.9, "{}", parts.senders());
+        assert!(quota.sender_count() > 17.9, "{}", quota.sender_count());
         // Healed: at once.
-        parts.see(160 * SECOND, &seen(1..20));
-        assert!((parts.senders() - 20.0).abs() < 1e-9);
+        quota.update(160 * SECOND, &summary(1..20));
+        assert!((quota.sender_count() - 20.0).abs() < 1e-9);
     }
 
     #[test]
-    fn what_left_on_purpose_is_taken_up_and_what_wakes_has_a_small_part() {
-        let mut parts = settled(9);
-        let mut view = seen(1..9);
-        view.left = vec![Id(9)];
+    fn share_of_a_member_that_left_is_reclaimed_and_a_resumed_member_takes_a_joining_share() {
+        let mut quota = converged_quota(9);
+        let mut view = summary(1..9);
+        view.left = vec![MemberId(9)];
         for second in 8..14 {
-            parts.see(second * SECOND, &view);
+            quota.update(second * SECOND, &view);
         }
-        assert!((parts.senders() - 9.0).abs() < 1e-9, "{}", parts.senders());
-        view.doubts_itself = true;
-        parts.see(14 * SECOND, &view);
-        assert!((parts.senders() - 40.0).abs() < 1e-9, "{}", parts.senders());
+        assert!((quota.sender_count() - 9.0).abs() < 1e-9, "{}", quota.sender_count());
+        view.local_health_degraded = true;
+        quota.update(14 * SECOND, &view);
+        assert!((quota.sender_count() - 40.0).abs() < 1e-9, "{}", quota.sender_count());
     }
 
     #[test]
-    fn one_that_meets_nobody_takes_no_more_than_the_settings_give_it() {
-        let mut parts = Parts::new(10, 0);
+    fn lone_member_takes_no_more_than_its_configured_share_until_headroom_is_reported() {
+        let mut quota = LimitQuota::new(10, 0);
         for second in 0..60 {
-            parts.see(second * SECOND, &seen(1..1));
+            quota.update(second * SECOND, &summary(1..1));
         }
-        assert!((parts.senders() - 40.0).abs() < 1e-9, "{}", parts.senders());
+        assert!((quota.sender_count() - 40.0).abs() < 1e-9, "{}", quota.sender_count());
         for second in 60..200 {
-            parts.room(second * SECOND, 0.9);
-            parts.see(second * SECOND, &seen(1..1));
+            quota.record_headroom(second * SECOND, 0.9);
+            quota.update(second * SECOND, &summary(1..1));
         }
-        assert!(parts.senders() < 1.1, "{}", parts.senders());
+        assert!(quota.sender_count() < 1.1, "{}", quota.sender_count());
     }
 
     #[test]
-    fn a_word_on_room_that_is_no_number_or_old_changes_nothing() {
-        let mut parts = settled(9);
+    fn invalid_or_expired_headroom_changes_nothing() {
+        let mut quota = converged_quota(9);
         for second in 8..40 {
-            parts.room(8 * SECOND, f64::NAN);
-            parts.room(8 * SECOND, 1.0);
-            parts.see(second * SECOND, &seen(1..5));
+            quota.record_headroom(8 * SECOND, f64::NAN);
+            quota.record_headroom(8 * SECOND, 1.0);
+            quota.update(second * SECOND, &summary(1..5));
         }
-        assert!((parts.senders() - 9.0).abs() < 1e-9, "{}", parts.senders());
+        assert!((quota.sender_count() - 9.0).abs() < 1e-9, "{}", quota.sender_count());
     }
 }
--- a/crates/decide/nickelshed-fleet/src/random.rs
+++ b/crates/decide/nickelshed-fleet/src/random.rs
@@ -11,7 +11,7 @@
     }
 
     /// splitmix64.
-    pub fn draw(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut x = self.0;
         x = (x ^ x >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -21,17 +21,17 @@
 
     /// Below a bound; nought if that is not above nought.
     pub fn below(&mut self, bound: Ns) -> Ns {
-        (self.draw() % bound.max(1) as u64) as Ns
+        (self.next_u64() % bound.max(1) as u64) as Ns
     }
 
-    pub fn shuffle<T>(&mut self, list: &mut [T]) {
-        for place in (1..list.len()).rev() {
-            let other = self.below(place as Ns + 1) as usize;
-            list.swap(place, other);
+    pub fn shuffle<T>(&mut self, items: &mut [T]) {
+        for index in (1..items.len()).rev() {
+            let other = self.below(index as Ns + 1) as usize;
+            items.swap(index, other);
         }
     }
 
-    pub fn chance(&mut self, part: f64) -> bool {
-        ((self.draw() >> 11) as f64 / (1u64 << 53) as f64) < part
+    pub fn chance(&mut self, probability: f64) -> bool {
+        ((self.next_u64() >> 11) as f64 / (1u64 << 53) as f64) < probability
     }
 }
--- a/crates/decide/nickelshed-fleet/src/suspicion.rs
+++ b/crates/decide/nickelshed-fleet/src/suspicion.rs
@@ -1,69 +1,70 @@
 //! How long a suspect has to say that it is there: less, the more members have asked it in vain (Lifeguard, section IV.B).
-use crate::datagram::MOST_ACCUSERS;
+use crate::datagram::MAX_REPORTERS;
 use crate::Ns;
 
 const MS: Ns = 1_000_000;
 /// Times the logarithm (base ten) of the fleet's size: the least time, once enough members accuse it.
-const LEAST: Ns = 650 * MS;
+const MIN_TIMEOUT_PER_LOG10: Ns = 650 * MS;
 /// So many times the least, where one accuses it alone.
-const ALONE: f64 = 4.0;
+const MAX_TIMEOUT_MULTIPLE: f64 = 4.0;
 
 /// What is known against one member in one incarnation.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
-    since: Ns,
-    accusers: Vec<u32>,
+    started_at: Ns,
+    reporters: Vec<u32>,
     /// Another said that it is gone, though it was here lately: it is asked once more, and then believed.
-    pub said_gone: Option<Ns>,
+    pub failure_reported_at: Option<Ns>,
     /// Whether this member has asked it in vain itself since.
-    pub asked: bool,
+    pub probed_locally: bool,
 }
 
 impl Suspicion {
     #[must_use]
-    pub fn new(since: Ns) -> Suspicion {
-        Suspicion { since, accusers: Vec::new(), said_gone: None, asked: false }
+    pub fn new(started_at: Ns) -> Suspicion {
+        Suspicion { started_at, reporters: Vec::new(), failure_reported_at: None, probed_locally: false }
     }
 
     #[must_use]
-    pub fn since(&self) -> Ns {
-        self.since
+    pub fn started_at(&self) -> Ns {
+        self.started_at
     }
 
     /// Whether that was new.
-    pub fn accuse(&mut self, by: u32) -> bool {
-        let new = self.accusers.len() < MOST_ACCUSERS && !self.accusers.contains(&by);
-        if new {
-            self.accusers.push(by);
+    pub fn add_reporter(&mut self, reporter: u32) -> bool {
+        let is_new = self.reporters.len() < MAX_REPORTERS && !self.reporters.contains(&reporter);
+        if is_new {
+            self.reporters.push(reporter);
         }
-        new
+        is_new
     }
 
     #[must_use]
-    pub fn accusers(&self) -> &[u32] {
-        &self.accusers
+    pub fn reporters(&self) -> &[u32] {
+        &self.reporters
     }
 
     /// When it is taken for gone, in a view of so many members.
     #[must_use]
-    pub fn ends(&self, members: usize) -> Ns {
-        let least = (LEAST as f64 * (members.max(10) as f64).log10()) as Ns;
-        let most = least as f64 * ALONE;
+    pub fn deadline(&self, members: usize) -> Ns {
+        let min_timeout = (MIN_TIMEOUT_PER_LOG10 as f64 * (members.max(10) as f64).log10()) as Ns;
+        let max_timeout = min_timeout as f64 * MAX_TIMEOUT_MULTIPLE;
         // The first accuser is the suspicion itself.
-        let others = self.accusers.len().saturating_sub(1) as f64;
-        let part = (others + 1.0).ln() / (MOST_ACCUSERS as f64).ln();
-        self.since + ((most - (most - least as f64) * part) as Ns).max(least)
+        let confirmations = self.reporters.len().saturating_sub(1) as f64;
+        let fraction = (confirmations + 1.0).ln() / (MAX_REPORTERS as f64).ln();
+        self.started_at
+            + ((max_timeout - (max_timeout - min_timeout as f64) * fraction) as Ns).max(min_timeout)
     }
 
     /// The suspect was heard.
-    pub fn begin_anew(&mut self, now: Ns) {
-        *self = Suspicion { accusers: std::mem::take(&mut self.accusers), ..Suspicion::new(now) };
+    pub fn restart(&mut self, now: Ns) {
+        *self = Suspicion { reporters: std::mem::take(&mut self.reporters), ..Suspicion::new(now) };
     }
 
     /// The member that holds it stood still for so long: nobody could have told it otherwise meanwhile.
-    pub fn put_off(&mut self, time: Ns) {
-        self.since += time;
-        self.said_gone = self.said_gone.map(|at| at + time);
+    pub fn extend(&mut self, duration: Ns) {
+        self.started_at += duration;
+        self.failure_reported_at = self.failure_reported_at.map(|at| at + duration);
     }
 }
 
@@ -72,19 +73,19 @@
     use super::*;
 
     #[test]
-    fn each_accuser_shortens_it_down_to_the_least_and_the_same_one_twice_does_not() {
+    fn each_reporter_shortens_the_timeout_to_the_minimum_and_duplicates_do_not() {
         let mut suspicion = Suspicion::new(0);
-        suspicion.accuse(1);
-        let mut before = suspicion.ends(50);
-        assert_eq!(before / MS, 4_417);
-        for by in 2..=MOST_ACCUSERS as u32 {
-            assert!(suspicion.accuse(by) && !suspicion.accuse(by));
-            assert!(suspicion.ends(50) < before);
-            before = suspicion.ends(50);
+        suspicion.add_reporter(1);
+        let mut previous = suspicion.deadline(50);
+        assert_eq!(previous / MS, 4_417);
+        for reporter in 2..=MAX_REPORTERS as u32 {
+            assert!(suspicion.add_reporter(reporter) && !suspicion.add_reporter(reporter));
+            assert!(suspicion.deadline(50) < previous);
+            previous = suspicion.deadline(50);
         }
-        assert_eq!(before / MS, 1_104);
-        assert!(!suspicion.accuse(99));
-        suspicion.put_off(7 * MS);
-        assert_eq!(suspicion.ends(50), before + 7 * MS);
+        assert_eq!(previous / MS, 1_104);
+        assert!(!suspicion.add_reporter(99));
+        suspicion.extend(7 * MS);
+        assert_eq!(suspicion.deadline(50), previous + 7 * MS);
     }
 }
--- a/crates/decide/nickelshed-fleet/src/sync.rs
+++ b/crates/decide/nickelshed-fleet/src/sync.rs
@@ -5,188 +5,199 @@
 //! probe; where two differ, one of them sends the marks of its sixteen parts, the other answers with the marks of a part's
 //! parts, or, where few are left, with all that it holds there. Each exchange has a salt of its own, and one is begun
 //! now and then without a cause, so that not even equal marks of unequal views last.
-use crate::budget::Weight;
-use crate::datagram::{Datagram, Kind, News, Part, Writer, CHILDREN, DEEPEST};
-use crate::fleet::{age, news_of, Fleet, Output, MS, PERIOD, SECOND};
-use crate::member::{Claim, Id, State};
+use crate::budget::Priority;
+use crate::datagram::{
+    Datagram, DatagramKind, DatagramWriter, IdPrefix, StatusUpdate, CHILDREN_PER_PREFIX, MAX_PREFIX_DEPTH,
+};
+use crate::fleet::{seconds_in_state, update_for, Fleet, Output, MS, PROBE_INTERVAL, SECOND};
+use crate::member::{MemberId, MemberStatus, State};
 use crate::Ns;
 use std::net::SocketAddr;
 
 /// How soon after one exchange the next is begun where views differ, and how often without a cause.
-const AGAIN: Ns = 500 * MS;
-const ANYWAY: Ns = 20 * SECOND;
+const MAX_SYNC_DELAY: Ns = 500 * MS;
+const MEAN_SYNC_INTERVAL: Ns = 20 * SECOND;
 /// Datagrams in answer to one.
-const MOST_REPLIES: usize = 4;
+const MAX_REPLY_DATAGRAMS: usize = 4;
 /// A part with so few is listed rather than parted again; they fit into one datagram.
-const FEW: usize = 6;
+const MAX_LISTED_MEMBERS: usize = 6;
 
 /// What a datagram makes its reader send back.
 #[derive(Debug, Default)]
-pub struct Answer {
-    wants: Vec<Id>,
+pub struct SyncReply {
+    requested: Vec<MemberId>,
     /// With their facts or without.
-    records: Vec<(Id, bool)>,
-    marks: Vec<(Part, u32)>,
-    listed: Vec<Part>,
+    records: Vec<(MemberId, bool)>,
+    digested_prefixes: Vec<(IdPrefix, u32)>,
+    listed_prefixes: Vec<IdPrefix>,
 }
 
-impl Answer {
-    pub fn want(&mut self, id: Id) {
-        if !self.wants.contains(&id) {
-            self.wants.push(id);
+impl SyncReply {
+    pub fn request_record(&mut self, id: MemberId) {
+        if !self.requested.contains(&id) {
+            self.requested.push(id);
         }
     }
 
-    pub fn correct(&mut self, id: Id, whole: bool) {
-        self.records.push((id, whole));
+    pub fn send_record(&mut self, id: MemberId, with_info: bool) {
+        self.records.push((id, with_info));
     }
 }
 
 impl Fleet {
     /// Views differ: an exchange is due.
-    pub(crate) fn sync_soon(&mut self) {
-        let within = if self.claim.state == State::Joining { PERIOD / 2 } else { AGAIN };
-        let at = self.now + self.random.below(within);
+    pub(crate) fn schedule_sync(&mut self) {
+        let max_delay = if self.status.state == State::Joining { PROBE_INTERVAL / 2 } else { MAX_SYNC_DELAY };
+        let at = self.now + self.random.below(max_delay);
         self.sync_at = self.sync_at.min(at);
     }
 
-    pub(crate) fn begin_sync(&mut self, out: &mut Vec<Output>) {
-        let to = match self.differs.take() {
+    pub(crate) fn start_sync(&mut self, out: &mut Vec<Output>) {
+        let to = match self.differing_peer.take() {
             Some((_, address)) => Some(address),
             None => {
-                let id = self.some_present(1, Id::NOBODY).first().copied();
-                id.and_then(|id| self.view.get(id)).map(|m| m.facts.address)
+                let id = self.random_live_members(1, MemberId::UNSPECIFIED).first().copied();
+                id.and_then(|id| self.view.get(id)).map(|m| m.info.address)
             }
         };
-        self.sync_at = self.now + ANYWAY / 2 + self.random.below(ANYWAY);
-        let salt = self.random.draw() as u32;
-        let mut writer = self.writer(Kind::Sync);
-        writer.marks(&self.view.marks(Part::default(), salt, Some(&self.claim)));
-        self.send(to, writer, Weight::Spare, out);
+        self.sync_at = self.now + MEAN_SYNC_INTERVAL / 2 + self.random.below(MEAN_SYNC_INTERVAL);
+        let salt = self.random.next_u64() as u32;
+        let mut writer = self.new_datagram(DatagramKind::Sync);
+        writer.child_digests(&self.view.child_digests(IdPrefix::default(), salt, Some(&self.status)));
+        self.send(to, writer, Priority::Background, out);
     }
 
     /// Finds what the other side of an exchange lacks, and what this one does.
-    pub(crate) fn compare(&mut self, d: &Datagram, answer: &mut Answer) {
-        for &id in &d.want {
-            answer.records.push((id, true));
+    pub(crate) fn compare_digests(&mut self, datagram: &Datagram, reply: &mut SyncReply) {
+        for &id in &datagram.wanted_records {
+            reply.records.push((id, true));
         }
-        for theirs in &d.marks {
-            let own = self.view.marks(theirs.part, theirs.salt, Some(&self.claim));
+        for remote in &datagram.digests {
+            let own = self.view.child_digests(remote.prefix, remote.salt, Some(&self.status));
             // Another part first each time, as not all may fit into the answer.
-            let first = self.random.below(CHILDREN as Ns) as usize;
-            for child in (0..CHILDREN).map(|c| (c + first) % CHILDREN) {
-                if theirs.of[child] == own.of[child] {
+            let offset = self.random.below(CHILDREN_PER_PREFIX as Ns) as usize;
+            for child in (0..CHILDREN_PER_PREFIX).map(|c| (c + offset) % CHILDREN_PER_PREFIX) {
+                if remote.digests[child] == own.digests[child] {
                     continue;
                 }
-                let part = theirs.part.child(child);
-                let here = self.told_in(part);
-                if theirs.of[child] == 0 {
-                    answer.records.extend(here.into_iter().map(|c| (c.id, true)));
-                } else if here.len() <= FEW || part.depth >= DEEPEST {
-                    answer.listed.push(part);
+                let prefix = remote.prefix.child(child);
+                let local = self.statuses_in(prefix);
+                if remote.digests[child] == 0 {
+                    reply.records.extend(local.into_iter().map(|c| (c.id, true)));
+                } else if local.len() <= MAX_LISTED_MEMBERS || prefix.depth >= MAX_PREFIX_DEPTH {
+                    reply.listed_prefixes.push(prefix);
                 } else {
-                    answer.marks.push((part, theirs.salt));
+                    reply.digested_prefixes.push((prefix, remote.salt));
                 }
             }
         }
-        for &part in &d.listed {
-            let listed =
-                |id: Id| d.news.iter().any(|n| n.claim.id == id) || d.whole.iter().any(|w| w.claim.id == id);
-            let missing = self.told_in(part).into_iter().filter(|c| !listed(c.id));
-            answer.records.extend(missing.map(|c| (c.id, true)));
+        for &prefix in &datagram.listed_prefixes {
+            let is_listed = |id: MemberId| {
+                datagram.updates.iter().any(|update| update.status.id == id)
+                    || datagram.records.iter().any(|record| record.status.id == id)
+            };
+            let missing = self.statuses_in(prefix).into_iter().filter(|status| !is_listed(status.id));
+            reply.records.extend(missing.map(|status| (status.id, true)));
         }
     }
 
-    fn told_in(&self, part: Part) -> Vec<Claim> {
-        let own = Some(self.claim).filter(|c| part.holds(c.id));
-        self.view.in_part(part).map(|m| m.claim).chain(own).collect()
+    fn statuses_in(&self, prefix: IdPrefix) -> Vec<MemberStatus> {
+        let own = Some(self.status).filter(|status| prefix.contains(status.id));
+        self.view.advertised_in(prefix).map(|m| m.status).chain(own).collect()
     }
 
     /// Sends an answer, in a bounded number of datagrams: what is left over comes up again in the next exchange.
-    pub(crate) fn reply(&mut self, to: SocketAddr, answer: Answer, out: &mut Vec<Output>) {
-        let mut pages = Pages { done: Vec::new(), at_hand: self.writer(Kind::Sync), used: false };
-        let (own, now) = (self.claim, self.now);
-        for id in answer.wants {
-            pages.add(self, |w| w.want(id));
+    pub(crate) fn send_reply(&mut self, to: SocketAddr, reply: SyncReply, out: &mut Vec<Output>) {
+        let mut pages = ReplyPages {
+            full: Vec::new(),
+            current: self.new_datagram(DatagramKind::Sync),
+            has_content: false,
+        };
+        let (own, now) = (self.status, self.now);
+        for id in reply.requested {
+            pages.add(self, |w| w.record_request(id));
         }
-        for (part, salt) in answer.marks {
-            let marks = self.view.marks(part, salt, Some(&own));
-            pages.add(self, |w| w.marks(&marks));
+        for (prefix, salt) in reply.digested_prefixes {
+            let digests = self.view.child_digests(prefix, salt, Some(&own));
+            pages.add(self, |writer| writer.child_digests(&digests));
         }
-        for part in answer.listed {
-            let news: Vec<News> = self.view.in_part(part).map(news_of).collect();
-            let own = News { claim: own, accusers: Vec::new() };
+        for prefix in reply.listed_prefixes {
+            let updates: Vec<StatusUpdate> = self.view.advertised_in(prefix).map(update_for).collect();
+            let own = StatusUpdate { status: own, reporters: Vec::new() };
             // Together or not at all: a list that lacks somebody would be taken for a view that does.
-            pages.add(self, |w| {
-                let mut all = w.listed(part);
-                if part.holds(own.claim.id) {
-                    all &= w.news(&own);
+            pages.add(self, |writer| {
+                let mut all_written = writer.listed_prefix(prefix);
+                if prefix.contains(own.status.id) {
+                    all_written &= writer.update(&own);
                 }
-                news.iter().fold(all, |all, n| all & w.news(&News { claim: n.claim, accusers: Vec::new() }))
+                updates.iter().fold(all_written, |all_written, update| {
+                    all_written
+                        & writer.update(&StatusUpdate { status: update.status, reporters: Vec::new() })
+                })
             });
         }
-        let mut records = answer.records;
+        let mut records = reply.records;
         if !records.is_empty() {
             let first = self.random.below(records.len() as Ns) as usize;
             records.rotate_left(first);
         }
-        for (id, whole) in records {
+        for (id, with_info) in records {
             if id == own.id {
-                let facts = self.facts.clone();
-                pages.add(self, |w| w.whole(&own, &facts, 0));
+                let info = self.info.clone();
+                pages.add(self, |writer| writer.record(&own, &info, 0));
             } else if let Some(member) = self.view.get(id).cloned() {
-                pages.add(self, |w| {
-                    if whole {
-                        w.whole(&member.claim, &member.facts, age(&member, now))
+                pages.add(self, |writer| {
+                    if with_info {
+                        writer.record(&member.status, &member.info, seconds_in_state(&member, now))
                     } else {
-                        w.news(&news_of(&member))
+                        writer.update(&update_for(&member))
                     }
                 });
             }
         }
-        for writer in pages.end() {
-            self.send(Some(to), writer, Weight::Spare, out);
+        for writer in pages.finish() {
+            self.send(Some(to), writer, Priority::Background, out);
         }
     }
 }
 
 /// Datagrams that are filled one after another.
-struct Pages {
-    done: Vec<Writer>,
-    at_hand: Writer,
-    used: bool,
+struct ReplyPages {
+    full: Vec<DatagramWriter>,
+    current: DatagramWriter,
+    has_content: bool,
 }
 
-impl Pages {
+impl ReplyPages {
     /// Writes one piece, on a new page if this one has no room for it.
-    fn add(&mut self, fleet: &Fleet, write: impl Fn(&mut Writer) -> bool) {
-        if self.done.len() >= MOST_REPLIES {
+    fn add(&mut self, fleet: &Fleet, write: impl Fn(&mut DatagramWriter) -> bool) {
+        if self.full.len() >= MAX_REPLY_DATAGRAMS {
             return;
         }
-        let before = self.at_hand.len();
-        if write(&mut self.at_hand) {
-            self.used = true;
+        let length_before = self.current.len();
+        if write(&mut self.current) {
+            self.has_content = true;
             return;
         }
-        self.at_hand.cut(before);
-        if !self.used {
+        self.current.truncate(length_before);
+        if !self.has_content {
             return;
         }
-        self.done.push(std::mem::replace(&mut self.at_hand, fleet.writer(Kind::Sync)));
-        self.used = false;
-        if self.done.len() < MOST_REPLIES {
-            let before = self.at_hand.len();
-            self.used = write(&mut self.at_hand);
-            if !self.used {
-                self.at_hand.cut(before);
+        self.full.push(std::mem::replace(&mut self.current, fleet.new_datagram(DatagramKind::Sync)));
+        self.has_content = false;
+        if self.full.len() < MAX_REPLY_DATAGRAMS {
+            let length_before = self.current.len();
+            self.has_content = write(&mut self.current);
+            if !self.has_content {
+                self.current.truncate(length_before);
             }
         }
     }
 
-    fn end(mut self) -> Vec<Writer> {
-        if self.used && self.done.len() < MOST_REPLIES {
-            self.done.push(self.at_hand);
+    fn finish(mut self) -> Vec<DatagramWriter> {
+        if self.has_content && self.full.len() < MAX_REPLY_DATAGRAMS {
+            self.full.push(self.current);
         }
-        self.done
+        self.full
     }
 }
--- a/crates/decide/nickelshed-fleet/src/view.rs
+++ b/crates/decide/nickelshed-fleet/src/view.rs
@@ -1,6 +1,6 @@
 //! The records of all members, and what of them two views have to compare.
-use crate::datagram::{Marks, Part, CHILDREN};
-use crate::member::{mark, Claim, Facts, Id, State};
+use crate::datagram::{ChildDigests, IdPrefix, CHILDREN_PER_PREFIX};
+use crate::member::{digest, MemberId, MemberInfo, MemberStatus, State};
 use crate::suspicion::Suspicion;
 use crate::Ns;
 use std::collections::BTreeMap;
@@ -8,30 +8,30 @@
 /// What is held of one other member.
 #[derive(Clone, Debug)]
 pub struct Member {
-    pub claim: Claim,
-    pub facts: Facts,
+    pub status: MemberStatus,
+    pub info: MemberInfo,
     /// Since when it is in this state here.
-    pub since: Ns,
+    pub state_since: Ns,
     /// When a datagram of its own came last, and what it said of its load.
-    pub heard: Option<Ns>,
+    pub last_contact: Option<Ns>,
     pub load: u8,
     pub suspicion: Option<Suspicion>,
     /// Gone for so long that others are no longer told of it.
-    pub faded: bool,
+    pub expired: bool,
 }
 
 impl Member {
     /// Whether it is part of what two views compare.
     #[must_use]
-    pub fn is_told(&self) -> bool {
-        !self.faded && self.claim.state != State::Left
+    pub fn is_advertised(&self) -> bool {
+        !self.expired && self.status.state != State::Left
     }
 
-    fn mark(&self, salt: u64) -> u64 {
-        if self.faded {
+    fn digest(&self, salt: u64) -> u64 {
+        if self.expired {
             0
         } else {
-            mark(&self.claim, salt)
+            digest(&self.status, salt)
         }
     }
 }
@@ -39,43 +39,43 @@
 /// Members by id, with the mark of all that are told of kept as they change.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    members: BTreeMap<Id, Member>,
-    root: u64,
-    present: usize,
+    members: BTreeMap<MemberId, Member>,
+    digest: u64,
+    present_count: usize,
 }
 
 impl View {
     #[must_use]
-    pub fn get(&self, id: Id) -> Option<&Member> {
+    pub fn get(&self, id: MemberId) -> Option<&Member> {
         self.members.get(&id)
     }
 
     /// Everything but its claim, which only `put` changes.
-    pub fn touch(&mut self, id: Id, change: impl FnOnce(&mut Member)) {
+    pub fn update(&mut self, id: MemberId, change: impl FnOnce(&mut Member)) {
         if let Some(member) = self.members.get_mut(&id) {
-            let claim = member.claim;
+            let status = member.status;
             change(member);
-            member.claim = claim;
+            member.status = status;
         }
     }
 
-    pub fn put(&mut self, member: Member) {
-        let claim = member.claim;
-        self.leave(claim.id);
-        self.root = self.root.wrapping_add(member.mark(0));
-        self.present += usize::from(claim.state.is_present());
-        self.members.insert(claim.id, member);
+    pub fn upsert(&mut self, member: Member) {
+        let status = member.status;
+        self.subtract(status.id);
+        self.digest = self.digest.wrapping_add(member.digest(0));
+        self.present_count += usize::from(status.state.is_present());
+        self.members.insert(status.id, member);
     }
 
-    pub fn remove(&mut self, id: Id) {
-        self.leave(id);
+    pub fn remove(&mut self, id: MemberId) {
+        self.subtract(id);
         self.members.remove(&id);
     }
 
-    fn leave(&mut self, id: Id) {
-        if let Some(old) = self.members.get(&id) {
-            self.root = self.root.wrapping_sub(old.mark(0));
-            self.present -= usize::from(old.claim.state.is_present());
+    fn subtract(&mut self, id: MemberId) {
+        if let Some(previous) = self.members.get(&id) {
+            self.digest = self.digest.wrapping_sub(previous.digest(0));
+            self.present_count -= usize::from(previous.status.state.is_present());
         }
     }
 
@@ -85,31 +85,33 @@
 
     /// How many are present.
     #[must_use]
-    pub fn present(&self) -> usize {
-        self.present
+    pub fn present_count(&self) -> usize {
+        self.present_count
     }
 
     /// The mark of all that are told of; the holder adds its own.
     #[must_use]
-    pub fn root(&self) -> u64 {
-        self.root
+    pub fn digest(&self) -> u64 {
+        self.digest
     }
 
     /// Those of a part that are told of: present ones and gone ones.
-    pub fn in_part(&self, part: Part) -> impl Iterator<Item = &Member> + '_ {
-        self.members.values().filter(move |m| m.is_told() && part.holds(m.claim.id))
+    pub fn advertised_in(&self, prefix: IdPrefix) -> impl Iterator<Item = &Member> + '_ {
+        self.members
+            .values()
+            .filter(move |member| member.is_advertised() && prefix.contains(member.status.id))
     }
 
     /// The marks of a part's children, with one claim more: the holder's own, if it is a member.
     #[must_use]
-    pub fn marks(&self, part: Part, salt: u32, own: Option<&Claim>) -> Marks {
-        let mut of = [0u32; CHILDREN];
-        let claims = self.in_part(part).map(|m| &m.claim);
-        for claim in claims.chain(own.filter(|c| part.holds(c.id))) {
-            let mark = mark(claim, u64::from(salt) | 1 << 40);
-            let child = &mut of[part.child_of(claim.id)];
-            *child = child.wrapping_add((mark ^ mark >> 32) as u32);
+    pub fn child_digests(&self, prefix: IdPrefix, salt: u32, own: Option<&MemberStatus>) -> ChildDigests {
+        let mut digests = [0u32; CHILDREN_PER_PREFIX];
+        let statuses = self.advertised_in(prefix).map(|member| &member.status);
+        for status in statuses.chain(own.filter(|status| prefix.contains(status.id))) {
+            let digest = digest(status, u64::from(salt) | 1 << 40);
+            let child = &mut digests[prefix.child_index(status.id)];
+            *child = child.wrapping_add((digest ^ digest >> 32) as u32);
         }
-        Marks { part, salt, of }
+        ChildDigests { prefix, salt, digests }
     }
 }
--- a/crates/decide/nickelshed-fleet/tests/members.rs
+++ b/crates/decide/nickelshed-fleet/tests/members.rs
@@ -9,8 +9,8 @@
     SocketAddr::from(([127, 0, 0, number], 7_400))
 }
 
-fn member(number: u8, start: u32, seeds: &[u8], now: Ns) -> Fleet {
-    let facts = Facts {
+fn member(number: u8, start_number: u32, seeds: &[u8], now: Ns) -> Fleet {
+    let info = MemberInfo {
         name: format!("n{number}"),
         address: address(number),
         site: "wschod".into(),
@@ -18,54 +18,73 @@
         settings: 9,
     };
     let seeds = seeds.iter().map(|&s| address(s)).collect();
-    let seal = Seal::new("prognozy", b"key");
-    Fleet::new(Config { facts, start, seeds, seal, rate: 8_192, seed: u64::from(number) }, now)
+    let authenticator = Authenticator::new("prognozy", b"key");
+    Fleet::new(
+        Config {
+            info,
+            start_number,
+            seeds,
+            authenticator,
+            max_bytes_per_s: 8_192,
+            random_seed: u64::from(number),
+        },
+        now,
+    )
 }
 
 /// A few members on a network without delay.
-struct Few {
+struct TestNetwork {
     now: Ns,
     members: Vec<Fleet>,
     outputs: Vec<(usize, Output)>,
     /// All that was ever sent: to whom, from whom.
     sent: Vec<(SocketAddr, SocketAddr, Vec<u8>)>,
     /// Nothing reaches these, and nothing they send counts.
-    cut: Vec<usize>,
+    isolated: Vec<usize>,
     /// What the first sends the second is lost.
     lost: Vec<(usize, usize)>,
 }
 
-impl Few {
-    fn new(members: Vec<Fleet>) -> Few {
-        Few { now: 0, members, outputs: Vec::new(), sent: Vec::new(), cut: Vec::new(), lost: Vec::new() }
+impl TestNetwork {
+    fn new(members: Vec<Fleet>) -> TestNetwork {
+        TestNetwork {
+            now: 0,
+            members,
+            outputs: Vec::new(),
+            sent: Vec::new(),
+            isolated: Vec::new(),
+            lost: Vec::new(),
+        }
     }
 
-    fn run(&mut self, time: Ns) {
-        let end = self.now + time;
+    fn run(&mut self, duration: Ns) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += 10 * MS;
             for number in 0..self.members.len() {
-                if !self.cut.contains(&number) && self.members[number].wake_at() <= self.now {
-                    self.tell(number, None);
+                if !self.isolated.contains(&number) && self.members[number].wake_at() <= self.now {
+                    self.deliver(number, None);
                 }
             }
         }
     }
 
-    fn tell(&mut self, number: usize, datagram: Option<(SocketAddr, &[u8])>) {
+    fn deliver(&mut self, number: usize, datagram: Option<(SocketAddr, &[u8])>) {
         let mut out = Vec::new();
         let input = datagram.map_or(Input::Timer, |(from, bytes)| Input::Datagram { from, bytes });
         self.members[number].handle(self.now, input, &mut out);
-        let own = self.members[number].own().1.address;
+        let own = self.members[number].local_member().1.address;
         for output in out {
             if let Output::Send { to, bytes } = output {
                 self.sent.push((to, own, bytes.clone()));
-                let there = self.members.iter().position(|m| m.own().1.address == to);
-                let reaches = |t: &usize| {
-                    !self.cut.contains(t) && !self.cut.contains(&number) && !self.lost.contains(&(number, *t))
+                let receiver = self.members.iter().position(|member| member.local_member().1.address == to);
+                let reaches = |index: &usize| {
+                    !self.isolated.contains(index)
+                        && !self.isolated.contains(&number)
+                        && !self.lost.contains(&(number, *index))
                 };
-                if let Some(there) = there.filter(reaches) {
-                    self.tell(there, Some((own, &bytes)));
+                if let Some(receiver) = receiver.filter(reaches) {
+                    self.deliver(receiver, Some((own, &bytes)));
                 }
             } else {
                 self.outputs.push((number, output));
@@ -73,218 +92,247 @@
         }
     }
 
-    fn state(&self, of: usize, by: usize) -> Option<State> {
-        let id = self.members[of].own().0.id;
-        self.members[by].members().find(|m| m.claim.id == id).map(|m| m.claim.state)
+    fn state(&self, subject: usize, observer: usize) -> Option<State> {
+        let id = self.members[subject].local_member().0.id;
+        self.members[observer]
+            .members()
+            .find(|member| member.status.id == id)
+            .map(|member| member.status.state)
     }
 
-    fn changes(&self, by: usize) -> Vec<Change> {
-        let of = |(n, o): &(usize, Output)| match o {
-            Output::Changed { change, .. } if *n == by => Some(*change),
+    fn changes(&self, observer: usize) -> Vec<Change> {
+        let matching = |(member_index, output): &(usize, Output)| match output {
+            Output::Changed { change, .. } if *member_index == observer => Some(*change),
             _ => None,
         };
-        self.outputs.iter().filter_map(of).collect()
+        self.outputs.iter().filter_map(matching).collect()
     }
 }
 
-fn three() -> Few {
-    let mut few = Few::new(vec![member(1, 1, &[2], 0), member(2, 1, &[1], 0), member(3, 1, &[1], 0)]);
-    few.run(5 * SECOND);
-    few
+fn three_members() -> TestNetwork {
+    let mut network =
+        TestNetwork::new(vec![member(1, 1, &[2], 0), member(2, 1, &[1], 0), member(3, 1, &[1], 0)]);
+    network.run(5 * SECOND);
+    network
 }
 
 #[test]
-fn members_meet_over_a_seed_and_hold_one_view() {
-    let few = three();
-    for by in 0..3 {
-        assert_eq!(few.members[by].present(), 3);
-        assert_eq!(few.members[by].root(), few.members[0].root());
-        assert_eq!(few.members[by].agreement(), (2, 2));
-        assert!(!few.members[by].doubts_itself());
+fn members_join_through_a_seed_and_agree_on_one_view() {
+    let network = three_members();
+    for observer in 0..3 {
+        assert_eq!(network.members[observer].present_count(), 3);
+        assert_eq!(network.members[observer].view_digest(), network.members[0].view_digest());
+        assert_eq!(network.members[observer].agreement(), (2, 2));
+        assert!(!network.members[observer].is_local_health_degraded());
     }
 }
 
 #[test]
-fn seeds_that_name_oneself_or_nobody_leave_a_member_alone_and_well() {
-    let mut few = Few::new(vec![member(1, 1, &[1, 9], 0)]);
-    few.run(6 * SECOND);
-    assert_eq!(few.members[0].present(), 1);
-    assert_eq!(few.members[0].own().0.state, State::Alive);
-    assert!(few.sent.iter().all(|(to, ..)| *to == address(9)));
+fn member_with_only_own_or_unused_seed_addresses_becomes_alive_alone() {
+    let mut network = TestNetwork::new(vec![member(1, 1, &[1, 9], 0)]);
+    network.run(6 * SECOND);
+    assert_eq!(network.members[0].present_count(), 1);
+    assert_eq!(network.members[0].local_member().0.state, State::Alive);
+    assert!(network.sent.iter().all(|(to, ..)| *to == address(9)));
 }
 
 #[test]
-fn one_that_is_silent_is_suspect_then_gone_and_is_found_again() {
-    let mut few = three();
-    few.cut = vec![2];
-    few.run(SECOND);
-    assert_eq!(few.state(2, 0), Some(State::Suspect));
-    few.run(6 * SECOND);
-    assert_eq!((few.state(2, 0), few.state(2, 1)), (Some(State::Gone), Some(State::Gone)));
-    assert!(few.changes(0).ends_with(&[Change::Suspected, Change::Gone]));
-    few.cut.clear();
-    few.members[2].handle(few.now, Input::Timer, &mut Vec::new());
-    few.run(4 * SECOND);
-    assert_eq!((few.state(2, 0), few.state(0, 2)), (Some(State::Alive), Some(State::Alive)));
-    assert!(few.members[2].own().0.incarnation.word > 0, "it has refuted that it is gone");
+fn silent_member_is_suspected_then_failed_and_recovers() {
+    let mut network = three_members();
+    network.isolated = vec![2];
+    network.run(SECOND);
+    assert_eq!(network.state(2, 0), Some(State::Suspect));
+    network.run(6 * SECOND);
+    assert_eq!((network.state(2, 0), network.state(2, 1)), (Some(State::Failed), Some(State::Failed)));
+    assert!(network.changes(0).ends_with(&[Change::Suspected, Change::Gone]));
+    network.isolated.clear();
+    network.members[2].handle(network.now, Input::Timer, &mut Vec::new());
+    network.run(4 * SECOND);
+    assert_eq!((network.state(2, 0), network.state(0, 2)), (Some(State::Alive), Some(State::Alive)));
+    assert!(network.members[2].local_member().0.incarnation.number > 0, "it has refuted that it is gone");
 }
 
 /// It can't be told that it is doubted, and so says nothing of it; but it is heard.
 #[test]
-fn a_suspect_that_is_heard_is_not_taken_for_gone() {
-    let mut few = Few::new(vec![member(1, 1, &[2], 0), member(2, 1, &[1], 0)]);
-    few.run(5 * SECOND);
-    few.cut = vec![1];
-    few.run(SECOND);
-    assert_eq!(few.state(1, 0), Some(State::Suspect));
-    (few.cut, few.lost) = (Vec::new(), vec![(0, 1)]);
-    few.members[1].handle(few.now, Input::Timer, &mut Vec::new());
-    few.run(10 * SECOND);
-    assert_eq!(few.state(1, 0), Some(State::Suspect));
-    few.lost.clear();
-    few.run(3 * SECOND);
-    assert_eq!(few.state(1, 0), Some(State::Alive));
+fn suspect_whose_datagrams_arrive_is_not_declared_failed() {
+    let mut network = TestNetwork::new(vec![member(1, 1, &[2], 0), member(2, 1, &[1], 0)]);
+    network.run(5 * SECOND);
+    network.isolated = vec![1];
+    network.run(SECOND);
+    assert_eq!(network.state(1, 0), Some(State::Suspect));
+    (network.isolated, network.lost) = (Vec::new(), vec![(0, 1)]);
+    network.members[1].handle(network.now, Input::Timer, &mut Vec::new());
+    network.run(10 * SECOND);
+    assert_eq!(network.state(1, 0), Some(State::Suspect));
+    network.lost.clear();
+    network.run(3 * SECOND);
+    assert_eq!(network.state(1, 0), Some(State::Alive));
 }
 
 /// Its part may be in use on the other side of a cut, and it may be back where only the new one asks.
 #[test]
-fn one_that_joins_later_learns_of_those_that_are_gone() {
-    let mut few = three();
-    few.cut = vec![2];
-    few.run(8 * SECOND);
-    few.members.push(member(4, 1, &[1], few.now));
-    few.run(5 * SECOND);
-    assert_eq!(few.state(2, 3), Some(State::Gone));
-    assert!(!few.changes(3).contains(&Change::Gone), "it has seen nobody go");
+fn late_joiner_learns_of_failed_members() {
+    let mut network = three_members();
+    network.isolated = vec![2];
+    network.run(8 * SECOND);
+    network.members.push(member(4, 1, &[1], network.now));
+    network.run(5 * SECOND);
+    assert_eq!(network.state(2, 3), Some(State::Failed));
+    assert!(!network.changes(3).contains(&Change::Gone), "it has seen nobody go");
 }
 
 /// Two that can't reach one another ask over the third.
 #[test]
-fn two_that_cannot_reach_one_another_are_not_even_suspect_while_another_reaches_both() {
-    let mut few = three();
-    few.lost = vec![(0, 1), (1, 0)];
-    few.run(20 * SECOND);
-    assert!((0..3).all(|by| !few.changes(by).contains(&Change::Suspected)));
+fn broken_link_raises_no_suspicion_while_a_third_member_reaches_both_ends() {
+    let mut network = three_members();
+    network.lost = vec![(0, 1), (1, 0)];
+    network.run(20 * SECOND);
+    assert!((0..3).all(|observer| !network.changes(observer).contains(&Change::Suspected)));
 }
 
 #[test]
-fn what_was_sent_by_a_life_that_is_over_brings_nobody_back() {
-    let mut few = three();
-    let old: Vec<_> = few.sent.iter().filter(|(_, from, _)| *from == address(3)).cloned().collect();
-    few.cut = vec![2];
-    few.run(8 * SECOND);
-    assert_eq!(few.state(2, 0), Some(State::Gone));
-    let before = few.changes(0).len();
+fn replayed_datagrams_do_not_revive_a_failed_member() {
+    let mut network = three_members();
+    let old: Vec<_> = network.sent.iter().filter(|(_, from, _)| *from == address(3)).cloned().collect();
+    network.isolated = vec![2];
+    network.run(8 * SECOND);
+    assert_eq!(network.state(2, 0), Some(State::Failed));
+    let before = network.changes(0).len();
     for (to, from, bytes) in old {
         let reader = usize::from(to == address(2));
-        few.tell(reader, Some((from, &bytes)));
+        network.deliver(reader, Some((from, &bytes)));
     }
-    assert_eq!((few.state(2, 0), few.state(2, 1)), (Some(State::Gone), Some(State::Gone)));
-    assert_eq!(few.changes(0).len(), before);
+    assert_eq!((network.state(2, 0), network.state(2, 1)), (Some(State::Failed), Some(State::Failed)));
+    assert_eq!(network.changes(0).len(), before);
 }
 
 #[test]
-fn one_that_ends_on_purpose_is_left_at_once_and_doubted_by_nobody() {
-    let mut few = three();
+fn leaving_member_is_marked_left_at_once_and_never_suspected() {
+    let mut network = three_members();
     let mut out = Vec::new();
-    few.members[1].handle(few.now, Input::Leave, &mut out);
+    network.members[1].handle(network.now, Input::Leave, &mut out);
     for output in out {
         if let Output::Send { to, bytes } = output {
-            let there = usize::from(to == address(3)) * 2;
-            few.tell(there, Some((address(2), &bytes)));
+            let receiver = usize::from(to == address(3)) * 2;
+            network.deliver(receiver, Some((address(2), &bytes)));
         }
     }
-    few.cut = vec![1];
-    few.run(5 * SECOND);
-    assert_eq!((few.state(1, 0), few.state(1, 2)), (Some(State::Left), Some(State::Left)));
-    assert!(!few.changes(0).contains(&Change::Suspected));
-    assert_eq!(few.members[1].wake_at(), Ns::MAX);
+    network.isolated = vec![1];
+    network.run(5 * SECOND);
+    assert_eq!((network.state(1, 0), network.state(1, 2)), (Some(State::Left), Some(State::Left)));
+    assert!(!network.changes(0).contains(&Change::Suspected));
+    assert_eq!(network.members[1].wake_at(), Ns::MAX);
 }
 
 #[test]
-fn a_new_life_with_its_folder_lost_wins_over_its_old_one() {
-    let mut few = three();
-    few.members[2] = member(3, 9, &[1], few.now);
-    few.run(3 * SECOND);
+fn restart_with_a_lost_state_folder_supersedes_the_earlier_run() {
+    let mut network = three_members();
+    network.members[2] = member(3, 9, &[1], network.now);
+    network.run(3 * SECOND);
     // Started as one that has never been: its folder is gone.
-    few.members[2] = member(3, 1, &[1], few.now);
-    few.run(5 * SECOND);
-    assert_eq!(few.state(2, 0), Some(State::Alive));
-    assert_eq!(few.members[2].own().0.incarnation.start, 10);
-    assert!(few.outputs.contains(&(2, Output::Keep { start: 10 })), "and it is to be kept");
+    network.members[2] = member(3, 1, &[1], network.now);
+    network.run(5 * SECOND);
+    assert_eq!(network.state(2, 0), Some(State::Alive));
+    assert_eq!(network.members[2].local_member().0.incarnation.start_number, 10);
+    assert!(network.outputs.contains(&(2, Output::Persist { start_number: 10 })), "and it is to be kept");
 }
 
 #[test]
-fn of_two_processes_with_one_name_the_earlier_one_falls_silent_and_says_so() {
-    let mut few = three();
-    few.run(10 * SECOND);
-    let now = few.now;
-    let mut double = member(3, 1, &[1], now);
+fn earlier_of_two_processes_with_one_name_reports_a_conflict_and_goes_silent() {
+    let mut network = three_members();
+    network.run(10 * SECOND);
+    let now = network.now;
+    let mut duplicate = member(3, 1, &[1], now);
     // The same name at another address.
-    let facts = Facts { address: address(9), ..double.own().1.clone() };
-    let seal = Seal::new("prognozy", b"key");
-    double =
-        Fleet::new(Config { facts, start: 2, seeds: vec![address(1)], seal, rate: 8_192, seed: 77 }, now);
-    few.members.push(double);
-    few.run(5 * SECOND);
-    assert!(few.members[2].is_ousted() && !few.members[3].is_ousted());
-    assert!(few.outputs.iter().any(|(n, o)| *n == 2 && matches!(o, Output::NameTaken { .. })));
-    assert_eq!(few.members[0].present(), 3);
+    let info = MemberInfo { address: address(9), ..duplicate.local_member().1.clone() };
+    let authenticator = Authenticator::new("prognozy", b"key");
+    duplicate = Fleet::new(
+        Config {
+            info,
+            start_number: 2,
+            seeds: vec![address(1)],
+            authenticator,
+            max_bytes_per_s: 8_192,
+            random_seed: 77,
+        },
+        now,
+    );
+    network.members.push(duplicate);
+    network.run(5 * SECOND);
+    assert!(network.members[2].is_inactive() && !network.members[3].is_inactive());
+    assert!(network.outputs.iter().any(|(n, o)| *n == 2 && matches!(o, Output::NameConflict { .. })));
+    assert_eq!(network.members[0].present_count(), 3);
 }
 
 #[test]
-fn one_that_stood_still_declares_nobody_gone_and_doubts_itself() {
-    let mut few = three();
-    few.cut = vec![0];
-    few.run(30 * SECOND);
-    few.cut.clear();
-    assert_eq!(few.state(0, 1), Some(State::Gone));
-    few.tell(0, None);
-    assert!(few.members[0].doubts_itself());
-    assert!(few.outputs.iter().any(|(n, o)| *n == 0 && matches!(o, Output::StoodStill { .. })));
-    few.run(5 * SECOND);
-    assert!(!few.changes(0).contains(&Change::Gone));
-    assert!(!few.members[0].doubts_itself());
-    assert_eq!((few.state(0, 1), few.state(1, 0)), (Some(State::Alive), Some(State::Alive)));
+fn stalled_member_declares_no_failure_and_reports_degraded_local_health() {
+    let mut network = three_members();
+    network.isolated = vec![0];
+    network.run(30 * SECOND);
+    network.isolated.clear();
+    assert_eq!(network.state(0, 1), Some(State::Failed));
+    network.deliver(0, None);
+    assert!(network.members[0].is_local_health_degraded());
+    assert!(network.outputs.iter().any(|(n, o)| *n == 0 && matches!(o, Output::Stalled { .. })));
+    network.run(5 * SECOND);
+    assert!(!network.changes(0).contains(&Change::Gone));
+    assert!(!network.members[0].is_local_health_degraded());
+    assert_eq!((network.state(0, 1), network.state(1, 0)), (Some(State::Alive), Some(State::Alive)));
 }
 
 #[test]
-fn an_answer_of_another_at_that_address_is_none() {
-    let mut few = three();
+fn ack_from_another_member_at_the_same_address_does_not_count() {
+    let mut network = three_members();
     // n3 is dead, and n4 has its address.
-    let facts = Facts { address: address(3), ..member(4, 1, &[], 0).own().1.clone() };
-    let seal = Seal::new("prognozy", b"key");
-    few.members[2] =
-        Fleet::new(Config { facts, start: 1, seeds: vec![address(1)], seal, rate: 8_192, seed: 4 }, few.now);
-    few.run(8 * SECOND);
-    let old = few.members[0].members().find(|m| m.facts.name == "n3").map(|m| m.claim.state);
-    assert_eq!(old, Some(State::Gone));
-    assert_eq!(few.state(2, 0), Some(State::Alive));
+    let info = MemberInfo { address: address(3), ..member(4, 1, &[], 0).local_member().1.clone() };
+    let authenticator = Authenticator::new("prognozy", b"key");
+    network.members[2] = Fleet::new(
+        Config {
+            info,
+            start_number: 1,
+            seeds: vec![address(1)],
+            authenticator,
+            max_bytes_per_s: 8_192,
+            random_seed: 4,
+        },
+        network.now,
+    );
+    network.run(8 * SECOND);
+    let old = network.members[0]
+        .members()
+        .find(|member| member.info.name == "n3")
+        .map(|member| member.status.state);
+    assert_eq!(old, Some(State::Failed));
+    assert_eq!(network.state(2, 0), Some(State::Alive));
 }
 
 #[test]
-fn other_settings_are_another_life_that_is_kept_and_told() {
-    let mut few = three();
+fn new_settings_start_an_incarnation_that_is_persisted_and_gossiped() {
+    let mut network = three_members();
     let mut out = Vec::new();
-    few.members[1].handle(few.now, Input::Settings(10), &mut out);
-    assert!(out.contains(&Output::Keep { start: 2 }));
-    few.run(3 * SECOND);
-    let seen = few.members[0].members().find(|m| m.facts.name == "n2").unwrap();
-    assert_eq!((seen.facts.settings, seen.claim.incarnation.start), (10, 2));
+    network.members[1].handle(network.now, Input::Settings(10), &mut out);
+    assert!(out.contains(&Output::Persist { start_number: 2 }));
+    network.run(3 * SECOND);
+    let member = network.members[0].members().find(|member| member.info.name == "n2").unwrap();
+    assert_eq!((member.info.settings, member.status.incarnation.start_number), (10, 2));
 }
 
 /// Sends what an observer asks, and brings it the answers, until it is told all or has asked so often.
-fn observe(few: &mut Few, of: usize, most: usize) -> Observer {
-    let mut observer = Observer::new(Seal::new("prognozy", b"key"), 5);
-    for _ in 0..most {
-        let mut asks = observer.ask().to_vec();
-        while let Some(bytes) = asks.pop() {
+fn observe(network: &mut TestNetwork, number: usize, max_rounds: usize) -> Observer {
+    let mut observer = Observer::new(Authenticator::new("prognozy", b"key"), 5);
+    for _ in 0..max_rounds {
+        let mut requests = observer.requests().to_vec();
+        while let Some(bytes) = requests.pop() {
             let mut out = Vec::new();
-            few.members[of].handle(few.now, Input::Datagram { from: address(200), bytes: &bytes }, &mut out);
+            network.members[number].handle(
+                network.now,
+                Input::Datagram { from: address(200), bytes: &bytes },
+                &mut out,
+            );
             for output in out {
                 if let Output::Send { to, bytes } = output {
                     if to == address(200) {
-                        asks.extend(observer.hear(&bytes).unwrap());
+                        requests.extend(observer.receive(&bytes).unwrap());
                     }
                 }
             }
@@ -292,45 +340,48 @@
         if observer.is_complete() {
             return observer;
         }
-        few.run(SECOND);
+        network.run(SECOND);
     }
     observer
 }
 
 #[test]
-fn an_observer_is_told_a_whole_view_and_counts_nowhere() {
-    let mut few = Few::new((1..=60).map(|n| member(n, 1, &[1, 2], 0)).collect());
-    few.run(20 * SECOND);
-    few.cut = vec![7];
-    few.run(10 * SECOND);
-    let (before, root) = (few.members[0].present(), few.members[0].root());
-    let observer = observe(&mut few, 0, 30);
+fn observer_receives_the_whole_view_without_joining_it() {
+    let mut network = TestNetwork::new((1..=60).map(|n| member(n, 1, &[1, 2], 0)).collect());
+    network.run(20 * SECOND);
+    network.isolated = vec![7];
+    network.run(10 * SECOND);
+    let (before, view_digest) = (network.members[0].present_count(), network.members[0].view_digest());
+    let observer = observe(&mut network, 0, 30);
     assert!(observer.is_complete());
-    assert_eq!(observer.root(), Some(root));
-    let told = observer.told();
-    assert_eq!(told.len(), 60);
-    let gone: Vec<&str> =
-        told.iter().filter(|t| t.claim.state == State::Gone).map(|t| t.facts.name.as_str()).collect();
-    assert_eq!(gone, ["n8"]);
-    few.run(3 * SECOND);
-    assert_eq!((few.members[0].present(), few.members[0].root()), (before, root));
+    assert_eq!(observer.view_digest(), Some(view_digest));
+    let reported = observer.members();
+    assert_eq!(reported.len(), 60);
+    let failed: Vec<&str> = reported
+        .iter()
+        .filter(|reported| reported.status.state == State::Failed)
+        .map(|reported| reported.info.name.as_str())
+        .collect();
+    assert_eq!(failed, ["n8"]);
+    network.run(3 * SECOND);
+    assert_eq!((network.members[0].present_count(), network.members[0].view_digest()), (before, view_digest));
 }
 
 #[test]
-fn a_flood_of_asks_is_answered_up_to_the_budget() {
-    let mut few = three();
-    let ping = few.sent.iter().find(|(to, ..)| *to == address(1)).cloned().unwrap();
-    let before = few.members[0].counts();
+fn ping_flood_is_answered_up_to_the_budget() {
+    let mut network = three_members();
+    let ping = network.sent.iter().find(|(to, ..)| *to == address(1)).cloned().unwrap();
+    let before = network.members[0].counts();
     for ms in 0..5_000 {
-        few.now += MS;
+        network.now += MS;
         if ms % 10 == 0 {
             for number in 0..3 {
-                few.tell(number, None);
+                network.deliver(number, None);
             }
         }
-        few.tell(0, Some((address(9), &ping.2)));
+        network.deliver(0, Some((address(9), &ping.2)));
     }
-    let bytes = few.members[0].counts().sent_bytes - before.sent_bytes;
+    let bytes = network.members[0].counts().sent_bytes - before.sent_bytes;
     assert!(bytes <= 6 * 8_192, "{bytes} bytes in 5 s");
-    assert_eq!(few.members[1].present(), 3, "and nobody is taken for gone over it");
+    assert_eq!(network.members[1].present_count(), 3, "and nobody is taken for gone over it");
 }
--- a/crates/proof/nickelshed-rig/src/lib.rs
+++ b/crates/proof/nickelshed-rig/src/lib.rs
@@ -7,6 +7,6 @@
 pub mod script;
 mod truth;
 
-pub use play::{play, Day};
+pub use play::{simulate, RunReport};
 pub use relay::Relay;
 pub use script::Script;
--- a/crates/proof/nickelshed-rig/src/main.rs
+++ b/crates/proof/nickelshed-rig/src/main.rs
@@ -1,8 +1,8 @@
 //! The program `nickelshed-rig`: plays scripts and prints what members believed, and makes the tables of many days.
 use clap::{Parser, Subcommand};
 use nickelshed_config::units::Period;
-use nickelshed_rig::measure::{many, quantile, script, settled, Event};
-use nickelshed_rig::{play, Day, Script};
+use nickelshed_rig::measure::{convergence_seconds, quantile, simulate_seeds, single_event_script, Event};
+use nickelshed_rig::{simulate, RunReport, Script};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -48,8 +48,8 @@
         #[arg(long, default_value_t = 20.0)]
         lost: f64,
         /// Days of ten minutes
-        #[arg(long, default_value_t = 600)]
-        days: u64,
+        #[arg(long = "days", value_name = "DAYS", default_value_t = 600)]
+        runs: u64,
     },
     /// Print what each member sends, by the fleet's size
     Cost {
@@ -59,7 +59,7 @@
 }
 
 fn jobs() -> usize {
-    std::thread::available_parallelism().map_or(1, |n| n.get())
+    std::thread::available_parallelism().map_or(1, |threads| threads.get())
 }
 
 fn mean(values: impl IntoIterator<Item = f64>) -> f64 {
@@ -67,42 +67,50 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-fn print(day: &Day, changes: bool) {
-    for (at, took) in &day.settled {
+fn print_report(report: &RunReport, changes: bool) {
+    for (at, duration) in &report.convergence {
         let at = *at as f64 / 1e9;
-        match took {
-            Some(took) => println!("  from {at:.2} s on: all views right after {:.2} s", *took as f64 / 1e9),
+        match duration {
+            Some(duration) => {
+                println!("  from {at:.2} s on: all views right after {:.2} s", *duration as f64 / 1e9)
+            }
             None => println!("  from {at:.2} s on: not settled before the next fault"),
         }
     }
-    let most = |v: &[f64]| v.iter().copied().fold(0.0, f64::max);
+    let max = |values: &[f64]| values.iter().copied().fold(0.0, f64::max);
     println!(
         "  datagrams a second {:.1} (most {:.1}), bytes {:.0} (most {:.0}); dropped {}",
-        mean(day.datagrams.clone()),
-        most(&day.datagrams),
-        mean(day.bytes.clone()),
-        most(&day.bytes),
-        day.dropped
+        mean(report.datagrams_per_s.clone()),
+        max(&report.datagrams_per_s),
+        mean(report.bytes_per_s.clone()),
+        max(&report.bytes_per_s),
+        report.dropped
     );
     println!(
         "  parts add up to {:.3} at most, at {:.2} s; wrongly gone {}, verdicts {}, names taken {}",
-        day.most_parts.0,
-        day.most_parts.1 as f64 / 1e9,
-        day.wrongly_gone(),
-        day.verdicts,
-        day.names_taken
+        report.max_total_share.0,
+        report.max_total_share.1 as f64 / 1e9,
+        report.false_failures(),
+        report.failures_declared,
+        report.name_conflicts
     );
-    for s in day.seeings.iter().filter(|_| changes) {
-        let wrongly = if s.wrongly { ", wrongly" } else { "" };
-        println!("  {:.3} s n{}: {} {:?}{wrongly}", s.at as f64 / 1e9, s.by, s.of, s.change);
+    for observation in report.observations.iter().filter(|_| changes) {
+        let suffix = if observation.is_false { ", wrongly" } else { "" };
+        println!(
+            "  {:.3} s n{}: {} {:?}{suffix}",
+            observation.at as f64 / 1e9,
+            observation.observer,
+            observation.subject,
+            observation.change
+        );
     }
 }
 
 fn run(scripts: &[PathBuf], seed: Option<u64>, changes: bool) -> ExitCode {
-    let mut wrong = false;
+    let mut any_mismatch = false;
     for path in scripts {
-        let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
-        let mut script = match text.and_then(|t| Script::read(&t)) {
+        let text = std::fs::read_to_string(path).map_err(|error| error.to_string());
+        let mut script = match text.and_then(|text| Script::parse(&text)) {
             Ok(script) => script,
             Err(error) => {
                 eprintln!("{}: {error}", path.display());
@@ -110,38 +118,38 @@
             }
         };
         script.seed = seed.unwrap_or(script.seed);
-        let day = play(&script);
+        let report = simulate(&script);
         println!("{}, seed {}: {} members, {}", path.display(), script.seed, script.members, script.length);
-        print(&day, changes);
-        if let Some(words) = &day.wrong {
-            println!("  WRONG at the end: {words}");
-            wrong = true;
+        print_report(&report, changes);
+        if let Some(mismatch) = &report.final_mismatch {
+            println!("  WRONG at the end: {mismatch}");
+            any_mismatch = true;
         }
     }
-    ExitCode::from(u8::from(wrong))
+    ExitCode::from(u8::from(any_mismatch))
 }
 
 fn settle(members: &[usize], lost: &[f64], seeds: u64) {
     println!("| members | lost | event | p50 | p99 | most | not settled |\n| --- | --- | --- | --- | --- | --- | --- |");
-    for &n in members {
+    for &member_count in members {
         for &lost in lost {
             for event in [Event::Join, Event::Crash, Event::Healed] {
-                let days = many(seeds, jobs(), |seed| {
-                    script(
-                        n,
+                let reports = simulate_seeds(seeds, jobs(), |seed| {
+                    single_event_script(
+                        member_count,
                         lost / 100.0,
                         event,
                         seed,
                         Period::ms(if event == Event::Healed { 90_000 } else { 60_000 }),
                     )
                 });
-                let mut took: Vec<f64> = days.iter().filter_map(settled).collect();
-                took.sort_by(f64::total_cmp);
-                let (p50, p99, most) = (quantile(&took, 0.5), quantile(&took, 0.99), quantile(&took, 1.0));
-                let not = days.len() - took.len();
+                let mut times: Vec<f64> = reports.iter().filter_map(convergence_seconds).collect();
+                times.sort_by(f64::total_cmp);
+                let (p50, p99, max) = (quantile(&times, 0.5), quantile(&times, 0.99), quantile(&times, 1.0));
+                let unsettled = reports.len() - times.len();
                 println!(
-                    "| {n} | {lost}% | {event:?} | {p50:.2} s | {p99:.2} s | {most:.2} s | {not} of {} |",
-                    days.len()
+                    "| {member_count} | {lost}% | {event:?} | {p50:.2} s | {p99:.2} s | {max:.2} s | {unsettled} of {} |",
+                    reports.len()
                 );
             }
         }
@@ -152,24 +160,31 @@
     match Arguments::parse().command {
         Command::Run { scripts, seed, changes } => return run(&scripts, seed, changes),
         Command::Settle { members, lost, seeds } => settle(&members, &lost, seeds),
-        Command::Loss { members, lost, days } => {
-            let days = many(days, jobs(), |seed| {
-                script(members, lost / 100.0, Event::Nothing, seed, Period::ms(600_000))
+        Command::Loss { members, lost, runs } => {
+            let reports = simulate_seeds(runs, jobs(), |seed| {
+                single_event_script(members, lost / 100.0, Event::NoFault, seed, Period::ms(600_000))
             });
-            let wrongly: usize = days.iter().map(Day::wrongly_gone).sum();
-            let suspected = days.iter().flat_map(|d| &d.seeings);
-            let suspected = suspected.filter(|s| s.change == nickelshed_fleet::Change::Suspected).count();
+            let false_failures: usize = reports.iter().map(RunReport::false_failures).sum();
+            let suspected = reports.iter().flat_map(|report| &report.observations);
+            let suspected = suspected
+                .filter(|observation| observation.change == nickelshed_fleet::Change::Suspected)
+                .count();
             println!(
-                "{:.1} hours of {members} members, {lost}% lost: {wrongly} times one that was there was taken for gone, {suspected} times one was held suspect",
-                days.len() as f64 / 6.0
+                "{:.1} hours of {members} members, {lost}% lost: {false_failures} times one that was there was taken for gone, {suspected} times one was held suspect",
+                reports.len() as f64 / 6.0
             );
         }
         Command::Cost { members } => {
             println!("| members | datagrams a second | bytes a second |\n| --- | --- | --- |");
-            for n in members {
+            for member_count in members {
                 // What settling costs at the start is left out: only the later part of the day is long.
-                let day = play(&script(n, 0.0, Event::Nothing, 1, Period::ms(300_000)));
-                println!("| {n} | {:.1} | {:.0} |", mean(day.datagrams.clone()), mean(day.bytes.clone()));
+                let report =
+                    simulate(&single_event_script(member_count, 0.0, Event::NoFault, 1, Period::ms(300_000)));
+                println!(
+                    "| {member_count} | {:.1} | {:.0} |",
+                    mean(report.datagrams_per_s.clone()),
+                    mean(report.bytes_per_s.clone())
+                );
             }
         }
     }
--- a/crates/proof/nickelshed-rig/src/play.rs
+++ b/crates/proof/nickelshed-rig/src/play.rs
@@ -1,9 +1,9 @@
 //! A script played by members in virtual time: a network that loses, delays, repeats and cuts, and processes that are
 //! stopped, killed and started again. The same script and seed give the same day.
-use crate::script::{Fault, Kind, Script};
-use crate::truth::Truth;
-use nickelshed_fleet::parts::Parts;
-use nickelshed_fleet::{Change, Config, Counts, Facts, Fleet, Input, Ns, Output, Random, Seal};
+use crate::script::{Fault, FaultKind, Script};
+use crate::truth::GroundTruth;
+use nickelshed_fleet::parts::LimitQuota;
+use nickelshed_fleet::{Authenticator, Change, Config, Counts, Fleet, Input, MemberInfo, Ns, Output, Random};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
@@ -11,423 +11,431 @@
 pub const MS: Ns = 1_000_000;
 pub const SECOND: Ns = 1_000 * MS;
 /// What each may send, in bytes a second.
-pub const RATE: u32 = 8_192;
+pub const RATE_BYTES_PER_S: u32 = 8_192;
 /// Datagrams that wait for a process that stands still.
 const SOCKET_BUFFER: usize = 400;
 /// How often it is looked whether all views are right.
-const LOOK: Ns = 50 * MS;
+const CHECK_INTERVAL: Ns = 50 * MS;
 
 /// One member's machine.
-struct Machine {
+struct SimulatedMember {
     name: String,
     address: SocketAddr,
     site: usize,
     /// The start that its folder holds.
-    kept: u32,
+    persisted_start: u32,
     fleet: Option<Fleet>,
-    parts: Parts,
-    part: f64,
-    stopped_until: Ns,
-    waiting: Vec<(SocketAddr, Vec<u8>)>,
-    wakes: Ns,
+    quota: LimitQuota,
+    share: f64,
+    stalled_until: Ns,
+    socket_queue: Vec<(SocketAddr, Vec<u8>)>,
+    timer_at: Ns,
     /// Counts of its processes that have ended.
-    before: Counts,
-    ran_since: Ns,
-    ran: Ns,
+    past_counts: Counts,
+    running_since: Ns,
+    run_time: Ns,
 }
 
-enum What {
-    Arrives { from: SocketAddr, to: SocketAddr, bytes: Vec<u8> },
-    Wake { machine: usize, at: Ns },
-    Continue(usize),
-    Begin(usize),
-    End(usize),
-    Look,
+enum SimEvent {
+    Arrival { from: SocketAddr, to: SocketAddr, bytes: Vec<u8> },
+    Timer { member: usize, at: Ns },
+    Resume(usize),
+    FaultStart(usize),
+    FaultEnd(usize),
+    Check,
     Flood(usize),
 }
 
 /// A change that a member saw in its view.
 #[derive(Clone, Debug)]
-pub struct Seeing {
+pub struct Observation {
     pub at: Ns,
-    pub by: usize,
-    pub of: String,
+    pub observer: usize,
+    pub subject: String,
     pub change: Change,
     /// Whether the other ran and could be reached then, and had for some seconds.
-    pub wrongly: bool,
+    pub is_false: bool,
 }
 
 /// What a day came to.
 #[derive(Clone, Debug, Default)]
-pub struct Day {
-    pub seeings: Vec<Seeing>,
+pub struct RunReport {
+    pub observations: Vec<Observation>,
     /// For each moment at which something began or ended, how long until all views were right, if they ever were before
     /// the next one.
-    pub settled: Vec<(Ns, Option<Ns>)>,
+    pub convergence: Vec<(Ns, Option<Ns>)>,
     /// The most that the parts of running members added up to, and when.
-    pub most_parts: (f64, Ns),
+    pub max_total_share: (f64, Ns),
     /// The sum of parts at each second.
-    pub parts: Vec<f64>,
+    pub total_shares: Vec<f64>,
     /// Datagrams and bytes a second that each member sent while it ran.
-    pub datagrams: Vec<f64>,
-    pub bytes: Vec<f64>,
+    pub datagrams_per_s: Vec<f64>,
+    pub bytes_per_s: Vec<f64>,
     pub dropped: u64,
-    pub names_taken: usize,
-    pub verdicts: u64,
+    pub name_conflicts: usize,
+    pub failures_declared: u64,
     /// What is still wrong at the end, in words.
-    pub wrong: Option<String>,
+    pub final_mismatch: Option<String>,
 }
 
-impl Day {
+impl RunReport {
     /// Members that were declared gone though they ran and could be reached.
     #[must_use]
-    pub fn wrongly_gone(&self) -> usize {
-        self.seeings.iter().filter(|s| s.change == Change::Gone && s.wrongly).count()
+    pub fn false_failures(&self) -> usize {
+        self.observations.iter().filter(|s| s.change == Change::Gone && s.is_false).count()
     }
 }
 
-struct Play<'a> {
+struct Simulation<'a> {
     script: &'a Script,
     random: Random,
     now: Ns,
-    tie: u64,
+    next_tie_break: u64,
     queue: BinaryHeap<Reverse<(Ns, u64, usize)>>,
-    whats: BTreeMap<usize, What>,
-    next_what: usize,
-    machines: Vec<Machine>,
-    at: BTreeMap<SocketAddr, usize>,
-    truth: Truth,
-    day: Day,
+    pending_events: BTreeMap<usize, SimEvent>,
+    next_event_key: usize,
+    members: Vec<SimulatedMember>,
+    member_at: BTreeMap<SocketAddr, usize>,
+    ground_truth: GroundTruth,
+    report: RunReport,
     /// Since when something is not settled.
-    unsettled: Option<Ns>,
-    room: f64,
+    unconverged_since: Option<Ns>,
+    headroom: f64,
 }
 
 fn address(number: usize) -> SocketAddr {
     SocketAddr::from(([127, 5, (number / 250) as u8, (number % 250) as u8 + 1], 7_400))
 }
 
-fn seal() -> Seal {
-    Seal::new("rig", b"a key for tests only")
+fn authenticator() -> Authenticator {
+    Authenticator::new("rig", b"a key for tests only")
 }
 
 /// Plays a script to its end.
 #[must_use]
-pub fn play(script: &Script) -> Day {
-    let mut play = Play {
+pub fn simulate(script: &Script) -> RunReport {
+    let mut simulation = Simulation {
         script,
         random: Random::new(script.seed),
         now: 0,
-        tie: 0,
+        next_tie_break: 0,
         queue: BinaryHeap::new(),
-        whats: BTreeMap::new(),
-        next_what: 0,
-        machines: Vec::new(),
-        at: BTreeMap::new(),
-        truth: Truth::default(),
-        day: Day::default(),
-        unsettled: Some(0),
-        room: 0.0,
+        pending_events: BTreeMap::new(),
+        next_event_key: 0,
+        members: Vec::new(),
+        member_at: BTreeMap::new(),
+        ground_truth: GroundTruth::default(),
+        report: RunReport::default(),
+        unconverged_since: Some(0),
+        headroom: 0.0,
     };
-    play.run();
-    play.day
+    simulation.run();
+    simulation.report
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     fn run(&mut self) {
         for number in 0..self.script.members {
-            self.machine(format!("n{number}"), address(number), self.script.site(number));
+            self.add_member(format!("n{number}"), address(number), self.script.site(number));
         }
-        let late: BTreeSet<usize> = self
+        let joining_later: BTreeSet<usize> = self
             .script
             .faults
             .iter()
-            .filter(|f| f.kind == Kind::Join)
-            .flat_map(|f| f.who.0.clone())
+            .filter(|f| f.kind == FaultKind::Join)
+            .flat_map(|f| f.targets.0.clone())
             .collect();
-        for number in (0..self.script.members).filter(|n| !late.contains(n)) {
-            self.start(number);
+        for number in (0..self.script.members).filter(|n| !joining_later.contains(n)) {
+            self.start_process(number);
         }
-        for (number, fault) in self.script.faults.iter().enumerate() {
-            self.later(fault.at.ns(), What::Begin(number));
-            if fault.lasts.ns() > 0 {
-                self.later(fault.at.ns() + fault.lasts.ns(), What::End(number));
+        for (fault_index, fault) in self.script.faults.iter().enumerate() {
+            self.schedule(fault.start.ns(), SimEvent::FaultStart(fault_index));
+            if fault.duration.ns() > 0 {
+                self.schedule(fault.start.ns() + fault.duration.ns(), SimEvent::FaultEnd(fault_index));
             }
         }
-        self.later(LOOK, What::Look);
+        self.schedule(CHECK_INTERVAL, SimEvent::Check);
         let end = self.script.length.ns();
         while let Some(Reverse((at, _, key))) = self.queue.pop() {
             if at > end {
                 break;
             }
             self.now = at;
-            let what = self.whats.remove(&key).expect("each has its place in the queue once");
-            self.happen(what);
+            let event = self.pending_events.remove(&key).expect("each has its place in the queue once");
+            self.handle_event(event);
         }
         self.now = end;
-        if let Some(since) = self.unsettled {
-            self.day.settled.push((since, None));
-            self.day.wrong = self.wrong();
+        if let Some(since) = self.unconverged_since {
+            self.report.convergence.push((since, None));
+            self.report.final_mismatch = self.find_mismatch();
         }
-        for number in 0..self.machines.len() {
-            self.tally(number);
-            let m = &self.machines[number];
-            let seconds = (m.ran as f64 / 1e9).max(1e-9);
-            self.day.datagrams.push(m.before.sent as f64 / seconds);
-            self.day.bytes.push(m.before.sent_bytes as f64 / seconds);
-            self.day.dropped += m.before.dropped.values().sum::<u64>();
-            self.day.verdicts += m.before.verdicts;
+        for number in 0..self.members.len() {
+            self.collect_counts(number);
+            let member = &self.members[number];
+            let seconds = (member.run_time as f64 / 1e9).max(1e-9);
+            self.report.datagrams_per_s.push(member.past_counts.sent as f64 / seconds);
+            self.report.bytes_per_s.push(member.past_counts.sent_bytes as f64 / seconds);
+            self.report.dropped += member.past_counts.dropped.values().sum::<u64>();
+            self.report.failures_declared += member.past_counts.failures_declared;
         }
     }
 
-    fn machine(&mut self, name: String, address: SocketAddr, site: usize) -> usize {
-        let number = self.machines.len();
-        self.machines.push(Machine {
+    fn add_member(&mut self, name: String, address: SocketAddr, site: usize) -> usize {
+        let number = self.members.len();
+        self.members.push(SimulatedMember {
             name,
             address,
             site,
-            kept: 0,
+            persisted_start: 0,
             fleet: None,
-            parts: Parts::new(1, 0),
-            part: 0.0,
-            stopped_until: 0,
-            waiting: Vec::new(),
-            wakes: Ns::MAX,
-            before: Counts::default(),
-            ran_since: 0,
-            ran: 0,
+            quota: LimitQuota::new(1, 0),
+            share: 0.0,
+            stalled_until: 0,
+            socket_queue: Vec::new(),
+            timer_at: Ns::MAX,
+            past_counts: Counts::default(),
+            running_since: 0,
+            run_time: 0,
         });
-        self.at.insert(address, number);
+        self.member_at.insert(address, number);
         number
     }
 
-    fn later(&mut self, at: Ns, what: What) {
-        let key = self.next_what;
-        self.next_what += 1;
-        self.tie += 1;
-        self.whats.insert(key, what);
-        self.queue.push(Reverse((at, self.tie, key)));
+    fn schedule(&mut self, at: Ns, event: SimEvent) {
+        let key = self.next_event_key;
+        self.next_event_key += 1;
+        self.next_tie_break += 1;
+        self.pending_events.insert(key, event);
+        self.queue.push(Reverse((at, self.next_tie_break, key)));
     }
 
-    fn start(&mut self, number: usize) {
-        let seed = self.random.draw();
+    fn start_process(&mut self, number: usize) {
+        let random_seed = self.random.next_u64();
         let seeds = (0..self.script.seeds).map(address).collect();
-        let m = &mut self.machines[number];
-        m.kept += 1;
-        let facts = Facts {
-            name: m.name.clone(),
-            address: m.address,
-            site: format!("site-{}", m.site),
+        let member = &mut self.members[number];
+        member.persisted_start += 1;
+        let info = MemberInfo {
+            name: member.name.clone(),
+            address: member.address,
+            site: format!("site-{}", member.site),
             version: [0, 2, 0],
             settings: 7,
         };
-        let config = Config { facts, start: m.kept, seeds, seal: seal(), rate: RATE, seed };
-        m.fleet = Some(Fleet::new(config, self.now));
+        let config = Config {
+            info,
+            start_number: member.persisted_start,
+            seeds,
+            authenticator: authenticator(),
+            max_bytes_per_s: RATE_BYTES_PER_S,
+            random_seed,
+        };
+        member.fleet = Some(Fleet::new(config, self.now));
         // The settings of a deployment name as many as are planned.
-        m.parts = Parts::new(self.script.members, self.now);
-        m.part = 1.0 / m.parts.senders();
-        (m.stopped_until, m.ran_since) = (0, self.now);
-        m.waiting.clear();
-        self.truth.start(number, self.now);
-        self.wake(number);
+        member.quota = LimitQuota::new(self.script.members, self.now);
+        member.share = 1.0 / member.quota.sender_count();
+        (member.stalled_until, member.running_since) = (0, self.now);
+        member.socket_queue.clear();
+        self.ground_truth.start(number, self.now);
+        self.schedule_timer(number);
     }
 
-    fn end(&mut self, number: usize) {
-        self.tally(number);
-        self.machines[number].fleet = None;
-        self.machines[number].part = 0.0;
-        self.truth.end(number, self.now);
+    fn stop_process(&mut self, number: usize) {
+        self.collect_counts(number);
+        self.members[number].fleet = None;
+        self.members[number].share = 0.0;
+        self.ground_truth.end(number, self.now);
     }
 
-    fn tally(&mut self, number: usize) {
+    fn collect_counts(&mut self, number: usize) {
         let now = self.now;
-        let m = &mut self.machines[number];
-        if let Some(fleet) = &m.fleet {
+        let member = &mut self.members[number];
+        if let Some(fleet) = &member.fleet {
             let counts = fleet.counts();
-            m.before.sent += counts.sent;
-            m.before.sent_bytes += counts.sent_bytes;
-            m.before.verdicts += counts.verdicts;
+            member.past_counts.sent += counts.sent;
+            member.past_counts.sent_bytes += counts.sent_bytes;
+            member.past_counts.failures_declared += counts.failures_declared;
             for (why, times) in counts.dropped {
-                *m.before.dropped.entry(why).or_default() += times;
+                *member.past_counts.dropped.entry(why).or_default() += times;
             }
-            m.ran += now - m.ran_since;
-            m.ran_since = now;
+            member.run_time += now - member.running_since;
+            member.running_since = now;
         }
     }
 
     /// Has a machine's timer come when its process asks for it.
-    fn wake(&mut self, number: usize) {
-        let Some(fleet) = &self.machines[number].fleet else { return };
+    fn schedule_timer(&mut self, number: usize) {
+        let Some(fleet) = &self.members[number].fleet else { return };
         let at = fleet.wake_at().max(self.now + MS);
-        if at < Ns::MAX && at != self.machines[number].wakes {
-            self.machines[number].wakes = at;
-            self.later(at, What::Wake { machine: number, at });
+        if at < Ns::MAX && at != self.members[number].timer_at {
+            self.members[number].timer_at = at;
+            self.schedule(at, SimEvent::Timer { member: number, at });
         }
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Arrives { from, to, bytes } => {
-                let Some(&number) = self.at.get(&to) else { return };
-                let m = &mut self.machines[number];
-                if m.stopped_until > self.now {
-                    if m.waiting.len() < SOCKET_BUFFER {
-                        m.waiting.push((from, bytes));
+    fn handle_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Arrival { from, to, bytes } => {
+                let Some(&number) = self.member_at.get(&to) else { return };
+                let member = &mut self.members[number];
+                if member.stalled_until > self.now {
+                    if member.socket_queue.len() < SOCKET_BUFFER {
+                        member.socket_queue.push((from, bytes));
                     }
                     return;
                 }
-                self.tell(number, Input::Datagram { from, bytes: &bytes });
+                self.deliver(number, Input::Datagram { from, bytes: &bytes });
             }
-            What::Wake { machine, at } => {
-                if self.machines[machine].wakes == at && self.machines[machine].stopped_until <= self.now {
-                    self.machines[machine].wakes = Ns::MAX;
-                    self.tell(machine, Input::Timer);
+            SimEvent::Timer { member, at } => {
+                if self.members[member].timer_at == at && self.members[member].stalled_until <= self.now {
+                    self.members[member].timer_at = Ns::MAX;
+                    self.deliver(member, Input::Timer);
                 }
             }
-            What::Continue(number) => {
-                let m = &mut self.machines[number];
-                if m.stopped_until != self.now || m.fleet.is_none() {
+            SimEvent::Resume(number) => {
+                let member = &mut self.members[number];
+                if member.stalled_until != self.now || member.fleet.is_none() {
                     return;
                 }
-                let waiting = std::mem::take(&mut m.waiting);
-                self.truth.resume(number, self.now);
+                let socket_queue = std::mem::take(&mut member.socket_queue);
+                self.ground_truth.resume(number, self.now);
                 // Its timers are due, and its socket is full: which comes first is the runtime's choice.
-                self.tell(number, Input::Timer);
-                for (from, bytes) in waiting {
-                    self.tell(number, Input::Datagram { from, bytes: &bytes });
+                self.deliver(number, Input::Timer);
+                for (from, bytes) in socket_queue {
+                    self.deliver(number, Input::Datagram { from, bytes: &bytes });
                 }
             }
-            What::Begin(fault) => {
-                let fault = &self.script.faults[fault];
-                self.begin(fault);
-                self.unsettle();
+            SimEvent::FaultStart(fault_index) => {
+                let fault = &self.script.faults[fault_index];
+                self.begin_fault(fault);
+                self.mark_unconverged();
             }
-            What::End(number) => {
-                let fault = &self.script.faults[number];
-                self.over(fault);
-                self.unsettle();
+            SimEvent::FaultEnd(fault_index) => {
+                let fault = &self.script.faults[fault_index];
+                self.end_fault(fault);
+                self.mark_unconverged();
             }
-            What::Look => {
-                self.look();
-                self.later(self.now + LOOK, What::Look);
+            SimEvent::Check => {
+                self.check();
+                self.schedule(self.now + CHECK_INTERVAL, SimEvent::Check);
             }
-            What::Flood(fault) => self.flood(fault),
+            SimEvent::Flood(fault_index) => self.flood(fault_index),
         }
     }
 
     fn is_active(&self, fault: &Fault) -> bool {
-        let (from, lasts) = (fault.at.ns(), fault.lasts.ns());
-        self.now >= from && (lasts == 0 || self.now < from + lasts)
+        let (start, duration) = (fault.start.ns(), fault.duration.ns());
+        self.now >= start && (duration == 0 || self.now < start + duration)
     }
 
-    fn unsettle(&mut self) {
-        if let Some(since) = self.unsettled.replace(self.now) {
-            self.day.settled.push((since, None));
+    fn mark_unconverged(&mut self) {
+        if let Some(since) = self.unconverged_since.replace(self.now) {
+            self.report.convergence.push((since, None));
         }
     }
 
-    fn begin(&mut self, fault: &Fault) {
-        for &number in &fault.who.0 {
+    fn begin_fault(&mut self, fault: &Fault) {
+        for &number in &fault.targets.0 {
             match fault.kind {
-                Kind::Stop => {
-                    let until = self.now + fault.lasts.ns();
-                    self.machines[number].stopped_until = until;
-                    self.truth.stop(number, self.now);
-                    self.later(until, What::Continue(number));
+                FaultKind::Stop => {
+                    let until = self.now + fault.duration.ns();
+                    self.members[number].stalled_until = until;
+                    self.ground_truth.stall(number, self.now);
+                    self.schedule(until, SimEvent::Resume(number));
                 }
-                Kind::Kill => {
-                    self.end(number);
+                FaultKind::Kill => {
+                    self.stop_process(number);
                     if fault.folder_lost {
-                        self.machines[number].kept = 0;
+                        self.members[number].persisted_start = 0;
                     }
                 }
-                Kind::Leave => {
-                    self.tell(number, Input::Leave);
-                    self.end(number);
+                FaultKind::Leave => {
+                    self.deliver(number, Input::Leave);
+                    self.stop_process(number);
                 }
-                Kind::Join => self.start(number),
-                Kind::Double => {
-                    let name = self.machines[number].name.clone();
-                    let (site, kept) = (self.machines[number].site, self.machines[number].kept);
-                    let double = self.machine(name, address(1_000 + number), site);
-                    self.machines[double].kept = kept - 1;
-                    self.start(double);
+                FaultKind::Join => self.start_process(number),
+                FaultKind::Double => {
+                    let name = self.members[number].name.clone();
+                    let (site, start_number) =
+                        (self.members[number].site, self.members[number].persisted_start);
+                    let double = self.add_member(name, address(1_000 + number), site);
+                    self.members[double].persisted_start = start_number - 1;
+                    self.start_process(double);
                 }
-                Kind::Replace => {
-                    self.end(number);
-                    let (at, site) = (self.machines[number].address, self.machines[number].site);
-                    let other = self.machine(format!("other-{number}"), at, site);
-                    self.start(other);
+                FaultKind::Replace => {
+                    self.stop_process(number);
+                    let (address, site) = (self.members[number].address, self.members[number].site);
+                    let other = self.add_member(format!("other-{number}"), address, site);
+                    self.start_process(other);
                 }
-                Kind::Flood => {
-                    let fault =
+                FaultKind::Flood => {
+                    let fault_index =
                         self.script.faults.iter().position(|f| f == fault).expect("it is one of them");
-                    self.later(self.now, What::Flood(fault));
+                    self.schedule(self.now, SimEvent::Flood(fault_index));
                 }
-                Kind::Cut | Kind::Lossy | Kind::Slow => {}
+                FaultKind::Cut | FaultKind::Lossy | FaultKind::Slow => {}
             }
         }
-        self.cuts();
+        self.update_cuts();
     }
 
-    fn over(&mut self, fault: &Fault) {
-        for &number in &fault.who.0 {
-            if matches!(fault.kind, Kind::Kill | Kind::Leave) {
-                self.start(number);
+    fn end_fault(&mut self, fault: &Fault) {
+        for &number in &fault.targets.0 {
+            if matches!(fault.kind, FaultKind::Kill | FaultKind::Leave) {
+                self.start_process(number);
             }
         }
-        self.cuts();
+        self.update_cuts();
     }
 
     /// Tells the truth who can reach whom now.
-    fn cuts(&mut self) {
-        let all = self.machines.len();
+    fn update_cuts(&mut self) {
+        let all = self.members.len();
         let faults: Vec<&Fault> =
-            self.script.faults.iter().filter(|f| f.kind == Kind::Cut && self.is_active(f)).collect();
-        let mut cut = BTreeSet::new();
+            self.script.faults.iter().filter(|f| f.kind == FaultKind::Cut && self.is_active(f)).collect();
+        let mut cuts = BTreeSet::new();
         for fault in faults {
-            for &a in &fault.who.0 {
-                let others: Vec<usize> = fault
-                    .to
-                    .as_ref()
-                    .map_or_else(|| (0..all).filter(|n| !fault.who.0.contains(n)).collect(), |w| w.0.clone());
-                for b in others {
-                    cut.insert((a, b));
+            for &from in &fault.targets.0 {
+                let others: Vec<usize> = fault.peers.as_ref().map_or_else(
+                    || (0..all).filter(|n| !fault.targets.0.contains(n)).collect(),
+                    |set| set.0.clone(),
+                );
+                for to in others {
+                    cuts.insert((from, to));
                     if !fault.one_way {
-                        cut.insert((b, a));
+                        cuts.insert((to, from));
                     }
                 }
             }
         }
-        self.truth.cut(cut, self.now);
+        self.ground_truth.set_cuts(cuts, self.now);
     }
 
     /// Three kinds of what is none of this fleet's, at two hundred a second.
-    fn flood(&mut self, fault: usize) {
-        let spec = &self.script.faults[fault];
-        if !self.is_active(spec) {
+    fn flood(&mut self, fault_index: usize) {
+        let fault = &self.script.faults[fault_index];
+        if !self.is_active(fault) {
             return;
         }
         let from = address(2_000);
-        for &number in &spec.who.0 {
-            let own = Facts {
+        for &number in &fault.targets.0 {
+            let info = MemberInfo {
                 name: "x".into(),
                 address: from,
                 site: String::new(),
                 version: [9, 9, 9],
                 settings: 0,
             };
-            let other = match self.random.below(4) {
-                0 => Seal::new("another", b"a key for tests only"),
-                _ => Seal::new("rig", b"another key"),
+            let foreign = match self.random.below(4) {
+                0 => Authenticator::new("another", b"a key for tests only"),
+                _ => Authenticator::new("rig", b"another key"),
             };
             let config = Config {
-                facts: own,
-                start: 1,
+                info: info,
+                start_number: 1,
                 seeds: vec![address(number)],
-                seal: other,
-                rate: RATE,
-                seed: 1,
+                authenticator: foreign,
+                max_bytes_per_s: RATE_BYTES_PER_S,
+                random_seed: 1,
             };
             let mut out = Vec::new();
             Fleet::new(config, 0).handle(SECOND / 8, Input::Timer, &mut out);
@@ -438,126 +446,144 @@
                         1 => bytes[0] = 9,
                         _ => {}
                     }
-                    self.later(self.now, What::Arrives { from, to: address(number), bytes });
+                    self.schedule(self.now, SimEvent::Arrival { from, to: address(number), bytes });
                 }
             }
         }
-        self.later(self.now + 5 * MS, What::Flood(fault));
+        self.schedule(self.now + 5 * MS, SimEvent::Flood(fault_index));
     }
 
-    fn tell(&mut self, number: usize, input: Input<'_>) {
+    fn deliver(&mut self, number: usize, input: Input<'_>) {
         let mut out = Vec::new();
         let now = self.now;
-        if let Some(fleet) = &mut self.machines[number].fleet {
+        if let Some(fleet) = &mut self.members[number].fleet {
             fleet.handle(now, input, &mut out);
         }
-        let mut changed = false;
+        let mut view_changed = false;
         for output in out {
             match output {
                 Output::Send { to, bytes } => self.send(number, to, bytes),
-                Output::Keep { start } => self.machines[number].kept = start,
+                Output::Persist { start_number } => self.members[number].persisted_start = start_number,
                 Output::Changed { name, change, .. } => {
-                    changed = true;
-                    let other = self.machines.iter().position(|m| m.name == name && m.fleet.is_some());
-                    let wrongly = other.is_some_and(|o| self.truth.has_long_reached(number, o, now));
-                    self.day.seeings.push(Seeing { at: now, by: number, of: name, change, wrongly });
+                    view_changed = true;
+                    let subject =
+                        self.members.iter().position(|member| member.name == name && member.fleet.is_some());
+                    let is_false = subject
+                        .is_some_and(|subject| self.ground_truth.were_long_connected(number, subject, now));
+                    self.report.observations.push(Observation {
+                        at: now,
+                        observer: number,
+                        subject: name,
+                        change,
+                        is_false,
+                    });
                 }
-                Output::NameTaken { .. } => {
-                    self.day.names_taken += 1;
+                Output::NameConflict { .. } => {
+                    self.report.name_conflicts += 1;
                     // An operator ends it: it says nothing any more.
-                    self.end(number);
+                    self.stop_process(number);
                 }
-                Output::StoodStill { .. } => changed = true,
+                Output::Stalled { .. } => view_changed = true,
             }
         }
-        if changed {
-            self.see(number);
+        if view_changed {
+            self.update_quota(number);
         }
-        self.wake(number);
+        self.schedule_timer(number);
     }
 
-    fn see(&mut self, number: usize) {
-        let (now, room) = (self.now, self.room);
-        let m = &mut self.machines[number];
-        let Some(fleet) = &m.fleet else { return };
-        let seen = fleet.seen();
-        m.parts.room(now, room);
-        m.parts.see(now, &seen);
-        m.part = 1.0 / m.parts.senders();
+    fn update_quota(&mut self, number: usize) {
+        let (now, headroom) = (self.now, self.headroom);
+        let member = &mut self.members[number];
+        let Some(fleet) = &member.fleet else { return };
+        let summary = fleet.membership_summary();
+        member.quota.record_headroom(now, headroom);
+        member.quota.update(now, &summary);
+        member.share = 1.0 / member.quota.sender_count();
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
-        assert!(bytes.len() <= nickelshed_fleet::MOST, "a datagram of {} bytes", bytes.len());
-        let Some(&receiver) = self.at.get(&to) else { return };
-        let mut lost = self.script.lost.0;
-        let mut by = 0;
+        assert!(bytes.len() <= nickelshed_fleet::MAX_DATAGRAM_BYTES, "a datagram of {} bytes", bytes.len());
+        let Some(&receiver) = self.member_at.get(&to) else { return };
+        let mut loss_probability = self.script.loss.0;
+        let mut extra_delay = 0;
         for fault in self.script.faults.iter().filter(|f| self.is_active(f)) {
-            let meets = fault.who.0.contains(&from) || fault.who.0.contains(&receiver);
+            let applies = fault.targets.0.contains(&from) || fault.targets.0.contains(&receiver);
             match fault.kind {
-                Kind::Lossy if meets => lost = 1.0 - (1.0 - lost) * (1.0 - fault.part.0),
-                Kind::Slow if meets => by += fault.by.ns(),
+                FaultKind::Lossy if applies => {
+                    loss_probability = 1.0 - (1.0 - loss_probability) * (1.0 - fault.loss.0)
+                }
+                FaultKind::Slow if applies => extra_delay += fault.extra_delay.ns(),
                 _ => {}
             }
         }
-        let copies = 1 + usize::from(self.random.chance(self.script.twice.0));
-        let [least, most] = self.script.latency.map(|p| p.ns());
-        let from_address = self.machines[from].address;
+        let copies = 1 + usize::from(self.random.chance(self.script.duplicated.0));
+        let [min_latency, max_latency] = self.script.latency.map(|latency| latency.ns());
+        let from_address = self.members[from].address;
         for _ in 0..copies {
-            let late = least + self.random.below(most - least + by + 1);
-            if self.random.chance(lost) || self.truth.is_cut(from, receiver) {
+            let latency = min_latency + self.random.below(max_latency - min_latency + extra_delay + 1);
+            if self.random.chance(loss_probability) || self.ground_truth.is_cut(from, receiver) {
                 continue;
             }
-            self.later(self.now + late, What::Arrives { from: from_address, to, bytes: bytes.clone() });
+            self.schedule(
+                self.now + latency,
+                SimEvent::Arrival { from: from_address, to, bytes: bytes.clone() },
+            );
         }
     }
 
     /// Whether all views are right, and what parts add up to.
-    fn look(&mut self) {
-        if self.now % SECOND < LOOK {
-            for number in 0..self.machines.len() {
-                if self.machines[number].stopped_until <= self.now {
-                    self.see(number);
+    fn check(&mut self) {
+        if self.now % SECOND < CHECK_INTERVAL {
+            for number in 0..self.members.len() {
+                if self.members[number].stalled_until <= self.now {
+                    self.update_quota(number);
                 }
             }
         }
-        let sum: f64 = self.machines.iter().filter(|m| m.stopped_until <= self.now).map(|m| m.part).sum();
-        self.room = (1.0 - sum).max(0.0);
-        if sum > self.day.most_parts.0 {
-            self.day.most_parts = (sum, self.now);
+        let sum: f64 = self
+            .members
+            .iter()
+            .filter(|member| member.stalled_until <= self.now)
+            .map(|member| member.share)
+            .sum();
+        self.headroom = (1.0 - sum).max(0.0);
+        if sum > self.report.max_total_share.0 {
+            self.report.max_total_share = (sum, self.now);
         }
-        if self.now % SECOND < LOOK {
-            self.day.parts.push(sum);
+        if self.now % SECOND < CHECK_INTERVAL {
+            self.report.total_shares.push(sum);
         }
-        if let Some(since) = self.unsettled {
-            if self.wrong().is_none() {
-                self.day.settled.push((since, Some(self.now - since)));
-                self.unsettled = None;
+        if let Some(since) = self.unconverged_since {
+            if self.find_mismatch().is_none() {
+                self.report.convergence.push((since, Some(self.now - since)));
+                self.unconverged_since = None;
             }
         }
     }
 
     /// The first view that does not hold exactly those that it should.
-    fn wrong(&self) -> Option<String> {
-        for (number, m) in self.machines.iter().enumerate() {
-            let Some(fleet) = &m.fleet else { continue };
-            if m.stopped_until > self.now || self.truth.only_hears(number) {
+    fn find_mismatch(&self) -> Option<String> {
+        for (number, member) in self.members.iter().enumerate() {
+            let Some(fleet) = &member.fleet else { continue };
+            if member.stalled_until > self.now || self.ground_truth.is_receive_only(number) {
                 continue;
             }
             let mut present: Vec<&str> = fleet
                 .members()
-                .filter(|m| m.claim.state.is_present())
-                .map(|m| m.facts.name.as_str())
-                .chain([m.name.as_str()])
+                .filter(|other| other.status.state.is_present())
+                .map(|other| other.info.name.as_str())
+                .chain([member.name.as_str()])
                 .collect();
-            let mut should: Vec<&str> =
-                self.truth.reached_by(number).map(|n| self.machines[n].name.as_str()).collect();
+            let mut expected: Vec<&str> =
+                self.ground_truth.reachable_from(number).map(|n| self.members[n].name.as_str()).collect();
             present.sort_unstable();
-            should.sort_unstable();
-            should.dedup();
-            if present != should {
-                let more: Vec<_> = present.iter().filter(|p| !should.contains(p)).collect();
-                let less: Vec<_> = should.iter().filter(|s| !present.contains(s)).collect();
-                return Some(format!("{} holds {more:?} too many and lacks {less:?}", m.name));
+            expected.sort_unstable();
+            expected.dedup();
+            if present != expected {
+                let extra: Vec<_> = present.iter().filter(|name| !expected.contains(name)).collect();
+                let missing: Vec<_> = expected.iter().filter(|name| !present.contains(name)).collect();
+                return Some(format!("{} holds {extra:?} too many and lacks {missing:?}", member.name));
             }
         }
         None
--- a/crates/proof/nickelshed-rig/src/relay.rs
+++ b/crates/proof/nickelshed-rig/src/relay.rs
@@ -10,19 +10,19 @@
 
 #[derive(Default)]
 struct Faults {
-    cut: BTreeSet<(usize, usize)>,
+    cut_links: BTreeSet<(usize, usize)>,
     /// Of a hundred datagrams so many are lost, by their number.
-    lost: u64,
-    twice: bool,
+    lost_percent: u64,
+    duplicate: bool,
 }
 
 struct Shared {
-    fronts: Vec<UdpSocket>,
+    sockets: Vec<UdpSocket>,
     /// Where the members themselves are.
     members: Vec<SocketAddr>,
     faults: Mutex<Faults>,
-    passed: AtomicU64,
-    ends: AtomicBool,
+    relayed: AtomicU64,
+    is_stopping: AtomicBool,
 }
 
 /// Ends its threads when it is dropped.
@@ -38,26 +38,26 @@
     /// If no port is to be had.
     pub fn new(members: usize) -> io::Result<Relay> {
         let bind = || UdpSocket::bind("127.0.0.1:0");
-        let fronts = (0..members).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
-        let held = (0..members).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
-        let members = held.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
-        drop(held);
-        for front in &fronts {
-            front.set_read_timeout(Some(Duration::from_millis(50)))?;
+        let sockets = (0..members).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
+        let reserved = (0..members).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
+        let members = reserved.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
+        drop(reserved);
+        for socket in &sockets {
+            socket.set_read_timeout(Some(Duration::from_millis(50)))?;
         }
-        let (faults, passed, ends) = (Mutex::default(), AtomicU64::new(0), AtomicBool::new(false));
-        let shared = Arc::new(Shared { fronts, members, faults, passed, ends });
-        let thread = |to: usize| {
+        let (faults, relayed, is_stopping) = (Mutex::default(), AtomicU64::new(0), AtomicBool::new(false));
+        let shared = Arc::new(Shared { sockets, members, faults, relayed, is_stopping });
+        let thread = |receiver: usize| {
             let shared = shared.clone();
-            std::thread::spawn(move || shared.carry(to))
+            std::thread::spawn(move || shared.relay_datagrams(receiver))
         };
-        let threads = (0..shared.fronts.len()).map(thread).collect();
+        let threads = (0..shared.sockets.len()).map(thread).collect();
         Ok(Relay { shared, threads })
     }
 
     /// Where a member listens itself.
     #[must_use]
-    pub fn member(&self, number: usize) -> SocketAddr {
+    pub fn member_address(&self, number: usize) -> SocketAddr {
         self.shared.members[number]
     }
 
@@ -66,22 +66,22 @@
     /// # Panics
     /// If the machine has lost the socket.
     #[must_use]
-    pub fn front(&self, number: usize) -> SocketAddr {
-        self.shared.fronts[number].local_addr().expect("a bound socket has an address")
+    pub fn relay_address(&self, number: usize) -> SocketAddr {
+        self.shared.sockets[number].local_addr().expect("a bound socket has an address")
     }
 
-    fn change(&self, change: impl FnOnce(&mut Faults)) {
-        change(&mut self.shared.faults.lock().expect("no holder panics"));
+    fn with_faults(&self, apply: impl FnOnce(&mut Faults)) {
+        apply(&mut self.shared.faults.lock().expect("no holder panics"));
     }
 
     /// What one of the first sends one of the second is lost, and the other way round unless `one_way`.
-    pub fn cut(&self, from: &[usize], to: &[usize], one_way: bool) {
-        self.change(|f| {
-            for &a in from {
-                for &b in to.iter().filter(|b| **b != a) {
-                    f.cut.insert((a, b));
+    pub fn cut(&self, senders: &[usize], receivers: &[usize], one_way: bool) {
+        self.with_faults(|faults| {
+            for &sender in senders {
+                for &receiver in receivers.iter().filter(|receiver| **receiver != sender) {
+                    faults.cut_links.insert((sender, receiver));
                     if !one_way {
-                        f.cut.insert((b, a));
+                        faults.cut_links.insert((receiver, sender));
                     }
                 }
             }
@@ -89,40 +89,41 @@
     }
 
     pub fn heal(&self) {
-        self.change(|f| f.cut.clear());
+        self.with_faults(|faults| faults.cut_links.clear());
     }
 
     /// Of a hundred datagrams so many are lost, and all others come twice if so.
-    pub fn spoil(&self, lost: u64, twice: bool) {
-        self.change(|f| (f.lost, f.twice) = (lost, twice));
+    pub fn impair(&self, lost_percent: u64, duplicate: bool) {
+        self.with_faults(|faults| (faults.lost_percent, faults.duplicate) = (lost_percent, duplicate));
     }
 
     /// Datagrams that were carried so far.
     #[must_use]
-    pub fn passed(&self) -> u64 {
-        self.shared.passed.load(Ordering::Relaxed)
+    pub fn relayed_count(&self) -> u64 {
+        self.shared.relayed.load(Ordering::Relaxed)
     }
 }
 
 impl Shared {
     /// Carries what comes for one member, under the front of whoever sent it.
-    fn carry(&self, to: usize) {
+    fn relay_datagrams(&self, receiver: usize) {
         let mut buffer = [0; 2_048];
-        while !self.ends.load(Ordering::Relaxed) {
-            let Ok((length, source)) = self.fronts[to].recv_from(&mut buffer) else { continue };
-            let Some(from) = self.members.iter().position(|m| *m == source) else {
-                self.carry_stranger(to, source, &buffer[..length]);
+        while !self.is_stopping.load(Ordering::Relaxed) {
+            let Ok((length, source)) = self.sockets[receiver].recv_from(&mut buffer) else { continue };
+            let Some(sender) = self.members.iter().position(|member_address| *member_address == source)
+            else {
+                self.relay_from_outside(receiver, source, &buffer[..length]);
                 continue;
             };
-            let (cut, copies) = {
+            let (is_cut, copies) = {
                 let faults = self.faults.lock().expect("no holder panics");
-                let number = self.passed.load(Ordering::Relaxed).wrapping_mul(61);
-                let lost = number % 100 < faults.lost;
-                (faults.cut.contains(&(from, to)) || lost, 1 + usize::from(faults.twice))
+                let sequence = self.relayed.load(Ordering::Relaxed).wrapping_mul(61);
+                let is_lost = sequence % 100 < faults.lost_percent;
+                (faults.cut_links.contains(&(sender, receiver)) || is_lost, 1 + usize::from(faults.duplicate))
             };
-            self.passed.fetch_add(1, Ordering::Relaxed);
-            for _ in 0..if cut { 0 } else { copies } {
-                let _ = self.fronts[from].send_to(&buffer[..length], self.members[to]);
+            self.relayed.fetch_add(1, Ordering::Relaxed);
+            for _ in 0..if is_cut { 0 } else { copies } {
+                let _ = self.sockets[sender].send_to(&buffer[..length], self.members[receiver]);
             }
         }
     }
@@ -130,18 +131,20 @@
 
 impl Shared {
     /// One that is no member asks: the answer goes back under the front that it asked.
-    fn carry_stranger(&self, to: usize, source: SocketAddr, bytes: &[u8]) {
-        let (Ok(front), Ok(own)) = (self.fronts[to].try_clone(), UdpSocket::bind("127.0.0.1:0")) else {
+    fn relay_from_outside(&self, receiver: usize, source: SocketAddr, bytes: &[u8]) {
+        let (Ok(relay_socket), Ok(socket)) =
+            (self.sockets[receiver].try_clone(), UdpSocket::bind("127.0.0.1:0"))
+        else {
             return;
         };
-        let (member, bytes) = (self.members[to], bytes.to_vec());
+        let (member, bytes) = (self.members[receiver], bytes.to_vec());
         std::thread::spawn(move || {
-            let _ = own.set_read_timeout(Some(Duration::from_millis(500)));
-            let _ = own.send_to(&bytes, member);
+            let _ = socket.set_read_timeout(Some(Duration::from_millis(500)));
+            let _ = socket.send_to(&bytes, member);
             let mut buffer = [0; 2_048];
             // An answer has some datagrams at most, and the thread ends with the last.
-            while let Ok((length, _)) = own.recv_from(&mut buffer) {
-                let _ = front.send_to(&buffer[..length], source);
+            while let Ok((length, _)) = socket.recv_from(&mut buffer) {
+                let _ = relay_socket.send_to(&buffer[..length], source);
             }
         });
     }
@@ -149,7 +152,7 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.shared.ends.store(true, Ordering::Relaxed);
+        self.shared.is_stopping.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
--- a/crates/proof/nickelshed-rig/src/script.rs
+++ b/crates/proof/nickelshed-rig/src/script.rs
@@ -18,9 +18,11 @@
     /// One way, from the least to the most; drawn for each datagram, so that they overtake one another.
     pub latency: [Period; 2],
     /// Of the datagrams that so many are lost.
-    pub lost: Percent,
+    #[serde(rename = "lost")]
+    pub loss: Percent,
     /// And so many come twice.
-    pub twice: Percent,
+    #[serde(rename = "twice")]
+    pub duplicated: Percent,
     #[serde(rename = "fault")]
     pub faults: Vec<Fault>,
 }
@@ -34,8 +36,8 @@
             sites: 1,
             seeds: 2,
             latency: [Period::ms(1), Period::ms(15)],
-            lost: Percent(0.0),
-            twice: Percent(0.0),
+            loss: Percent(0.0),
+            duplicated: Percent(0.0),
             faults: Vec::new(),
         }
     }
@@ -44,24 +46,26 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    pub kind: Kind,
-    pub at: Period,
+    pub kind: FaultKind,
+    #[serde(rename = "at")]
+    pub start: Period,
     /// Nought: for good.
-    #[serde(default)]
-    pub lasts: Period,
+    #[serde(default, rename = "lasts")]
+    pub duration: Period,
     /// Whom it meets.
-    pub who: Who,
+    #[serde(rename = "who")]
+    pub targets: MemberSet,
     /// The other side of a cut; without it, all others.
-    #[serde(default)]
-    pub to: Option<Who>,
+    #[serde(default, rename = "to")]
+    pub peers: Option<MemberSet>,
     /// Of a cut: only what `who` send is lost.
     #[serde(default)]
     pub one_way: bool,
     /// Of `lossy`: so many are lost; of `slow`: see `by`.
-    #[serde(default)]
-    pub part: Percent,
-    #[serde(default)]
-    pub by: Period,
+    #[serde(default, rename = "part")]
+    pub loss: Percent,
+    #[serde(default, rename = "by")]
+    pub extra_delay: Period,
     /// Of `kill`: the state folder is lost too.
     #[serde(default)]
     pub folder_lost: bool,
@@ -69,7 +73,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Datagrams between the two sides are lost.
     Cut,
     /// Of the datagrams to and from them this part is lost.
@@ -95,35 +99,37 @@
 /// Members by their numbers: `3`, `0..25`, `1,4,7`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
-pub struct Who(pub Vec<usize>);
+pub struct MemberSet(pub Vec<usize>);
 
-impl FromStr for Who {
+impl FromStr for MemberSet {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Who, String> {
-        let wrong = || format!("`{text}` names no members. Write `3`, `0..25` or `1,4,7`");
-        let mut all = Vec::new();
-        for piece in text.split(',') {
-            match piece.split_once("..") {
-                Some((from, to)) => {
-                    let (from, to): (usize, usize) =
-                        (from.trim().parse().map_err(|_| wrong())?, to.trim().parse().map_err(|_| wrong())?);
-                    all.extend(from..to);
+    fn from_str(text: &str) -> Result<MemberSet, String> {
+        let invalid = || format!("`{text}` names no members. Write `3`, `0..25` or `1,4,7`");
+        let mut numbers = Vec::new();
+        for item in text.split(',') {
+            match item.split_once("..") {
+                Some((start, end)) => {
+                    let (start, end): (usize, usize) = (
+                        start.trim().parse().map_err(|_| invalid())?,
+                        end.trim().parse().map_err(|_| invalid())?,
+                    );
+                    numbers.extend(start..end);
                 }
-                None => all.push(piece.trim().parse().map_err(|_| wrong())?),
+                None => numbers.push(item.trim().parse().map_err(|_| invalid())?),
             }
         }
-        if all.is_empty() {
-            return Err(wrong());
+        if numbers.is_empty() {
+            return Err(invalid());
         }
-        Ok(Who(all))
+        Ok(MemberSet(numbers))
     }
 }
 
-impl TryFrom<String> for Who {
+impl TryFrom<String> for MemberSet {
     type Error = String;
 
-    fn try_from(text: String) -> Result<Who, String> {
+    fn try_from(text: String) -> Result<MemberSet, String> {
         text.parse()
     }
 }
@@ -131,10 +137,13 @@
 impl Script {
     /// # Errors
     /// What is wrong with the file, in words.
-    pub fn read(text: &str) -> Result<Script, String> {
+    pub fn parse(text: &str) -> Result<Script, String> {
         let script: Script = toml::from_str(text).map_err(|e| e.to_string())?;
-        let all = script.faults.iter().flat_map(|f| f.who.0.iter().chain(f.to.iter().flat_map(|w| &w.0)));
-        if let Some(number) = all.into_iter().find(|n| **n >= script.members) {
+        let named = script
+            .faults
+            .iter()
+            .flat_map(|fault| fault.targets.0.iter().chain(fault.peers.iter().flat_map(|set| &set.0)));
+        if let Some(number) = named.into_iter().find(|number| **number >= script.members) {
             return Err(format!("member {number} is named, but there are only {}", script.members));
         }
         if script.latency[0] > script.latency[1] {
@@ -157,21 +166,21 @@
     use super::*;
 
     #[test]
-    fn a_script_is_read_and_what_is_wrong_is_said() {
+    fn parses_a_script_and_reports_errors() {
         let text =
             "members = 4\n[[fault]]\nkind = \"cut\"\nat = \"1s\"\nlasts = \"2s\"\nwho = \"0..2\"\nto = \"3\"";
-        let script = Script::read(text).unwrap();
-        assert_eq!(script.faults[0].who, Who(vec![0, 1]));
-        assert_eq!(script.faults[0].to, Some(Who(vec![3])));
-        for (wrong, says) in [
+        let script = Script::parse(text).unwrap();
+        assert_eq!(script.faults[0].targets, MemberSet(vec![0, 1]));
+        assert_eq!(script.faults[0].peers, Some(MemberSet(vec![3])));
+        for (invalid, expected) in [
             ("members = 2\n[[fault]]\nkind = \"stop\"\nat = \"1s\"\nwho = \"2\"", "member 2 is named"),
             ("[[fault]]\nkind = \"stop\"\nat = \"1s\"\nwho = \"x\"", "names no members"),
             ("[[fault]]\nkind = \"burn\"\nat = \"1s\"\nwho = \"1\"", "unknown variant `burn`"),
             ("members = 0", "no members"),
             ("latency = [\"9ms\", \"1ms\"]", "least latency"),
         ] {
-            let error = Script::read(wrong).unwrap_err();
-            assert!(error.contains(says), "{error}");
+            let error = Script::parse(invalid).unwrap_err();
+            assert!(error.contains(expected), "{error}");
         }
     }
 }
--- a/crates/proof/nickelshed-rig/src/truth.rs
+++ b/crates/proof/nickelshed-rig/src/truth.rs
@@ -3,102 +3,111 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Two that could reach one another for so long have no reason to hold one another for gone.
-const LONG: Ns = 12_000_000_000;
+const STABLE_AFTER: Ns = 12_000_000_000;
 
 #[derive(Debug, Default)]
-pub struct Truth {
+pub struct GroundTruth {
     running: BTreeSet<usize>,
-    stopped: BTreeSet<usize>,
-    cut: BTreeSet<(usize, usize)>,
+    stalled: BTreeSet<usize>,
+    cuts: BTreeSet<(usize, usize)>,
     /// The lowest number that each running member can reach, over helpers too.
     component: BTreeMap<usize, usize>,
     /// Since when a member is where it is.
-    since: BTreeMap<usize, Ns>,
+    stable_since: BTreeMap<usize, Ns>,
 }
 
-impl Truth {
+impl GroundTruth {
     pub fn start(&mut self, number: usize, now: Ns) {
         self.running.insert(number);
-        self.stopped.remove(&number);
-        self.since.insert(number, now);
-        self.join(now);
+        self.stalled.remove(&number);
+        self.stable_since.insert(number, now);
+        self.update_components(now);
     }
 
     pub fn end(&mut self, number: usize, now: Ns) {
         self.running.remove(&number);
-        self.stopped.remove(&number);
-        self.join(now);
+        self.stalled.remove(&number);
+        self.update_components(now);
     }
 
-    pub fn stop(&mut self, number: usize, now: Ns) {
-        self.stopped.insert(number);
-        self.since.insert(number, now);
-        self.join(now);
+    pub fn stall(&mut self, number: usize, now: Ns) {
+        self.stalled.insert(number);
+        self.stable_since.insert(number, now);
+        self.update_components(now);
     }
 
     pub fn resume(&mut self, number: usize, now: Ns) {
-        self.stopped.remove(&number);
-        self.since.insert(number, now);
-        self.join(now);
+        self.stalled.remove(&number);
+        self.stable_since.insert(number, now);
+        self.update_components(now);
     }
 
     /// What one sends another is lost, for each of these pairs.
-    pub fn cut(&mut self, cut: BTreeSet<(usize, usize)>, now: Ns) {
-        if cut != self.cut {
-            self.cut = cut;
-            self.join(now);
+    pub fn set_cuts(&mut self, cuts: BTreeSet<(usize, usize)>, now: Ns) {
+        if cuts != self.cuts {
+            self.cuts = cuts;
+            self.update_components(now);
         }
     }
 
     #[must_use]
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.cut.contains(&(from, to))
+        self.cuts.contains(&(from, to))
     }
 
     /// Whether it hears others that do not hear it: it may hold them for present or not.
     #[must_use]
-    pub fn only_hears(&self, number: usize) -> bool {
-        let alone = self.component.values().filter(|c| self.component.get(&number) == Some(*c)).count() == 1;
-        alone && self.component.keys().any(|&n| n != number && !self.cut.contains(&(n, number)))
+    pub fn is_receive_only(&self, number: usize) -> bool {
+        let is_alone = self
+            .component
+            .values()
+            .filter(|component| self.component.get(&number) == Some(*component))
+            .count()
+            == 1;
+        is_alone
+            && self.component.keys().any(|&other| other != number && !self.cuts.contains(&(other, number)))
     }
 
     /// All that a member can reach, itself too; one that stands still reaches nobody.
-    pub fn reached_by(&self, number: usize) -> impl Iterator<Item = usize> + '_ {
-        let own = self.component.get(&number).copied();
-        self.component.iter().filter(move |(n, c)| Some(**c) == own || **n == number).map(|(n, _)| *n)
+    pub fn reachable_from(&self, number: usize) -> impl Iterator<Item = usize> + '_ {
+        let own_component = self.component.get(&number).copied();
+        self.component
+            .iter()
+            .filter(move |(other, component)| Some(**component) == own_component || **other == number)
+            .map(|(other, _)| *other)
     }
 
     /// Whether both ran within reach of one another for so long that neither may hold the other for gone.
     #[must_use]
-    pub fn has_long_reached(&self, a: usize, b: usize, now: Ns) -> bool {
-        let long = |n: usize| self.since.get(&n).is_some_and(|at| now - at >= LONG);
+    pub fn were_long_connected(&self, a: usize, b: usize, now: Ns) -> bool {
+        let is_stable = |n: usize| self.stable_since.get(&n).is_some_and(|at| now - at >= STABLE_AFTER);
         let (of_a, of_b) = (self.component.get(&a), self.component.get(&b));
-        of_a.is_some() && of_a == of_b && long(a) && long(b)
+        of_a.is_some() && of_a == of_b && is_stable(a) && is_stable(b)
     }
 
     /// Those that reach one another both ways, directly or over others.
-    fn join(&mut self, now: Ns) {
-        let alive: Vec<usize> = self.running.difference(&self.stopped).copied().collect();
+    fn update_components(&mut self, now: Ns) {
+        let responsive: Vec<usize> = self.running.difference(&self.stalled).copied().collect();
         let mut component: BTreeMap<usize, usize> = BTreeMap::new();
-        for &first in &alive {
+        for &first in &responsive {
             if component.contains_key(&first) {
                 continue;
             }
-            let mut front = vec![first];
+            let mut pending = vec![first];
             component.insert(first, first);
-            while let Some(a) = front.pop() {
-                for &b in &alive {
-                    let joined = !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a));
-                    if joined && !component.contains_key(&b) {
-                        component.insert(b, first);
-                        front.push(b);
+            while let Some(from) = pending.pop() {
+                for &to in &responsive {
+                    let connected = !self.cuts.contains(&(from, to)) && !self.cuts.contains(&(to, from));
+                    if connected && !component.contains_key(&to) {
+                        component.insert(to, first);
+                        pending.push(to);
                     }
                 }
             }
         }
-        for (&number, of) in &component {
-            if self.component.get(&number) != Some(of) {
-                self.since.insert(number, now);
+        for (&number, component_of) in &component {
+            if self.component.get(&number) != Some(component_of) {
+                self.stable_since.insert(number, now);
             }
         }
         self.component = component;
--- a/crates/serve/nickelshed/src/fleet.rs
+++ b/crates/serve/nickelshed/src/fleet.rs
@@ -5,8 +5,10 @@
 use crate::inbox::Input;
 use book::Book;
 use nickelshed_config::sidecar::Membership;
-use nickelshed_fleet::parts::Parts;
-use nickelshed_fleet::{Config, Facts, Fleet, Input as Told, Ns, Output, Seal, MOST};
+use nickelshed_fleet::parts::LimitQuota;
+use nickelshed_fleet::{
+    Authenticator, Config, Fleet, Input as Told, MemberInfo, Ns, Output, MAX_DATAGRAM_BYTES,
+};
 use nickelshed_host::{Datagrams, Host};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -41,11 +43,11 @@
 
 /// What a member is told of its fleet.
 pub struct Fellowship {
-    facts: Facts,
+    facts: MemberInfo,
     seeds: Vec<SocketAddr>,
     listen: SocketAddr,
     book: Book,
-    seal: Seal,
+    seal: Authenticator,
     seed: u64,
     /// How many senders the settings name.
     planned: usize,
@@ -82,7 +84,7 @@
             }
         };
         Ok(Fellowship {
-            facts: Facts {
+            facts: MemberInfo {
                 name: membership.member.clone().unwrap_or_else(|| application.to_string()),
                 address: membership.reached_at(),
                 site: membership.site.clone(),
@@ -92,7 +94,7 @@
             seeds: membership.seeds.clone(),
             listen: membership.listen,
             book: Book::Plain,
-            seal: Seal::new(&membership.name, &key),
+            seal: Authenticator::new(&membership.name, &key),
             seed,
             planned,
         })
@@ -115,7 +117,7 @@
         }
         let places = (0..notes.peers.len()).filter(|n| *n != number);
         Some(Fellowship {
-            facts: Facts {
+            facts: MemberInfo {
                 name: name.to_string(),
                 address: Book::place(number)?,
                 site: site.to_string(),
@@ -126,7 +128,7 @@
             listen: notes.listen,
             book: Book::Led(notes.peers),
             // Nobody else can reach that socket; the check is against what is spoilt.
-            seal: Seal::new("platform", &[]),
+            seal: Authenticator::new("platform", &[]),
             seed,
             planned,
         })
@@ -144,7 +146,7 @@
     socket: D,
     book: Book,
     fleet: Fleet,
-    parts: Parts,
+    parts: LimitQuota,
     core: mpsc::Sender<Input>,
     room: Rc<Room>,
     began: Instant,
@@ -175,15 +177,21 @@
     }
     let member = told.facts.name.clone();
     tracing::info!(member, start, listen = %told.listen, "a member of the fleet");
-    let config =
-        Config { facts: told.facts, start, seeds: told.seeds, seal: told.seal, rate: RATE, seed: told.seed };
+    let config = Config {
+        info: told.facts,
+        start_number: start,
+        seeds: told.seeds,
+        authenticator: told.seal,
+        max_bytes_per_s: RATE,
+        random_seed: told.seed,
+    };
     let mut front = Front {
         socket,
         fleet: Fleet::new(config, 0),
         parts: if matches!(told.book, Book::Led(_)) {
-            Parts::closed(told.planned, 0)
+            LimitQuota::fixed(told.planned, 0)
         } else {
-            Parts::new(told.planned, 0)
+            LimitQuota::new(told.planned, 0)
         },
         book: told.book,
         core,
@@ -192,7 +200,7 @@
         senders: told.planned,
     };
     front.look();
-    let mut buffer = [0; MOST + 1];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     let mut look = Instant::now() + LOOK;
     loop {
         let wake = front.instant(front.fleet.wake_at()).min(look);
@@ -243,7 +251,7 @@
                         self.socket.send(&bytes, to);
                     }
                 }
-                Output::Keep { start } => {
+                Output::Persist { start_number: start } => {
                     // A core with no room for it: the next process learns from the others again.
                     let _ = self.core.try_send(Input::Start(start));
                 }
@@ -252,19 +260,19 @@
                     tracing::info!(
                         member = name,
                         change,
-                        present = self.fleet.present(),
+                        present = self.fleet.present_count(),
                         "the view of the fleet has changed"
                     );
                     changed = true;
                 }
-                Output::NameTaken { by } => {
+                Output::NameConflict { by } => {
                     tracing::error!(
-                        start = by.start,
+                        start = by.start_number,
                         "another process has this member's name; this one is silent from now on"
                     );
                     changed = true;
                 }
-                Output::StoodStill { time } => {
+                Output::Stalled { duration: time } => {
                     tracing::warn!(
                         ms = time / 1_000_000,
                         "stood still; its view is old, and its part of each limit small until it is not"
@@ -282,16 +290,16 @@
     fn look(&mut self) {
         let now = self.now();
         if let Some(left) = self.room.take() {
-            self.parts.room(now, left);
+            self.parts.record_headroom(now, left);
         }
-        let seen = self.fleet.seen();
-        self.parts.see(now, &seen);
+        let seen = self.fleet.membership_summary();
+        self.parts.update(now, &seen);
         // Rounded up: a part is never more than the view allows.
-        let senders = (self.parts.senders() - 1e-9).ceil().max(1.0) as usize;
+        let senders = (self.parts.sender_count() - 1e-9).ceil().max(1.0) as usize;
         // Not waited for: a member that waits for its core is late with its own answers. The next look tries again.
         if senders != self.senders && self.core.try_send(Input::Senders(senders)).is_ok() {
             self.senders = senders;
-            tracing::info!(senders, present = self.fleet.present(), "each limit is shared among");
+            tracing::info!(senders, present = self.fleet.present_count(), "each limit is shared among");
         }
     }
 }
--- a/crates/serve/nickelshed/tests/members.rs
+++ b/crates/serve/nickelshed/tests/members.rs
@@ -20,9 +20,9 @@
          [[class]]\nname = \"alert\"\nwanted_within = \"3s\"\nabandoned_after = \"16s\"\neffect = \"keyed\"\n\
          repeat_window = \"16s\"\n\
          [[destination]]\nname = \"gmina\"\nnumber = 7\nendpoints = [\"{endpoint}\"]\n",
-        relay.member(number),
-        relay.front(number),
-        relay.front(usize::from(number == 0)),
+        relay.member_address(number),
+        relay.relay_address(number),
+        relay.relay_address(usize::from(number == 0)),
     )
 }
 
@@ -81,8 +81,8 @@
 
     /// Until so many more datagrams have passed between the members.
     fn until_passed(&self, more: u64) {
-        let from = self.relay.passed();
-        self.nodes[0].until("datagrams pass", || self.relay.passed() > from + more);
+        let from = self.relay.relayed_count();
+        self.nodes[0].until("datagrams pass", || self.relay.relayed_count() > from + more);
     }
 }
 
@@ -191,14 +191,14 @@
 #[test]
 fn a_fifth_lost_and_all_others_twice_leave_nobody_gone_and_floods_change_nothing() {
     let fleet = Fleet::new(4);
-    fleet.relay.spoil(20, true);
+    fleet.relay.impair(20, true);
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     for number in 0..4_000u32 {
         let bytes: Vec<u8> = (0..number % 300).map(|b| (b * 7 + number) as u8).collect();
-        stranger.send_to(&bytes, fleet.relay.member(number as usize % 4)).unwrap();
+        stranger.send_to(&bytes, fleet.relay.member_address(number as usize % 4)).unwrap();
     }
     fleet.until_passed(1_000);
     fleet.nobody_gone();
-    fleet.relay.spoil(0, false);
+    fleet.relay.impair(0, false);
     (0..4).for_each(|n| fleet.until_present(n, 4));
 }
--- a/crates/tools/nickelshed-config/src/check.rs
+++ b/crates/tools/nickelshed-config/src/check.rs
@@ -5,7 +5,7 @@
 use crate::source::{nearest, Source, Step};
 use crate::url;
 use nickelshed_budget::{messages_in_memory, messages_on_disk, Sockets};
-use nickelshed_fleet::{MOST_NAME, MOST_SITE};
+use nickelshed_fleet::{MAX_NAME_BYTES, MAX_SITE_BYTES};
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Component, Path, PathBuf};
@@ -423,7 +423,8 @@
         let name_at: &[Step] =
             if fleet.member.is_some() { path!["fleet", "member"] } else { path!["application"] };
         let site_at: &[Step] = path!["fleet", "site"];
-        for (name, most, path) in [(member, MOST_NAME, name_at), (&fleet.site, MOST_SITE, site_at)] {
+        for (name, most, path) in [(member, MAX_NAME_BYTES, name_at), (&fleet.site, MAX_SITE_BYTES, site_at)]
+        {
             if name.len() > most {
                 let what = format!("`{name}` has {} bytes, and {most} are the most", name.len());
                 self.say(Code::LongName, path, what);
--- a/crates/tools/nickelshed-ctl/src/lib.rs
+++ b/crates/tools/nickelshed-ctl/src/lib.rs
@@ -259,7 +259,7 @@
     loop {
         let look = members::look(&sidecar, folder)?;
         // How long each has been there is no change.
-        let told = (look.stand, look.members.iter().map(|m| m.claim).collect::<Vec<_>>());
+        let told = (look.stand, look.members.iter().map(|m| m.status).collect::<Vec<_>>());
         if before.as_ref() != Some(&told) {
             before = Some(told);
             print(&if json { format!("{}\n", look.json()) } else { look.text() });
