--- a/crates/decide/nickelshed-fleet/src/budget.rs
+++ b/crates/decide/nickelshed-fleet/src/budget.rs
@@ -1,19 +1,20 @@
-//! The one bound on what a member sends: bytes a second, whatever the fleet's size and whoever asks.
+//! Limits the bytes per second that a member sends, whatever the size of the fleet and the number of requests
+//! it receives.
 use crate::Ns;
 
 const NS_PER_SECOND: f64 = 1e9;
 
-/// What may be saved up, in seconds of the rate.
+/// Unused bytes are saved up for at most this many seconds of the rate.
 const BURST_SECONDS: f64 = 1.0;
 
-/// How much of what is saved up is left for what matters more.
+/// Importance of a datagram. The less important it is, the more saved bytes it has to leave for others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Priority {
-    /// An answer: without it one that is there is taken for gone.
+    /// A reply to a probe. Without it a live member is declared failed.
     Reply,
-    /// A question.
+    /// A probe, or a request for one.
     Request,
-    /// An exchange of what views lack, which comes again.
+    /// Anti-entropy between views, which is repeated later anyway.
     Background,
 }
 
@@ -32,12 +33,12 @@
     bytes_per_s: f64,
     available: f64,
     refilled_at: Ns,
-    /// Datagrams that were not sent for want of it.
+    /// Datagrams that were not sent because the budget was used up.
     pub withheld: u64,
 }
 
 impl Budget {
-    /// `rate`: bytes a second.
+    /// Starts with all bytes that can be saved up.
     #[must_use]
     pub fn new(bytes_per_s: u32, now: Ns) -> Budget {
         Budget {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Whether so many bytes may be sent now; they are then used up. What weighs less may only use what is left over.
+    /// Spends `bytes` if that leaves the reserve of this priority, and returns whether it did.
     pub fn try_spend(&mut self, now: Ns, bytes: usize, priority: Priority) -> bool {
         let refill = (now - self.refilled_at).max(0) as f64 / NS_PER_SECOND * self.bytes_per_s;
         self.available = (self.available + refill).min(self.bytes_per_s * BURST_SECONDS);
--- a/crates/decide/nickelshed-fleet/src/datagram.rs
+++ b/crates/decide/nickelshed-fleet/src/datagram.rs
@@ -1,13 +1,15 @@
-//! What members send one another: at most 256 bytes, sealed, in fields that an older member may skip.
+//! Wire format between members: datagrams of at most 256 bytes, authenticated, made of fields that an older
+//! member can skip.
 //!
-//! A version, a kind, the fleet's tag, and a seal of eight bytes over all of it; then fields of a tag, a length and so
-//! many bytes. A tag that is not known is passed over, so members of unlike programs understand one another.
+//! A datagram holds a format version, a kind, the fleet's tag and a MAC of eight bytes over all of it, then
+//! fields of a tag, a length and a value. Unknown tags are skipped, so members with different versions of the
+//! program understand one another.
 use crate::member::{Incarnation, MemberId, MemberInfo, MemberStatus, State, MAX_NAME_BYTES, MAX_SITE_BYTES};
 use std::net::{IpAddr, SocketAddr};
 
-/// The platform takes no longer one.
+/// The platform carries no longer datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// Of the form. A greater one is of a program that has broken with it.
+/// Version of the format. A greater one means an incompatible format of a later program.
 const FORMAT_VERSION: u8 = 1;
 const HEADER_BYTES: usize = 6;
 const MAC_BYTES: usize = 8;
@@ -26,9 +28,9 @@
     pub const LISTED_PREFIX: u8 = 11;
 }
 
-/// How many children each part of a view has that marks are compared of.
+/// Number of children that an id prefix is split into, one per value of the next four bits.
 pub const CHILDREN_PER_PREFIX: usize = 16;
-/// Accusers that are named of one suspect; more change nothing.
+/// Greatest number of reporters of one suspect; more would not shorten its timeout.
 pub const MAX_REPORTERS: usize = 5;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,9 +38,10 @@
 pub enum DatagramKind {
     Ping = 1,
     Ack = 2,
-    /// Please ask the target for me (SWIM, section 3.1: `ping-req`).
+    /// Asks the recipient to probe the target on behalf of this member (SWIM, section 3.1: `ping-req`).
     PingReq = 3,
-    /// It has not answered me either (Lifeguard, section IV.A: `nack`).
+    /// The target has not answered the member that was asked to probe it either (Lifeguard, section IV.A:
+    /// `nack`).
     Nack = 4,
     Sync = 5,
 }
@@ -51,14 +54,14 @@
     }
 }
 
-/// A piece of a view: all ids that begin with so many half bytes of `prefix`.
+/// A part of the id space: all ids whose first `depth` hexadecimal digits are those of `bits`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IdPrefix {
     pub depth: u8,
     pub bits: u64,
 }
 
-/// Beyond it ids are told apart one by one.
+/// Greatest depth of a prefix; beyond it single members are compared.
 pub const MAX_PREFIX_DEPTH: u8 = 15;
 
 impl IdPrefix {
@@ -80,14 +83,15 @@
         IdPrefix { depth: self.depth + 1, bits: self.bits & self.mask() | (index as u64) << shift }
     }
 
-    /// Which child an id that it holds is in.
+    /// Returns the index of the child that holds `id`, which has to have this prefix.
     #[must_use]
     pub fn child_index(self, id: MemberId) -> usize {
         (id.0 >> (60 - 4 * u32::from(self.depth.min(MAX_PREFIX_DEPTH)))) as usize % CHILDREN_PER_PREFIX
     }
 }
 
-/// Marks of all children of a part, under a salt, so that what one salt hides the next one shows.
+/// Digests of all children of a prefix. Each exchange has its own salt, so that views whose digests collide
+/// under one salt differ under the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChildDigests {
     pub prefix: IdPrefix,
@@ -95,41 +99,41 @@
     pub digests: [u32; CHILDREN_PER_PREFIX],
 }
 
-/// A claim, and who is known to accuse its member.
+/// A member status, with the known reporters if it is a suspect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatusUpdate {
     pub status: MemberStatus,
     pub reporters: Vec<u32>,
 }
 
-/// A claim with the facts of its member.
+/// A member status with the member's metadata.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberRecord {
     pub status: MemberStatus,
     pub info: MemberInfo,
-    /// For how many seconds it has been in that state, as far as its teller knows.
+    /// How many seconds it has been in that state, as far as the sending member knows.
     pub seconds_in_state: u16,
 }
 
-/// One datagram, read.
+/// A parsed datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     pub kind: DatagramKind,
-    /// Of its sender, as it sees itself; none if it only observes.
+    /// Status of the sending member as it sees itself; `None` if an observer sent it.
     pub sender_status: Option<MemberStatus>,
     pub seq: u32,
     pub target: MemberId,
-    /// Where the target is.
+    /// Where to probe the target.
     pub target_address: Option<SocketAddr>,
-    /// The mark of the sender's whole view.
+    /// Digest of the sending member's whole view.
     pub view_digest: Option<u64>,
-    /// In 255ths of what the sender can carry.
+    /// Load of the sending member, in 255ths of its capacity.
     pub load: u8,
     pub updates: Vec<StatusUpdate>,
     pub records: Vec<MemberRecord>,
     pub wanted_records: Vec<MemberId>,
     pub digests: Vec<ChildDigests>,
-    /// Parts of which the news here is all that its sender holds.
+    /// Prefixes for which this datagram lists all members that its sender advertises.
     pub listed_prefixes: Vec<IdPrefix>,
 }
 
@@ -138,16 +142,16 @@
 pub enum DropReason {
     TooLong,
     TooShort,
-    /// Its form is of a later program.
+    /// Its format is that of a later program.
     NewerVersion,
     OtherFleet,
-    /// Its seal is not that of the fleet's key, or it was changed on its way.
+    /// Its MAC does not match the key of this fleet: another key, or a change in transit.
     NotAuthentic,
-    /// Sealed by the key, and yet not in the form.
+    /// Authenticated by the key, but malformed.
     Malformed,
 }
 
-/// The fleet's name and key, as every datagram proves them.
+/// The fleet's name and key, by which every datagram is authenticated.
 #[derive(Clone)]
 pub struct Authenticator {
     fleet_tag: [u8; 4],
@@ -155,14 +159,14 @@
 }
 
 impl std::fmt::Debug for Authenticator {
-    // A key has no place in a log.
+    // Leaves out the key, which must not appear in a log.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Seal").field("tag", &self.fleet_tag).finish_non_exhaustive()
     }
 }
 
 impl Authenticator {
-    /// Of a fleet's name and the bytes of its key, which may be empty where the network is trusted.
+    /// Derives both from the fleet's name and the bytes of its key, which may be empty on a trusted network.
     #[must_use]
     pub fn new(fleet: &str, key: &[u8]) -> Authenticator {
         let name_key = blake3::derive_key("nickelshed fleet datagrams, name", fleet.as_bytes());
@@ -179,7 +183,7 @@
     }
 }
 
-/// A datagram that is being written, field by field.
+/// Writes a datagram, field by field.
 pub struct DatagramWriter {
     bytes: Vec<u8>,
 }
@@ -193,7 +197,7 @@
         DatagramWriter { bytes }
     }
 
-    /// Adds a field if it fits; whether it did.
+    /// Appends a field if it fits, and returns whether it did.
     fn write_field(&mut self, tag: u8, value: &[u8]) -> bool {
         if self.bytes.len() + 2 + value.len() > MAX_DATAGRAM_BYTES {
             return false;
@@ -231,7 +235,7 @@
         self.write_field(tag::LOAD, &[load]);
     }
 
-    /// Whether it fitted; the same for those below.
+    /// Returns whether it fitted, as all methods below that return `bool` do.
     pub fn update(&mut self, update: &StatusUpdate) -> bool {
         let mut value = Vec::new();
         put_status(&mut value, &update.status);
@@ -241,7 +245,7 @@
         self.write_field(tag::UPDATE, &value)
     }
 
-    /// `age`: for how many seconds it has been in that state.
+    /// `seconds_in_state`: how long the member has been in that state.
     pub fn record(&mut self, status: &MemberStatus, info: &MemberInfo, seconds_in_state: u16) -> bool {
         let mut value = Vec::new();
         put_status(&mut value, status);
@@ -276,7 +280,7 @@
         self.write_field(tag::LISTED_PREFIX, &value)
     }
 
-    /// A field of any tag: what a later program may write.
+    /// Appends a field with any tag, as a later program may write it.
     pub fn raw_field(&mut self, tag: u8, value: &[u8]) -> bool {
         self.write_field(tag, value)
     }
@@ -286,12 +290,12 @@
         self.bytes.len()
     }
 
-    /// Takes back what was written beyond that length.
+    /// Removes what was written beyond this length.
     pub(crate) fn truncate(&mut self, length: usize) {
         self.bytes.truncate(length);
     }
 
-    /// Seals it.
+    /// Adds the fleet's tag and the MAC, and returns the datagram.
     #[must_use]
     pub fn finish(mut self, authenticator: &Authenticator) -> Vec<u8> {
         self.bytes[2..HEADER_BYTES].copy_from_slice(&authenticator.fleet_tag);
@@ -325,7 +329,7 @@
     }
 }
 
-/// Bytes that are left to read; every read of more than there is says so.
+/// Bytes still to be read. Each method returns `None` if fewer are left than it needs.
 struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
@@ -406,10 +410,10 @@
     }
 }
 
-/// Reads a datagram. What it makes is never larger than a small multiple of the bytes.
+/// Parses a datagram. The result is never larger than a small multiple of the datagram.
 ///
 /// # Errors
-/// Why it is none of this fleet's.
+/// Returns why the datagram is not one of this fleet.
 pub fn parse_datagram(bytes: &[u8], authenticator: &Authenticator) -> Result<Datagram, DropReason> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DropReason::TooLong);
@@ -426,16 +430,16 @@
     if header[2..] != authenticator.fleet_tag {
         return Err(DropReason::OtherFleet);
     }
-    // Both are hashes: comparing them in constant time is the library's.
+    // Both are MACs, so they are compared in constant time.
     if !constant_time_eq(&authenticator.mac(header, body), mac) {
         return Err(DropReason::NotAuthentic);
     }
-    // A kind that is not known is of a program ahead within the same form.
+    // An unknown kind comes from a later program that uses the same format.
     let kind = DatagramKind::from_byte(header[1]).ok_or(DropReason::NewerVersion)?;
     parse_fields(kind, body).ok_or(DropReason::Malformed)
 }
 
-/// Takes the same time wherever they differ, so that a seal can't be guessed byte by byte.
+/// Takes the same time wherever the two differ, so that a MAC cannot be guessed byte by byte.
 fn constant_time_eq(expected: &[u8; MAC_BYTES], received: &[u8]) -> bool {
     received.len() == MAC_BYTES
         && expected.iter().zip(received).fold(0, |difference, (left, right)| difference | (left ^ right)) == 0
@@ -459,7 +463,7 @@
     let mut reader = Reader(body);
     while !reader.0.is_empty() {
         let (tag, length) = (reader.u8()?, reader.u8()?);
-        // What a later program adds at the end of a field is passed over too.
+        // What a later program appends to a field is skipped too.
         let mut field = Reader(reader.read_bytes(usize::from(length))?);
         match tag {
             tag::SENDER => datagram.sender_status = Some(field.status()?),
--- a/crates/decide/nickelshed-fleet/src/fleet.rs
+++ b/crates/decide/nickelshed-fleet/src/fleet.rs
@@ -1,5 +1,6 @@
-//! One member of a fleet: datagrams and time in, datagrams and verdicts out. Probes, suspicion, refutation and gossip
-//! after SWIM and Lifeguard; what two views lack of one another is `sync.rs`.
+//! The protocol of one member: datagrams and timers in, datagrams and changes of the view out. Probes,
+//! suspicion, refutation and gossip follow SWIM and Lifeguard; the exchange of what two views lack is in
+//! `sync.rs`.
 use crate::budget::{Budget, Priority};
 use crate::datagram::{
     parse_datagram, Authenticator, Datagram, DatagramKind, DatagramWriter, DropReason, MemberRecord,
@@ -19,52 +20,55 @@
 pub(crate) const MS: Ns = 1_000_000;
 pub(crate) const SECOND: Ns = 1_000 * MS;
 
-/// One other member is asked in each period (SWIM, section 3.1).
+/// Each member probes one other member per interval (SWIM, section 3.1).
 pub const PROBE_INTERVAL: Ns = 250 * MS;
-/// An answer is late after this; the member is then asked once more, and helpers ask it too.
+/// Without an ack after this time a probe is repeated, by this member and by others on its behalf.
 const ACK_TIMEOUT: Ns = 120 * MS;
-/// A probe has failed after this, if nobody had an answer.
+/// Without any ack after this time a probe has failed.
 const PROBE_TIMEOUT: Ns = 400 * MS;
-/// Helpers that are asked to ask (SWIM, section 3.1: k).
+/// Members that are asked for an indirect probe (SWIM, section 3.1: k).
 const INDIRECT_PROBES: usize = 3;
-/// Of those that hear of a suspicion about so many ask the suspect at once, so that it hears of it, and the innocent are
-/// cleared by more than one answer.
+/// About this many of the members that learn of a suspicion probe the suspect at once, so that it learns of
+/// the suspicion too, and a live member is cleared by more than one ack.
 const SUSPECT_VERIFIERS: f64 = 8.0;
-/// One that is gone, or a seed, is asked so often, so that a partition that has healed is found.
+/// Interval at which a failed member or a seed is pinged, so that the end of a partition is noticed.
 const RECONNECT_INTERVAL: Ns = SECOND;
 const MAX_RECONNECT_PINGS: usize = 4;
-/// Before another's word that a member is gone is taken, that has been suspect here for so long; one that was heard
-/// itself lately is asked once more.
+/// How long a member has to be a suspect here before another member's report that it has failed is accepted.
+/// A member that was in contact within `RECENT_CONTACT` is probed once more first.
 const CONFIRM_FAILURE_TIMEOUT: Ns = 1_200 * MS;
 const RECENT_CONTACT: Ns = 3 * SECOND;
-/// Others are told of one that is gone for so long, and it is remembered for a while longer, as clocks differ.
+/// For this long others are told of a failed member. It is remembered for a while longer, because clocks
+/// differ.
 const ADVERTISE_FAILED_FOR: Ns = 3_600 * SECOND;
 const KEEP_FAILED_FOR: Ns = ADVERTISE_FAILED_FOR + 120 * SECOND;
-/// A process takes over its name from an earlier life for so long after its start; later on another life of its name
-/// is another process.
+/// Within this time after its start, a process that learns of a greater incarnation of its name takes the
+/// name over with a higher start number. Later on, such an incarnation belongs to another process, which is a
+/// name conflict.
 const NAME_TAKEOVER_WINDOW: Ns = 10 * SECOND;
-/// A timer that comes so late says that the process stood still.
+/// A timer that is this late shows that the process was stalled.
 const STALL_THRESHOLD: Ns = 250 * MS;
-/// How often suspects are looked through, at most.
+/// Shortest interval between two checks of the suspects.
 const SUSPECT_CHECK_INTERVAL: Ns = 50 * MS;
-/// After a standstill of this length its own verdicts wait, as all it knows is old.
+/// After a stall of this length the member declares no failures for the time below, because all that it knows
+/// is old.
 const LONG_STALL: Ns = SECOND;
 const STALL_RECOVERY: Ns = 2 * SECOND;
-/// With nobody to join it counts as joined after this.
+/// A member that finds no other one counts as joined after this time.
 const LONE_JOIN_TIMEOUT: Ns = 3 * SECOND;
-/// Refutations within this time that did not help say that others do not hear it.
+/// A member that is declared failed again within this time despite its refutation concludes that the others
+/// do not receive from it.
 const REPEATED_FAILURE_WINDOW: Ns = 10 * SECOND;
 
-/// What a member is told at its start.
+/// Configuration of a member at its start.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub info: MemberInfo,
-    /// Greater than at any earlier start of this name, as far as its folder knows.
+    /// Greater than at any earlier start of this name, as far as the state folder shows.
     pub start_number: u32,
-    /// Members that are asked for the others. Its own address among them is passed over.
+    /// Members from which the others are learned. Its own address among them is ignored.
     pub seeds: Vec<SocketAddr>,
     pub authenticator: Authenticator,
-    /// Bytes a second that it may send.
     pub max_bytes_per_s: u32,
     pub random_seed: u64,
 }
@@ -76,22 +80,24 @@
         bytes: &'a [u8],
     },
     Timer,
-    /// In 255ths of what this member can carry.
+    /// Load in 255ths of this member's capacity.
     Load(u8),
-    /// The settings were replaced: this is another life with the next start.
+    /// The settings were replaced: starts an incarnation with the next start number.
     Settings(u32),
-    /// It ends on purpose: others need not look for it.
+    /// The process ends on purpose, so the others need not probe it.
     Leave,
 }
 
+/// Change of a member in the view. Logs write the name of the variant, in lower case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     Joined,
-    /// Another life of a name that was known.
+    /// Another process run of a known name.
     Returned,
     Suspected,
-    /// It has said that it is there.
+    /// It has refuted a suspicion or failure.
     Refuted,
+    /// Declared failed.
     Gone,
     Left,
 }
@@ -102,7 +108,7 @@
         to: SocketAddr,
         bytes: Vec<u8>,
     },
-    /// To be written into the state folder: no later life may start with it or less.
+    /// To be persisted in the state folder: no later process run may start with this number or a lower one.
     Persist {
         start_number: u32,
     },
@@ -111,17 +117,17 @@
         name: String,
         change: Change,
     },
-    /// A later life of this member's name is elsewhere: this one is silent from now on.
+    /// A later process run uses this member's name; this one sends nothing from now on.
     NameConflict {
         by: Incarnation,
     },
-    /// The process stood still for so long.
+    /// The process was stalled for this long.
     Stalled {
         duration: Ns,
     },
 }
 
-/// What was dropped or kept back, since the start.
+/// Counters since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub sent: u64,
@@ -132,7 +138,7 @@
     pub failures_declared: u64,
 }
 
-/// A member that is being asked.
+/// A probe in flight.
 struct Probe {
     target: MemberId,
     address: SocketAddr,
@@ -144,7 +150,7 @@
     nacked: bool,
 }
 
-/// A member that is asked for another.
+/// A probe on behalf of another member.
 struct RelayedProbe {
     requester: SocketAddr,
     requester_seq: u32,
@@ -152,6 +158,7 @@
     deadline: Ns,
 }
 
+/// Protocol state of one member of a fleet.
 pub struct Fleet {
     pub(crate) authenticator: Authenticator,
     seeds: Vec<SocketAddr>,
@@ -160,9 +167,10 @@
     pub(crate) now: Ns,
     pub(crate) random: Random,
     pub(crate) view: View,
-    /// Whom to ask, in an order drawn anew each time round (SWIM, section 4.3).
+    /// Members still to be probed in this round, in an order that is shuffled for each round (SWIM, section
+    /// 4.3).
     probe_order: Vec<MemberId>,
-    /// Addresses where somebody may be again that are still to be asked in this round.
+    /// Addresses of failed members and unknown seeds still to be pinged in this round.
     reconnect_order: Vec<SocketAddr>,
     probes: BTreeMap<u32, Probe>,
     relayed_probes: BTreeMap<u32, RelayedProbe>,
@@ -174,15 +182,15 @@
     probe_at: Ns,
     reconnect_at: Ns,
     pub(crate) sync_at: Ns,
-    /// A member whose mark differed when it was last heard.
+    /// The last member received from whose view digest differed.
     pub(crate) differing_peer: Option<(MemberId, SocketAddr)>,
-    /// Those whose mark was heard lately: whether it was this one's.
+    /// Members whose view digest was received recently: when, and whether it equals this member's.
     peer_agreement: BTreeMap<MemberId, (Ns, bool)>,
     declare_failures_from: Ns,
     suspects_checked_at: Ns,
     started_at: Ns,
     inactive: bool,
-    /// When it last had to refute that it is gone, and how often in a row.
+    /// When the member last had to refute that it has failed, and how many times in a row.
     declared_failed: (Ns, u32),
     last_ack_at: Ns,
     pub(crate) counts: Counts,
@@ -230,7 +238,7 @@
         }
     }
 
-    /// Takes one input. Time never goes back.
+    /// Processes one input. Time never goes back, even if `now` does.
     pub fn handle(&mut self, now: Ns, input: Input<'_>, out: &mut Vec<Output>) {
         self.detect_stall(now, out);
         self.now = self.now.max(now);
@@ -255,7 +263,8 @@
         self.tick(out);
     }
 
-    /// When the next `Timer` is due. It is never far off: who is there is asked all the time.
+    /// Returns when the next `Timer` input is due. It is never far off, because members are probed all the
+    /// time; `Ns::MAX` if the member is inactive.
     #[must_use]
     pub fn wake_at(&self) -> Ns {
         if self.inactive {
@@ -270,37 +279,38 @@
             .unwrap_or(self.probe_at)
     }
 
-    /// This member as it claims to be.
+    /// Status and metadata of this member.
     #[must_use]
     pub fn local_member(&self) -> (&MemberStatus, &MemberInfo) {
         (&self.status, &self.info)
     }
 
-    /// All others that are known, also those that are gone.
+    /// All other known members, failed ones included.
     pub fn members(&self) -> impl Iterator<Item = &Member> + '_ {
         self.view.iter()
     }
 
-    /// How many are present, this one counted.
+    /// Number of present members, this one included.
     #[must_use]
     pub fn present_count(&self) -> usize {
         self.view.present_count() + 1
     }
 
-    /// The mark of the whole view: two that agree have the same.
+    /// Digest of the whole view; equal views have the same.
     #[must_use]
     pub fn view_digest(&self) -> u64 {
         self.view.digest().wrapping_add(digest(&self.status, 0))
     }
 
-    /// Of the members heard within the last seconds, how many hold the same set as this one, and how many were heard.
+    /// Returns, of the members whose view digest arrived recently, how many have the same view as this one,
+    /// and how many there are.
     #[must_use]
     pub fn agreement(&self) -> (usize, usize) {
         let recent = self.peer_agreement.values().filter(|(at, _)| self.now - at < RECENT_CONTACT);
         recent.fold((0, 0), |(same, all), (_, s)| (same + usize::from(*s), all + 1))
     }
 
-    /// What parts are reckoned by.
+    /// Summary of the view, from which the division of rate limits is computed.
     #[must_use]
     pub fn membership_summary(&self) -> MembershipSummary {
         let ids_where = |matches_state: fn(State) -> bool| -> Vec<MemberId> {
@@ -319,8 +329,8 @@
         }
     }
 
-    /// Whether this member may doubt itself more than the others: it stood still, is told again and again that it is
-    /// gone, or has had no answer.
+    /// Returns whether this member should doubt itself rather than the others: it was stalled, is declared
+    /// failed repeatedly, got no ack recently, or is inactive.
     #[must_use]
     pub fn is_local_health_degraded(&self) -> bool {
         let (at, count) = self.declared_failed;
@@ -329,6 +339,7 @@
         self.now < self.declare_failures_from || repeatedly_declared_failed || no_recent_ack || self.inactive
     }
 
+    /// Returns whether the member has left or lost its name to a later process run. It then sends nothing.
     #[must_use]
     pub fn is_inactive(&self) -> bool {
         self.inactive
@@ -339,8 +350,9 @@
         self.counts.clone()
     }
 
-    /// A process that was stopped wakes to deadlines that are over, and to datagrams that were not read. What should
-    /// have come meanwhile counts from now on (Lifeguard, section II: the slow member blames the others).
+    /// A stopped process resumes with timeouts that are over and datagrams that were not read. Moves these
+    /// timeouts by the length of the stall, because a slow member would otherwise blame the others
+    /// (Lifeguard, section II).
     fn detect_stall(&mut self, now: Ns, out: &mut Vec<Output>) {
         let overdue = now.saturating_sub(self.wake_at());
         if self.inactive || overdue < STALL_THRESHOLD {
@@ -392,7 +404,7 @@
         writer
     }
 
-    /// Whether the budget let it go.
+    /// Returns whether the budget allowed it.
     pub(crate) fn send(
         &mut self,
         to: Option<SocketAddr>,
@@ -411,7 +423,8 @@
         is_allowed
     }
 
-    /// Adds this member's mark and load, and what its reader must hear of itself.
+    /// Adds this member's view digest and load, and any suspicion or failure that the recipient has to
+    /// refute.
     fn write_view_state(&self, writer: &mut DatagramWriter, to: MemberId) {
         writer.view_digest(self.view_digest());
         writer.load(self.load);
@@ -420,11 +433,11 @@
         }
     }
 
-    /// Adds as much news as fits.
+    /// Adds as many status updates as fit.
     fn write_gossip(&mut self, mut writer: DatagramWriter, to: MemberId) -> DatagramWriter {
         self.write_view_state(&mut writer, to);
         let member_count = self.present_count();
-        // One that does not fit leaves its place to smaller ones, within a few tries.
+        // An update that does not fit is passed over for smaller ones, within a few tries.
         let candidates: Vec<(MemberId, bool)> = self.gossip.candidates().take(16).collect();
         for (id, with_info) in candidates {
             let fits = if id == self.status.id {
@@ -449,7 +462,7 @@
         writer
     }
 
-    /// So many members that are present, drawn at random.
+    /// Returns at most `max_count` present members that are not suspects, in random order.
     pub(crate) fn random_live_members(&mut self, max_count: usize, except: MemberId) -> Vec<MemberId> {
         let candidates =
             self.view.iter().filter(|m| m.status.state < State::Suspect && m.status.id != except);
@@ -506,7 +519,7 @@
         }
     }
 
-    /// All others are known: it is a member like them.
+    /// All other members are known, or there are none: the member is alive like the others.
     pub(crate) fn finish_joining(&mut self) {
         if self.status.state == State::Joining {
             self.status.state = State::Alive;
@@ -534,7 +547,7 @@
         let (seq, now) = (self.allocate_seq(), self.now);
         let (next_at, deadline) =
             (now + self.health.scale(ACK_TIMEOUT), now + self.health.scale(PROBE_TIMEOUT));
-        // One that was not asked, for want of budget, can't have failed to answer.
+        // A member that was not pinged, because the budget was used up, cannot have failed to answer.
         if self.ping(seq, id, address, true, out) {
             let probe = Probe {
                 target: id,
@@ -550,7 +563,8 @@
         }
     }
 
-    /// Asks a member. Only the first time is `news` carried: one that is gone is asked often, and hears none of it.
+    /// Pings a member. Only the first ping of a probe carries gossip: a failed member is pinged often and
+    /// receives none of it.
     fn ping(
         &mut self,
         seq: u32,
@@ -572,7 +586,8 @@
         self.send(Some(address), writer, Priority::Request, out)
     }
 
-    /// A probe without an answer so far: it is asked again, by others too, and has failed in the end.
+    /// Continues a probe without an ack: repeats the ping, asks others for indirect probes, and fails in the
+    /// end.
     fn continue_probe(&mut self, seq: u32, out: &mut Vec<Output>) {
         let (now, ack_timeout) = (self.now, self.health.scale(ACK_TIMEOUT));
         let Some(probe) = self.probes.get_mut(&seq) else { return };
@@ -599,7 +614,8 @@
     fn probe_failed(&mut self, seq: u32, out: &mut Vec<Output>) {
         let Some(probe) = self.probes.remove(&seq) else { return };
         let Some(member) = self.view.get(probe.target) else { return };
-        // Another life, or one that was heard meanwhile, is not the one that did not answer.
+        // The probe does not count against a member that has sent a datagram meanwhile or has a new
+        // incarnation.
         let status = member.status;
         let contacted_since = member.last_contact.is_some_and(|at| at >= probe.sent_at);
         if contacted_since || status.incarnation != probe.status.incarnation || !status.state.is_present() {
@@ -613,7 +629,8 @@
         self.view.update(probe.target, |m| m.suspicion.iter_mut().for_each(|s| s.probed_locally = true));
     }
 
-    /// Whose time to refute is over is gone, if this member has asked it in vain itself.
+    /// Declares suspects failed whose time to refute is over, if this member itself has probed them without
+    /// an ack or another one has reported the failure.
     fn check_suspects(&mut self, out: &mut Vec<Output>) {
         let (now, member_count) = (self.now, self.present_count());
         if now < self.declare_failures_from {
@@ -640,29 +657,30 @@
                 self.counts.failures_declared += 1;
                 self.set_status(MemberStatus { state: State::Failed, ..status }, out);
             } else if self.random.chance(SUSPECT_VERIFIERS / member_count as f64) {
-                // Mostly another's verdict comes first; not all have to ask one that is gone.
+                // Mostly another member's declaration comes first, so not all members need to probe a failed
+                // one.
                 self.probe(status.id, out);
             }
         }
     }
 
-    /// Asks some that are gone, or seeds that are not known, as a partition may have healed: each once in a round.
+    /// Pings some failed members or unknown seeds, because a partition may have ended: each once per round.
     fn reconnect(&mut self, out: &mut Vec<Output>) {
         let is_present = |m: &&Member| m.status.state.is_present();
         let present_addresses: Vec<SocketAddr> =
             self.view.iter().filter(is_present).map(|m| m.info.address).collect();
         let failed = self.view.iter().filter(|m| m.status.state == State::Failed).map(|m| m.info.address);
         let mut addresses: Vec<SocketAddr> = failed.chain(self.seeds.iter().copied()).collect();
-        addresses.retain(|at| !present_addresses.contains(at));
+        addresses.retain(|address| !present_addresses.contains(address));
         addresses.sort_unstable();
         addresses.dedup();
         if addresses.is_empty() {
             return;
         }
-        // The fewer are left, the more each of them has to ask.
+        // The fewer members are left, the more addresses each of them has to ping.
         let count = (addresses.len() / self.present_count()).clamp(1, MAX_RECONNECT_PINGS);
         for _ in 0..count {
-            self.reconnect_order.retain(|at| addresses.contains(at));
+            self.reconnect_order.retain(|address| addresses.contains(address));
             if self.reconnect_order.is_empty() {
                 self.reconnect_order.clone_from(&addresses);
                 self.random.shuffle(&mut self.reconnect_order);
@@ -676,7 +694,7 @@
             let seq = self.allocate_seq();
             let mut writer = self.new_datagram(DatagramKind::Ping);
             writer.seq(seq);
-            // Whoever is at that address may answer: its name may have gone elsewhere.
+            // Any member at that address may answer, because the name that was known there may have moved.
             writer.target(MemberId::UNSPECIFIED);
             self.write_view_state(&mut writer, id);
             writer.record(&self.status, &self.info, 0);
@@ -706,7 +724,7 @@
 
     fn handle_datagram(&mut self, from: SocketAddr, datagram: Datagram, out: &mut Vec<Output>) {
         let mut reply = crate::sync::SyncReply::default();
-        // Its facts first: its claim alone says nothing of one that is not known.
+        // Records first, because a status alone is not enough to add an unknown member.
         for record in &datagram.records {
             self.apply_status(record.status, Some(record), &[], &datagram, &mut reply, out);
         }
@@ -748,7 +766,7 @@
         self.send_reply(from, reply, out);
     }
 
-    /// A datagram of its own says that a member is there, and how its view stands to this one.
+    /// Notes that a member sent this datagram itself, and compares its view digest with this member's.
     fn record_contact(&mut self, status: MemberStatus, from: SocketAddr, datagram: &Datagram) {
         let now = self.now;
         let is_same = |m: &Member| m.status.incarnation.is_same_run(status.incarnation);
@@ -758,7 +776,8 @@
         self.view.update(status.id, |m| {
             m.last_contact = Some(now);
             m.load = datagram.load;
-            // It has still to hear that it is doubted, and to say otherwise; but nobody who hears it takes it for gone.
+            // The member may not know of the suspicion yet, and so not have refuted it; but no member that
+            // receives from it declares it failed.
             m.suspicion.iter_mut().for_each(|s| s.restart(now));
         });
         let Some(view_digest) = datagram.view_digest else { return };
@@ -775,7 +794,8 @@
     fn answer_ping(&mut self, from: SocketAddr, datagram: &Datagram, out: &mut Vec<Output>) {
         let own = self.status.id;
         if datagram.target != own && datagram.target != MemberId::UNSPECIFIED {
-            // It looks for another, that had this address: no answer of this member may pass for one of that.
+            // The sender looks for another member that had this address. No reply of this one may pass for an
+            // ack of that one.
             let mut writer = self.new_datagram(DatagramKind::Sync);
             writer.record(&self.status, &self.info, 0);
             self.send(Some(from), writer, Priority::Background, out);
@@ -789,7 +809,7 @@
         }
         let writer = match datagram.sender_status {
             Some(prober) => self.write_gossip(writer, prober.id),
-            // One that only observes takes no news from those that need it.
+            // An observer gets no gossip, because each transmission to it would be lost to the members.
             None => {
                 self.write_view_state(&mut writer, MemberId::UNSPECIFIED);
                 writer
@@ -816,13 +836,13 @@
         if self.probes.get(&datagram.seq).is_some_and(|p| p.target == datagram.target) {
             self.probes.remove(&datagram.seq);
             self.health.improve();
-            // That it was asked in vain before counts for nothing now.
+            // An earlier probe without an ack no longer counts.
             self.view
                 .update(datagram.target, |m| m.suspicion.iter_mut().for_each(|s| s.probed_locally = false));
         }
     }
 
-    /// Takes what is said of a member, by whomever.
+    /// Processes the status of a member, whoever sent it.
     fn apply_status(
         &mut self,
         status: MemberStatus,
@@ -844,7 +864,7 @@
             return;
         };
         let known = member.status;
-        let from_itself = datagram.sender_status.is_some_and(|c| c.id == status.id);
+        let from_itself = datagram.sender_status.is_some_and(|sender| sender.id == status.id);
         if status.incarnation.is_same_run(known.incarnation) {
             match status.cmp(&known) {
                 std::cmp::Ordering::Greater => self.apply_newer_status(status, reporters, from_itself, out),
@@ -867,7 +887,8 @@
         }
     }
 
-    /// What is said of this member itself: that it is gone it can refute; another life of its name it can't be.
+    /// Processes a status of this member itself. It can refute its suspicion or failure, but not another
+    /// process run of its name.
     fn apply_status_of_self(&mut self, status: MemberStatus, out: &mut Vec<Output>) {
         let own = self.status.incarnation;
         if status.incarnation.is_same_run(own) {
@@ -884,7 +905,8 @@
             }
         } else if status.incarnation > own {
             if self.now - self.started_at < NAME_TAKEOVER_WINDOW {
-                // The folder was lost, or written to by another life: this one is later all the same.
+                // The state folder was lost, or another run has written to it; this run is the later one all
+                // the same.
                 self.start_incarnation(status.incarnation.start_number.saturating_add(1), out);
             } else {
                 self.inactive = true;
@@ -893,7 +915,7 @@
         }
     }
 
-    /// A greater claim on the life that is known.
+    /// Processes a greater status of a known process run.
     fn apply_newer_status(
         &mut self,
         status: MemberStatus,
@@ -907,8 +929,8 @@
             State::Failed
                 if !from_itself && self.view.get(status.id).is_some_and(|m| m.status.state.is_present()) =>
             {
-                // A view that was cut off says so of all that it could not reach. Whom nobody doubted here is suspect
-                // for a time first, and asked by some.
+                // A member that was cut off reports all members as failed that it could not reach. A member
+                // that was present here becomes a suspect for a while first, and some members probe it.
                 self.suspect(MemberStatus { state: State::Suspect, ..status }, &[], out);
                 let (mut should_probe, chosen) =
                     (false, self.random.chance(SUSPECT_VERIFIERS / self.present_count() as f64));
@@ -927,7 +949,7 @@
         }
     }
 
-    /// Holds a member as suspect, with those that accuse it.
+    /// Makes a member a suspect and adds its reporters.
     fn suspect(&mut self, status: MemberStatus, reporters: &[u32], out: &mut Vec<Output>) {
         let status = MemberStatus { state: State::Suspect, ..status };
         let is_new = self.view.get(status.id).is_some_and(|m| status > m.status);
@@ -954,8 +976,9 @@
         }
     }
 
-    /// A member that was not known, or not in this life. Of one that was never seen present it is only remembered that it
-    /// is gone: its part may be in use on the other side of a cut.
+    /// Adds a member that was not known, or not in this process run. A failed member that was never seen
+    /// present is only remembered, without an output: its share of the limits may be in use on the other side
+    /// of a partition.
     fn add_member(&mut self, record: &MemberRecord, change: Change, out: &mut Vec<Output>) {
         let (status, info) = (record.status, record.info.clone());
         let (id, name, is_present) = (status.id, info.name.clone(), status.state.is_present());
@@ -989,7 +1012,7 @@
         out.push(Output::Changed { id, name, change });
     }
 
-    /// Another state or word of a life that is known.
+    /// Sets another state or incarnation number of a known process run.
     fn set_status(&mut self, status: MemberStatus, out: &mut Vec<Output>) {
         let Some(member) = self.view.get(status.id) else { return };
         let previous_state = member.status.state;
@@ -1014,7 +1037,7 @@
     }
 }
 
-/// For how many seconds a member has been in its state.
+/// Returns for how many seconds a member has been in its state.
 pub(crate) fn seconds_in_state(member: &Member, now: Ns) -> u16 {
     u16::try_from((now - member.state_since) / SECOND).unwrap_or(u16::MAX)
 }
--- a/crates/decide/nickelshed-fleet/src/health.rs
+++ b/crates/decide/nickelshed-fleet/src/health.rs
@@ -1,7 +1,8 @@
-//! How far a member trusts its own ears: what it misses may be its own fault (Lifeguard, section IV.A, local health).
+//! Local health score (Lifeguard, section IV.A): how far a member trusts its own failure detection, because
+//! acks that it misses may be its own fault.
 use crate::Ns;
 
-/// The worst score. Each point makes a probe wait as much longer again.
+/// Upper bound of the score. Each point lengthens probe intervals and timeouts by their base length.
 const MAX_SCORE: u32 = 4;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -10,17 +11,18 @@
 }
 
 impl LocalHealth {
-    /// Somebody answered in time.
+    /// Records a probe that was acked in time.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// Nobody answered, nor did any who was asked for help; or it had to refute that it is gone itself.
+    /// Records a sign that this member is at fault: a probe without an ack or nack, a suspicion or failure
+    /// that it had to refute, or a stall.
     pub fn degrade(&mut self, points: u32) {
         self.score = (self.score + points).min(MAX_SCORE);
     }
 
-    /// How long to wait where one in full health waits so long.
+    /// Returns the duration to use in place of `duration`, which applies at full health.
     #[must_use]
     pub fn scale(&self, duration: Ns) -> Ns {
         duration * Ns::from(self.score + 1)
--- a/crates/decide/nickelshed-fleet/src/lib.rs
+++ b/crates/decide/nickelshed-fleet/src/lib.rs
@@ -1,17 +1,19 @@
-//! Who is there: the view of a fleet that each of its members keeps, as a machine without sockets, clock or disk.
+//! Gossip membership of a fleet of senders: the view that each member has of the others, as a state machine
+//! without sockets, clock or disk.
 //!
-//! **Invariant.** What a view holds of a name is the greatest claim that it has heard of it, in one order for all
-//! ([`Claim`]); so two views that have heard the same hold the same, in whatever order they heard it, and nothing old can
-//! bring back what is over.
+//! **Invariant.** For each member name a view holds the greatest [`MemberStatus`] received so far, in one
+//! total order that all members use. Views that received the same statuses are therefore equal, in whatever
+//! order these arrived, and an old datagram cannot bring back an earlier state or process run.
 //!
-//! **What is promised.** From the last fault on, let all members that can reach one another be `n`, with a part `p` of
-//! their datagrams lost. Within T(n, p) each of them holds exactly these as present. T has three terms: until somebody has
-//! asked in vain (a few periods), until a suspect's time is over (a multiple of log n), and until the news has reached all
-//! (a multiple of log n, and never without an end, as the exchange of marks goes on for as long as two differ). The
-//! measured T stands in `docs/design/membership.md`.
+//! **Guarantee.** After the last fault, let `n` be the number of members that can reach one another, and `p`
+//! the fraction of their datagrams that is lost. Within T(n, p) the view of each of them lists exactly these
+//! members as present. T is the sum of three times: until a probe goes unanswered (a few probe intervals);
+//! until the suspicion times out (a multiple of log n); and until the update has reached all members (a
+//! multiple of log n; it always ends, because digests are exchanged for as long as two views differ).
+//! Measured values of T are in `docs/design/membership.md`.
 //!
-//! A view is a belief. What may be wrong on either side of a partition is decided in [`parts`], for the side that does
-//! less harm.
+//! A view can be wrong on either side of a partition. [`parts`] decides how rate limits are divided in that
+//! case, and prefers the error that does less harm.
 mod budget;
 mod datagram;
 mod fleet;
@@ -25,7 +27,7 @@
 mod sync;
 mod view;
 
-/// Nanoseconds of the monotonic clock that the machine is handed.
+/// Nanoseconds of the monotonic clock; the caller passes the time in.
 pub type Ns = i64;
 
 pub use budget::{Budget, Priority};
--- a/crates/decide/nickelshed-fleet/src/member.rs
+++ b/crates/decide/nickelshed-fleet/src/member.rs
@@ -1,12 +1,12 @@
-//! A member as others know it, and the one order by which two things said of it are compared.
+//! Identity, metadata and status of a member, and the order that decides which of two statuses holds.
 use std::net::SocketAddr;
 
-/// Names and sites are at most so many bytes, so that two whole records always fit into a datagram.
+/// Limits on name and site, so that two full member records always fit into one datagram.
 pub const MAX_NAME_BYTES: usize = 32;
 pub const MAX_SITE_BYTES: usize = 16;
 
-/// A member's name in short: 64 bits of its hash. Nought is nobody's: it stands for whoever is asked, and for an
-/// observer.
+/// The first 64 bits of the hash of a member's name. Zero belongs to no member. It stands for any member as
+/// the target of a ping, and for an observer as a recipient.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId(pub u64);
 
@@ -20,57 +20,58 @@
         MemberId(u64::from_le_bytes(first_bytes).max(1))
     }
 
-    /// Enough to tell accusers of one member apart.
+    /// Returns 32 bits that tell the reporters of one suspect apart.
     #[must_use]
     pub fn short_id(self) -> u32 {
         (self.0 ^ self.0 >> 32) as u32
     }
 }
 
-/// What is true of a member for the whole life of one of its processes with one set of settings.
+/// What stays the same for one process run of a member with one set of settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberInfo {
-    /// At most [`MOST_NAME`] bytes.
+    /// At most [`MAX_NAME_BYTES`] bytes.
     pub name: String,
     pub address: SocketAddr,
-    /// At most [`MOST_SITE`] bytes.
+    /// At most [`MAX_SITE_BYTES`] bytes.
     pub site: String,
-    /// Major, minor and patch of its program.
+    /// Major, minor and patch version of the program.
     pub version: [u16; 3],
-    /// Of its settings, shortened.
+    /// Shortened digest of the settings.
     pub settings: u32,
 }
 
-/// Which life of a name is spoken of. A greater one is a later one.
+/// Orders the process runs and refutations of one member. The greater incarnation is the later one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
-    /// Kept in the state folder; rises with each start and each change of the settings.
+    /// Persisted in the state folder; rises with each start and each change of the settings.
     pub start_number: u32,
-    /// Drawn by the process, so that two that claim one start are told apart.
+    /// Random number of the process, to tell apart two processes that use the same start number.
     pub nonce: u32,
-    /// Rises each time the member refutes what is said of it (SWIM, section 4.2: the incarnation number).
+    /// Rises with each refutation by the member (the incarnation number of SWIM, section 4.2).
     pub number: u32,
 }
 
 impl Incarnation {
-    /// Whether both are of one process, whatever it has refuted meanwhile.
+    /// Returns whether both belong to one process run with one set of settings, regardless of refutations.
     #[must_use]
     pub fn is_same_run(self, other: Incarnation) -> bool {
         (self.start_number, self.nonce) == (other.start_number, other.nonce)
     }
 }
 
-/// What is held of a member. Within one incarnation a later state overrides an earlier one; only the member itself
-/// begins another incarnation (SWIM, section 4.2, the order of its messages).
+/// State of a member in a view. Within one incarnation a later variant overrides an earlier one; only the
+/// member itself starts a new incarnation (SWIM, section 4.2, order of messages).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// It is there, and does not know all others yet.
+    /// Present, but does not know all other members yet.
     Joining,
     Alive,
-    /// It answered nobody who asked lately; it can still say otherwise.
+    /// Did not answer a recent probe; it can still refute the suspicion.
     Suspect,
+    /// Declared failed; written out as `gone`.
     Failed,
-    /// It said itself that it ends.
+    /// Announced that it leaves.
     Left,
 }
 
@@ -97,7 +98,7 @@
     }
 }
 
-/// What is said of a member, without its facts. Of two claims the greater holds.
+/// Status of a member, without its metadata. Of two statuses the greater one holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MemberStatus {
     pub id: MemberId,
@@ -105,8 +106,9 @@
     pub state: State,
 }
 
-/// Spreads the bits of what tells two views apart: who is present or gone, in which incarnation. Claims that differ only
-/// in whether somebody doubts them are one here, as the set is the same; one that left on purpose is in no set.
+/// Hashes the part of a status in which two views may differ: whether the member is present or failed, and in
+/// which incarnation. Statuses that differ only by a suspicion hash alike, because the set of present members
+/// is the same. A member that left is in neither set and hashes to zero.
 #[must_use]
 pub fn digest(status: &MemberStatus, salt: u64) -> u64 {
     if status.state == State::Left {
--- a/crates/decide/nickelshed-fleet/src/observer.rs
+++ b/crates/decide/nickelshed-fleet/src/observer.rs
@@ -1,25 +1,25 @@
-//! One that looks at a fleet and counts nowhere in it: it asks a member for its view, piece by piece, and says nothing of
-//! itself.
+//! Reads the view of a member from outside the fleet, piece by piece. An observer sends no status of its own,
+//! so no member counts it.
 use crate::datagram::{parse_datagram, Authenticator, DatagramKind, DatagramWriter, DropReason, IdPrefix};
 use crate::member::{MemberId, MemberInfo, MemberStatus};
 use crate::random::Random;
 use crate::view::{Member, View};
 
-/// The view of one member, as far as it has been told.
+/// The view of one member, as far as it has been received.
 pub struct Observer {
     authenticator: Authenticator,
     view: View,
     random: Random,
-    /// The mark of the member's whole view when it last answered.
+    /// Digest of the member's whole view when it last answered.
     view_digest: Option<u64>,
 }
 
-/// What was told of one member.
+/// A member as the observed member reports it.
 #[derive(Clone, Debug)]
 pub struct ReportedMember {
     pub status: MemberStatus,
     pub info: MemberInfo,
-    /// For how many seconds it has been in its state, in the view that was asked for.
+    /// How many seconds it has been in its state, in the observed view.
     pub seconds_in_state: u16,
 }
 
@@ -29,7 +29,8 @@
         Observer { authenticator, view: View::default(), random: Random::new(seed), view_digest: None }
     }
 
-    /// Two datagrams: who answers there, and what is still missing of its view.
+    /// Returns two datagrams to send: a ping, whose ack carries the view digest, and the digests of what was
+    /// received so far, from which the member finds what is missing.
     pub fn requests(&mut self) -> [Vec<u8>; 2] {
         let mut ping = DatagramWriter::new(DatagramKind::Ping);
         ping.target(MemberId::UNSPECIFIED);
@@ -42,16 +43,18 @@
         [ping.finish(&self.authenticator), digests.finish(&self.authenticator)]
     }
 
-    /// Takes an answer. A member that asks back for the marks of a part is answered by the next `ask`'s; so much of a large
-    /// view is told at once.
+    /// Processes a datagram from the member and returns what to send back: requests for unknown records, and
+    /// digests of the prefixes for which the member sent its own. Sending these at once, not with the next
+    /// `requests`, fetches more of a large view per round trip.
     ///
     /// # Errors
-    /// Why it is none of this fleet's.
+    /// Returns why the datagram is not one of this fleet.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, DropReason> {
         let datagram = parse_datagram(bytes, &self.authenticator)?;
         for record in &datagram.records {
-            let known = self.view.get(record.status.id).is_some_and(|member| member.status >= record.status);
-            if !known {
+            let is_known =
+                self.view.get(record.status.id).is_some_and(|member| member.status >= record.status);
+            if !is_known {
                 let (status, info) = (record.status, record.info.clone());
                 let state_since = -i64::from(record.seconds_in_state);
                 let (last_contact, load) = (None, 0);
@@ -78,7 +81,8 @@
                 _ => has_reply |= reply.record_request(update.status.id),
             }
         }
-        // It has parted a part: its children are compared as a member would.
+        // The member has split a prefix into its children; the digests of these are compared as between
+        // members.
         for remote in &datagram.digests {
             has_reply |= reply.child_digests(&self.view.child_digests(remote.prefix, remote.salt, None));
         }
@@ -86,19 +90,19 @@
         Ok(if has_reply { vec![reply.finish(&self.authenticator)] } else { Vec::new() })
     }
 
-    /// Whether all of the member's view has been told.
+    /// Returns whether the member's whole view has been received.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.view_digest == Some(self.view.digest())
     }
 
-    /// The mark of the member's whole view, once it has answered.
+    /// Digest of the member's whole view; `None` until it has answered.
     #[must_use]
     pub fn view_digest(&self) -> Option<u64> {
         self.view_digest
     }
 
-    /// All that was told, by name.
+    /// Returns all members received so far, sorted by name.
     #[must_use]
     pub fn members(&self) -> Vec<ReportedMember> {
         let reported = |m: &Member| ReportedMember {
--- a/crates/decide/nickelshed-fleet/src/parts.rs
+++ b/crates/decide/nickelshed-fleet/src/parts.rs
@@ -1,86 +1,93 @@
-//! What part of a limit is this sender's, by its view of the fleet.
+//! Computes the share of a rate limit that this sender may use, from its view of the fleet. A full share is
+//! the fair share: the limit divided by the number of senders.
 //!
-//! **Invariant.** However members join, crash, stall and are cut from one another, the parts of all that run add up to no
-//! more than [`most_sum`] while answers tell of no room: what falls silent keeps its part, but for a tenth of all that is
-//! taken up unseen, and what begins takes a small part.
+//! **Invariant.** However members join, crash, stall and are partitioned, the shares of all running senders
+//! add up to no more than [`max_total_share`] while answers report no headroom: a silent member keeps its
+//! share, except for a tenth of all shares that is reclaimed unconditionally, and a joining member takes a
+//! small share.
 //!
-//! One that falls silent may be dead, or may go on sending on the other side of a cut, and nobody can tell which. If its
-//! part lies idle, some of a limit is lost; if both use it, customers are pushed over. The second does more harm, so the
-//! part is kept, and only what answers tell of room is taken up, by small steps that are given back as fast as it ends.
+//! A silent member may have crashed, or may still send on the other side of a partition, and nobody can tell
+//! which. If its share stays idle, some of a limit is lost; if both sides use it, destinations are
+//! overloaded. The latter does more harm. So the share is kept, and beyond that tenth only as much is
+//! reclaimed as reported headroom allows, in small steps that are undone fast when the headroom ends.
 use crate::member::MemberId;
 use crate::Ns;
 use std::collections::BTreeMap;
 
 const SECOND: Ns = 1_000_000_000;
-/// Of all parts so much may be taken up from the silent without a sign of room.
+/// This fraction of all shares may be reclaimed from silent members without any headroom reported.
 pub const UNCONDITIONAL_RECLAIM: f64 = 0.1;
-/// What is not present keeps its part for so long, whatever answers tell: it may be back, or say otherwise.
+/// A member that is not present keeps its share for this long, whatever answers report: it may return, or
+/// refute its failure.
 const SILENCE_CONFIRMED_AFTER: Ns = 10 * SECOND;
-/// One that left on purpose may still end what it has out.
+/// A member that left on purpose may still finish its calls in flight for this long.
 const LEAVE_GRACE: Ns = 4 * SECOND;
-/// One that begins, or wakes, takes this fraction of a part.
+/// A member that joins, or resumes after a stall, takes this fraction of a share.
 pub const JOINING_SHARE: f64 = 0.25;
-/// For so long at least, so that all others reckon with it by then.
+/// Shortest time for which it takes that fraction; afterwards all others count it.
 const MIN_JOINING_TIME: Ns = 5 * SECOND;
-/// From one step to the next, and how much of what is left to take up one is.
+/// Time between two steps of reclaiming, and the fraction of the remaining reclaimable shares that one step
+/// takes.
 const RECLAIM_INTERVAL: Ns = 2 * SECOND;
 const RECLAIM_STEP: f64 = 0.15;
-/// Answers that leave this much of a limit tell of room; those that leave less than the second one, of none.
+/// Headroom, as a fraction of a limit, above which a step reclaims more, and below which it returns half of
+/// what was reclaimed.
 const AMPLE_HEADROOM: f64 = 0.4;
 const LOW_HEADROOM: f64 = 0.15;
-/// A word on room that is older says nothing.
+/// Reported headroom older than this is ignored.
 const HEADROOM_EXPIRY: Ns = 5 * SECOND;
 
-/// The most that the parts of `n` senders add up to while `joining` more are not known to all.
+/// Upper bound on the sum of the shares of `senders` while `joining` more are not known to all.
 #[must_use]
 pub fn max_total_share(senders: usize, joining: usize) -> f64 {
     1.0 / (1.0 - UNCONDITIONAL_RECLAIM) + JOINING_SHARE * joining as f64 / senders.max(1) as f64
 }
 
-/// What the view says of the others.
+/// What a view says of the other members.
 #[derive(Clone, Debug, Default)]
 pub struct MembershipSummary {
-    /// Those that are present, suspects too.
+    /// Present members, suspects included.
     pub present: Vec<MemberId>,
-    /// Those that are gone; this one may never have met them.
+    /// Failed members; this one may never have received from them.
     pub failed: Vec<MemberId>,
-    /// Those that said that they end.
+    /// Members that announced that they leave.
     pub left: Vec<MemberId>,
-    /// This member stood still, or others may not hear it.
+    /// This member was stalled, or the others may not receive from it.
     pub local_health_degraded: bool,
-    /// Its view is that of the others that it heard lately, or there are none.
+    /// The view equals those of the members received from recently, or there are none.
     pub converged: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Presence {
     Present,
-    /// Not present any more, since then.
+    /// Not present any more, since this time.
     Silent(Ns),
     Left(Ns),
 }
 
+/// Computes by how many senders this member divides each limit.
 #[derive(Clone, Debug)]
 pub struct LimitQuota {
     now: Ns,
-    /// How many the settings name. It is all that one knows that has heard nobody yet.
+    /// Number of senders in the settings: all that a member knows before it receives from any other.
     configured: usize,
     others: BTreeMap<MemberId, Presence>,
-    /// The most that it ever reckoned with at once, itself counted.
+    /// Greatest number of members known at one time, this one included.
     max_known: usize,
-    /// Since when it takes a small part, until it has settled.
+    /// When it began to take the small share of a joining member; `None` once it has a full share.
     joining_since: Option<Ns>,
-    /// The settings name all there can be: whoever begins comes back to a part that the others have kept for it.
+    /// The settings name all senders there can be, so the others have kept a share for each one that starts.
     is_fixed: bool,
     created_at: Ns,
-    /// How many of the silent ones' parts are taken up because answers told of room.
+    /// How many silent members' shares are reclaimed because answers reported headroom.
     reclaimed: f64,
     last_step_at: Ns,
     headroom: Option<(Ns, f64)>,
 }
 
 impl LimitQuota {
-    /// `configured`: how many senders the settings name, this one counted.
+    /// `configured`: number of senders in the settings, this one included.
     #[must_use]
     pub fn new(configured: usize, now: Ns) -> LimitQuota {
         LimitQuota {
@@ -97,15 +104,17 @@
         }
     }
 
-    /// Of a fleet to which nobody can be added: `configured` are all there can be. One that begins has its whole part at once,
-    /// as it would without a view; only after it stood still for as long as silence takes to be sure does it begin small.
-    /// Until the others have seen it again, its part and what they took up of it may both be used.
+    /// For a fleet that cannot grow: `configured` is the greatest number of senders. A member that starts has
+    /// its full share at once, as it would without a view. It takes the share of a joining member only after
+    /// a stall as long as the silence after which others reclaim: until they have seen it again, its share
+    /// and what they reclaimed of it may both be in use.
     #[must_use]
     pub fn fixed(configured: usize, now: Ns) -> LimitQuota {
         LimitQuota { joining_since: None, is_fixed: true, ..LimitQuota::new(configured, now) }
     }
 
-    /// An answer told how much of a limit is left, 0 to 1; the least that is told within a step counts.
+    /// Records the fraction of a limit, 0 to 1, that an answer reported as remaining. The smallest one within
+    /// a step counts.
     pub fn record_headroom(&mut self, now: Ns, remaining: f64) {
         if !remaining.is_finite() {
             return;
@@ -117,16 +126,16 @@
         });
     }
 
-    /// Takes the view as it is now. To be called when it changes, and once a second.
+    /// Processes the current view. To be called when the view changes, and once per second.
     pub fn update(&mut self, now: Ns, summary: &MembershipSummary) {
         let stalled = now - self.now >= SILENCE_CONFIRMED_AFTER;
         self.now = self.now.max(now);
         let now = self.now;
-        for presence in self.others.values_mut().filter(|s| **s == Presence::Present) {
+        for presence in self.others.values_mut().filter(|p| **p == Presence::Present) {
             *presence = Presence::Silent(now);
         }
         for &id in &summary.present {
-            // It may have been silent a moment ago, and has its whole part again at once.
+            // A member that was silent a moment ago has its full share again at once.
             self.others.insert(id, Presence::Present);
         }
         for &id in &summary.failed {
@@ -134,40 +143,43 @@
         }
         self.max_known = self.max_known.max(self.others.len() + 1);
         for id in &summary.left {
-            if let Some(presence) = self.others.get_mut(id).filter(|s| !matches!(s, Presence::Left(_))) {
+            if let Some(presence) = self.others.get_mut(id).filter(|p| !matches!(p, Presence::Left(_))) {
                 *presence = Presence::Left(now);
             }
         }
-        self.others.retain(|_, s| !matches!(s, Presence::Left(at) if now - *at > LEAVE_GRACE));
+        self.others.retain(|_, p| !matches!(p, Presence::Left(at) if now - *at > LEAVE_GRACE));
         let rejoins = if self.is_fixed { stalled } else { summary.local_health_degraded };
         if rejoins {
             self.joining_since = Some(now);
         }
         if let Some(since) = self.joining_since {
-            // While many are silent nobody knows with whom they reckon: who begins then stays small, but for room.
+            // While many members are silent, it is unknown how many senders those divide the limits by. A
+            // joining member then keeps its small share until headroom is reported.
             let many_silent = self.silent_count() as f64 - self.reclaimed > 2.0 * self.max_unconditional();
             if summary.converged && now - since >= MIN_JOINING_TIME && !many_silent {
-                // A whole part is a large step by itself: what the silent ones leave is for those after it.
+                // Taking a full share is a large step by itself; what silent members leave is for later
+                // steps.
                 (self.joining_since, self.reclaimed, self.last_step_at) = (None, 0.0, now);
             }
         }
         self.adjust_reclaimed(summary);
     }
 
-    /// Those that the settings name and that were never met: they may all be on the other side of a cut.
+    /// Members that the settings count and that were never seen: they may all be on the other side of a
+    /// partition.
     fn never_seen(&self) -> usize {
         self.configured.saturating_sub(self.max_known)
     }
 
     fn silent_count(&self) -> usize {
-        self.never_seen() + self.others.values().filter(|s| matches!(s, Presence::Silent(_))).count()
+        self.never_seen() + self.others.values().filter(|p| matches!(p, Presence::Silent(_))).count()
     }
 
-    /// Those whose parts may be taken up.
+    /// Number of members whose shares may be reclaimed.
     fn confirmed_silent_count(&self) -> usize {
         let is_confirmed =
-            |s: &&Presence| matches!(s, Presence::Silent(at) if self.now - *at >= SILENCE_CONFIRMED_AFTER);
-        // In a closed fleet they may only be slower to begin.
+            |p: &&Presence| matches!(p, Presence::Silent(at) if self.now - *at >= SILENCE_CONFIRMED_AFTER);
+        // In a fixed fleet they may only be slower to start.
         let never_seen = if self.is_fixed && self.now - self.created_at < SILENCE_CONFIRMED_AFTER {
             0
         } else {
@@ -180,7 +192,8 @@
         (self.others.len() + 1 + self.never_seen()) as f64
     }
 
-    /// So many may be taken up unseen. What joins while others are silent is no reason to take up more of them.
+    /// How many shares may be reclaimed without headroom. Members that join while others are silent do not
+    /// raise it.
     fn max_unconditional(&self) -> f64 {
         UNCONDITIONAL_RECLAIM * self.total_senders().min(self.configured as f64)
     }
@@ -189,7 +202,7 @@
         (self.confirmed_silent_count() as f64).min(self.max_unconditional())
     }
 
-    /// Parts of the silent that only answers can free.
+    /// Shares of silent members that only reported headroom can free.
     fn conditionally_reclaimable(&self) -> f64 {
         self.confirmed_silent_count() as f64 - self.unconditionally_reclaimed()
     }
@@ -217,19 +230,19 @@
         }
     }
 
-    /// How many senders share each limit, as this one has to reckon: its part is one of so many.
+    /// Returns by how many senders each limit is divided: this member's share is one divided by it.
     #[must_use]
     pub fn sender_count(&self) -> f64 {
         let total = self.total_senders();
         let sharing = total - self.unconditionally_reclaimed() - self.reclaimed;
         match self.joining_since {
-            // It may not know all others yet, and none of them reckons with it.
+            // It may not know all others yet, and none of them counts it.
             Some(_) => total.max(self.configured as f64) / JOINING_SHARE,
             None => sharing,
         }
     }
 
-    /// Whether it takes a small part for now.
+    /// Returns whether it takes the small share of a joining member for now.
     #[must_use]
     pub fn is_joining(&self) -> bool {
         self.joining_since.is_some()
@@ -245,16 +258,16 @@
         let mut quota = LimitQuota::fixed(4, 0);
         assert_eq!((quota.sender_count(), quota.is_joining()), (4.0, false));
         quota.update(SECOND, &summary(0..1));
-        assert_eq!(quota.sender_count(), 4.0, "others may be slower to begin");
+        assert_eq!(quota.sender_count(), 4.0, "others may be slower to start");
         quota.update(2 * SECOND, &summary(0..3));
         assert_eq!(quota.sender_count(), 4.0);
         quota.update(3 * SECOND, &MembershipSummary { local_health_degraded: true, ..summary(0..3) });
-        assert_eq!(quota.sender_count(), 4.0, "the others have kept its part");
+        assert_eq!(quota.sender_count(), 4.0, "the others have kept its share");
         quota.update(13 * SECOND, &summary(0..3));
         assert_eq!((quota.sender_count(), quota.is_joining()), (4.0 / JOINING_SHARE, true));
         quota.update(19 * SECOND, &summary(0..3));
         assert_eq!(quota.sender_count(), 4.0);
-        // What is silent keeps its part for as long as in any fleet.
+        // A silent member keeps its share for as long as in a fleet that can grow.
         quota.update(20 * SECOND, &summary(0..2));
         quota.update(29 * SECOND, &summary(0..2));
         assert_eq!(quota.sender_count(), 4.0);
@@ -301,13 +314,13 @@
             quota.update(second * SECOND, &half);
         }
         assert!(quota.sender_count() < 10.5, "{}", quota.sender_count());
-        // Where the other half still sends, there is no room, and all is given back.
+        // Where the other half still sends there is no headroom, and all that was reclaimed is returned.
         for second in 120..160 {
             quota.record_headroom(second * SECOND, 0.05);
             quota.update(second * SECOND, &half);
         }
         assert!(quota.sender_count() > 17.9, "{}", quota.sender_count());
-        // Healed: at once.
+        // After the partition all shares count again at once.
         quota.update(160 * SECOND, &summary(1..20));
         assert!((quota.sender_count() - 20.0).abs() < 1e-9);
     }
--- a/crates/decide/nickelshed-fleet/src/random.rs
+++ b/crates/decide/nickelshed-fleet/src/random.rs
@@ -1,4 +1,4 @@
-//! Random numbers of one member, all from the seed that it is handed.
+//! Random numbers of one member, all derived from the seed that it is given, so that a run can be repeated.
 use crate::Ns;
 
 #[derive(Clone, Debug)]
@@ -10,7 +10,7 @@
         Random(seed)
     }
 
-    /// splitmix64.
+    /// Returns the next number of splitmix64.
     pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut x = self.0;
@@ -19,7 +19,7 @@
         x ^ x >> 31
     }
 
-    /// Below a bound; nought if that is not above nought.
+    /// Returns a number from zero up to, not including, `bound`; zero if `bound` is not positive.
     pub fn below(&mut self, bound: Ns) -> Ns {
         (self.next_u64() % bound.max(1) as u64) as Ns
     }
--- a/crates/decide/nickelshed-fleet/src/rumours.rs
+++ b/crates/decide/nickelshed-fleet/src/rumours.rs
@@ -1,22 +1,24 @@
-//! What is new, carried on other datagrams, each piece a bounded number of times (SWIM, section 4.1).
+//! Queue of status updates that are piggybacked on other datagrams, each a bounded number of times (SWIM,
+//! section 4.1).
 use crate::member::MemberId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Each piece is carried so many times the logarithm (base two) of the fleet's size: enough that one who is not reached
-/// is rare; that none is missed for good is for the exchange of digests.
+/// Each update is sent this many times the base-two logarithm of the fleet size. Few members miss it then;
+/// the exchange of digests reaches those that do.
 const RETRANSMIT_MULTIPLIER: u32 = 3;
 
-/// Members that there is news of, those carried least often first.
+/// Members that have a status update to be sent, those sent least often first.
 #[derive(Clone, Debug, Default)]
 pub struct GossipQueue {
     transmissions: BTreeMap<MemberId, u32>,
     by_transmissions: BTreeSet<(u32, MemberId)>,
-    /// Those whose facts are new as well.
+    /// Members whose metadata is to be sent as well.
     with_info: BTreeSet<MemberId>,
 }
 
 impl GossipQueue {
-    /// There is news of this member, of its facts too if `whole`; what was carried of it before is old.
+    /// Queues an update of this member, with its metadata if `with_info`. Its count of transmissions starts
+    /// anew.
     pub fn add(&mut self, id: MemberId, with_info: bool) {
         if with_info {
             self.with_info.insert(id);
@@ -34,12 +36,12 @@
         }
     }
 
-    /// Those that should be carried next, and whether with their facts.
+    /// Returns the members whose updates to send next, and whether with their metadata.
     pub fn candidates(&self) -> impl Iterator<Item = (MemberId, bool)> + '_ {
         self.by_transmissions.iter().map(|&(_, id)| (id, self.with_info.contains(&id)))
     }
 
-    /// It was carried once more, in a fleet of so many.
+    /// Counts one more transmission, in a fleet of this many members; removes the update after the last one.
     pub fn record_transmission(&mut self, id: MemberId, members: usize) {
         let Some(count) = self.transmissions.get_mut(&id) else { return };
         self.by_transmissions.remove(&(*count, id));
--- a/crates/decide/nickelshed-fleet/src/suspicion.rs
+++ b/crates/decide/nickelshed-fleet/src/suspicion.rs
@@ -1,21 +1,24 @@
-//! How long a suspect has to say that it is there: less, the more members have asked it in vain (Lifeguard, section IV.B).
+//! How long a suspect has time to refute: the shorter, the more members have reported it (Lifeguard, section
+//! IV.B).
 use crate::datagram::MAX_REPORTERS;
 use crate::Ns;
 
 const MS: Ns = 1_000_000;
-/// Times the logarithm (base ten) of the fleet's size: the least time, once enough members accuse it.
+/// Shortest timeout, once [`MAX_REPORTERS`] members report the suspect, per unit of the base-ten logarithm of
+/// the fleet size.
 const MIN_TIMEOUT_PER_LOG10: Ns = 650 * MS;
-/// So many times the least, where one accuses it alone.
+/// Longest timeout, with a single reporter, as a multiple of the shortest.
 const MAX_TIMEOUT_MULTIPLE: f64 = 4.0;
 
-/// What is known against one member in one incarnation.
+/// The suspicion against one member in one incarnation.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
     started_at: Ns,
     reporters: Vec<u32>,
-    /// Another said that it is gone, though it was here lately: it is asked once more, and then believed.
+    /// When another member reported the suspect failed although it was present here. It is probed once more
+    /// before the report is accepted.
     pub failure_reported_at: Option<Ns>,
-    /// Whether this member has asked it in vain itself since.
+    /// Whether this member has probed it without an answer since it became a suspect.
     pub probed_locally: bool,
 }
 
@@ -30,7 +33,7 @@
         self.started_at
     }
 
-    /// Whether that was new.
+    /// Adds a reporter and returns whether that was a new one.
     pub fn add_reporter(&mut self, reporter: u32) -> bool {
         let is_new = self.reporters.len() < MAX_REPORTERS && !self.reporters.contains(&reporter);
         if is_new {
@@ -44,24 +47,25 @@
         &self.reporters
     }
 
-    /// When it is taken for gone, in a view of so many members.
+    /// Returns when the suspect is declared failed, in a view with this many present members.
     #[must_use]
     pub fn deadline(&self, members: usize) -> Ns {
         let min_timeout = (MIN_TIMEOUT_PER_LOG10 as f64 * (members.max(10) as f64).log10()) as Ns;
         let max_timeout = min_timeout as f64 * MAX_TIMEOUT_MULTIPLE;
-        // The first accuser is the suspicion itself.
+        // The first reporter only starts the suspicion; each further one confirms it.
         let confirmations = self.reporters.len().saturating_sub(1) as f64;
         let fraction = (confirmations + 1.0).ln() / (MAX_REPORTERS as f64).ln();
         self.started_at
             + ((max_timeout - (max_timeout - min_timeout as f64) * fraction) as Ns).max(min_timeout)
     }
 
-    /// The suspect was heard.
+    /// Starts the timeout anew, because a datagram of the suspect arrived.
     pub fn restart(&mut self, now: Ns) {
         *self = Suspicion { reporters: std::mem::take(&mut self.reporters), ..Suspicion::new(now) };
     }
 
-    /// The member that holds it stood still for so long: nobody could have told it otherwise meanwhile.
+    /// Moves the timeout by the time for which this member was stalled, as no refutation could reach it
+    /// meanwhile.
     pub fn extend(&mut self, duration: Ns) {
         self.started_at += duration;
         self.failure_reported_at = self.failure_reported_at.map(|at| at + duration);
--- a/crates/decide/nickelshed-fleet/src/sync.rs
+++ b/crates/decide/nickelshed-fleet/src/sync.rs
@@ -1,10 +1,12 @@
-//! What makes two views equal whatever was lost: marks of their parts are compared, and where they differ the records
-//! are sent, in pieces of one datagram.
+//! Anti-entropy: makes two views equal, whatever datagrams were lost. Digests of id prefixes are compared,
+//! and where they differ the records are sent, in pieces of one datagram.
 //!
-//! Gossip alone may miss somebody, and says nothing to one who comes later. The mark of a whole view stands in each
-//! probe; where two differ, one of them sends the marks of its sixteen parts, the other answers with the marks of a part's
-//! parts, or, where few are left, with all that it holds there. Each exchange has a salt of its own, and one is begun
-//! now and then without a cause, so that not even equal marks of unequal views last.
+//! Gossip alone may miss a member, and tells nothing to one that joins later. Each ping and ack carries the
+//! digest of the sender's whole view. Where two digests differ, one of the members sends the digests of the
+//! sixteen children of the id space. The other answers with the digests of the children of a differing
+//! prefix, or, where few members are left, with a list of all that it knows there. Each exchange has its own
+//! salt, and some are started without a known difference, so that not even equal digests of unequal views
+//! last.
 use crate::budget::Priority;
 use crate::datagram::{
     Datagram, DatagramKind, DatagramWriter, IdPrefix, StatusUpdate, CHILDREN_PER_PREFIX, MAX_PREFIX_DEPTH,
@@ -14,19 +16,20 @@
 use crate::Ns;
 use std::net::SocketAddr;
 
-/// How soon after one exchange the next is begun where views differ, and how often without a cause.
+/// How soon after a difference was seen an exchange is started at the latest, and how often one is started
+/// without a difference.
 const MAX_SYNC_DELAY: Ns = 500 * MS;
 const MEAN_SYNC_INTERVAL: Ns = 20 * SECOND;
-/// Datagrams in answer to one.
+/// Datagrams in reply to one.
 const MAX_REPLY_DATAGRAMS: usize = 4;
-/// A part with so few is listed rather than parted again; they fit into one datagram.
+/// A prefix with at most this many members is listed instead of split; such a list fits into one datagram.
 const MAX_LISTED_MEMBERS: usize = 6;
 
-/// What a datagram makes its reader send back.
+/// What to send back for one datagram.
 #[derive(Debug, Default)]
 pub struct SyncReply {
     requested: Vec<MemberId>,
-    /// With their facts or without.
+    /// Members whose status to send, and whether with their metadata.
     records: Vec<(MemberId, bool)>,
     digested_prefixes: Vec<(IdPrefix, u32)>,
     listed_prefixes: Vec<IdPrefix>,
@@ -45,7 +48,7 @@
 }
 
 impl Fleet {
-    /// Views differ: an exchange is due.
+    /// Schedules an exchange soon, because views differ.
     pub(crate) fn schedule_sync(&mut self) {
         let max_delay = if self.status.state == State::Joining { PROBE_INTERVAL / 2 } else { MAX_SYNC_DELAY };
         let at = self.now + self.random.below(max_delay);
@@ -67,14 +70,14 @@
         self.send(to, writer, Priority::Background, out);
     }
 
-    /// Finds what the other side of an exchange lacks, and what this one does.
+    /// Collects into `reply` what the other member lacks, and what this one does.
     pub(crate) fn compare_digests(&mut self, datagram: &Datagram, reply: &mut SyncReply) {
         for &id in &datagram.wanted_records {
             reply.records.push((id, true));
         }
         for remote in &datagram.digests {
             let own = self.view.child_digests(remote.prefix, remote.salt, Some(&self.status));
-            // Another part first each time, as not all may fit into the answer.
+            // Starts at another child each time, because not all may fit into the reply.
             let offset = self.random.below(CHILDREN_PER_PREFIX as Ns) as usize;
             for child in (0..CHILDREN_PER_PREFIX).map(|c| (c + offset) % CHILDREN_PER_PREFIX) {
                 if remote.digests[child] == own.digests[child] {
@@ -83,7 +86,7 @@
                 let prefix = remote.prefix.child(child);
                 let local = self.statuses_in(prefix);
                 if remote.digests[child] == 0 {
-                    reply.records.extend(local.into_iter().map(|c| (c.id, true)));
+                    reply.records.extend(local.into_iter().map(|status| (status.id, true)));
                 } else if local.len() <= MAX_LISTED_MEMBERS || prefix.depth >= MAX_PREFIX_DEPTH {
                     reply.listed_prefixes.push(prefix);
                 } else {
@@ -106,7 +109,8 @@
         self.view.advertised_in(prefix).map(|m| m.status).chain(own).collect()
     }
 
-    /// Sends an answer, in a bounded number of datagrams: what is left over comes up again in the next exchange.
+    /// Sends a reply, in a bounded number of datagrams. What is left over comes up again in the next
+    /// exchange.
     pub(crate) fn send_reply(&mut self, to: SocketAddr, reply: SyncReply, out: &mut Vec<Output>) {
         let mut pages = ReplyPages {
             full: Vec::new(),
@@ -124,7 +128,7 @@
         for prefix in reply.listed_prefixes {
             let updates: Vec<StatusUpdate> = self.view.advertised_in(prefix).map(update_for).collect();
             let own = StatusUpdate { status: own, reporters: Vec::new() };
-            // Together or not at all: a list that lacks somebody would be taken for a view that does.
+            // Only together: a list without some member would be read as a view that lacks it.
             pages.add(self, |writer| {
                 let mut all_written = writer.listed_prefix(prefix);
                 if prefix.contains(own.status.id) {
@@ -161,7 +165,7 @@
     }
 }
 
-/// Datagrams that are filled one after another.
+/// Datagrams of a reply, filled one after another.
 struct ReplyPages {
     full: Vec<DatagramWriter>,
     current: DatagramWriter,
@@ -169,7 +173,7 @@
 }
 
 impl ReplyPages {
-    /// Writes one piece, on a new page if this one has no room for it.
+    /// Writes one piece, into a new datagram if it does not fit into the current one.
     fn add(&mut self, fleet: &Fleet, write: impl Fn(&mut DatagramWriter) -> bool) {
         if self.full.len() >= MAX_REPLY_DATAGRAMS {
             return;
--- a/crates/decide/nickelshed-fleet/src/view.rs
+++ b/crates/decide/nickelshed-fleet/src/view.rs
@@ -1,27 +1,27 @@
-//! The records of all members, and what of them two views have to compare.
+//! The records of all other members, and the digests by which two views are compared.
 use crate::datagram::{ChildDigests, IdPrefix, CHILDREN_PER_PREFIX};
 use crate::member::{digest, MemberId, MemberInfo, MemberStatus, State};
 use crate::suspicion::Suspicion;
 use crate::Ns;
 use std::collections::BTreeMap;
 
-/// What is held of one other member.
+/// Record of one other member.
 #[derive(Clone, Debug)]
 pub struct Member {
     pub status: MemberStatus,
     pub info: MemberInfo,
-    /// Since when it is in this state here.
+    /// When it entered its state in this view.
     pub state_since: Ns,
-    /// When a datagram of its own came last, and what it said of its load.
+    /// When its last own datagram arrived; `load` is what that one reported.
     pub last_contact: Option<Ns>,
     pub load: u8,
     pub suspicion: Option<Suspicion>,
-    /// Gone for so long that others are no longer told of it.
+    /// Not present for so long that other members are no longer told of it.
     pub expired: bool,
 }
 
 impl Member {
-    /// Whether it is part of what two views compare.
+    /// Returns whether it is among the members that two views compare.
     #[must_use]
     pub fn is_advertised(&self) -> bool {
         !self.expired && self.status.state != State::Left
@@ -36,7 +36,7 @@
     }
 }
 
-/// Members by id, with the mark of all that are told of kept as they change.
+/// Members by id. The digest of all advertised members is kept up to date as they change.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     members: BTreeMap<MemberId, Member>,
@@ -50,7 +50,7 @@
         self.members.get(&id)
     }
 
-    /// Everything but its claim, which only `put` changes.
+    /// Changes a record except for its status, which only `upsert` may change, as the digest depends on it.
     pub fn update(&mut self, id: MemberId, change: impl FnOnce(&mut Member)) {
         if let Some(member) = self.members.get_mut(&id) {
             let status = member.status;
@@ -83,26 +83,27 @@
         self.members.values()
     }
 
-    /// How many are present.
+    /// Number of present members, suspects included.
     #[must_use]
     pub fn present_count(&self) -> usize {
         self.present_count
     }
 
-    /// The mark of all that are told of; the holder adds its own.
+    /// Digest of all advertised members; the member that holds the view adds its own status.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Those of a part that are told of: present ones and gone ones.
+    /// Returns the advertised members with this prefix, present and failed ones.
     pub fn advertised_in(&self, prefix: IdPrefix) -> impl Iterator<Item = &Member> + '_ {
         self.members
             .values()
             .filter(move |member| member.is_advertised() && prefix.contains(member.status.id))
     }
 
-    /// The marks of a part's children, with one claim more: the holder's own, if it is a member.
+    /// Returns the digests of the prefix's children. `own` is the status of the member that holds the view;
+    /// an observer has none.
     #[must_use]
     pub fn child_digests(&self, prefix: IdPrefix, salt: u32, own: Option<&MemberStatus>) -> ChildDigests {
         let mut digests = [0u32; CHILDREN_PER_PREFIX];
--- a/crates/decide/nickelshed-fleet/tests/datagrams.rs
+++ b/crates/decide/nickelshed-fleet/tests/datagrams.rs
@@ -1,4 +1,5 @@
-//! Datagrams: any bytes are read without harm, what is written is read again, and what is none of the fleet's is dropped.
+//! Datagrams: any bytes are parsed without a panic, written datagrams parse back, and those of other fleets
+//! are dropped.
 use nickelshed_fleet::*;
 use proptest::prelude::*;
 use std::net::SocketAddr;
@@ -16,7 +17,7 @@
     MemberInfo { name: name.into(), address, site: "wschod".into(), version: [0, 2, 0], settings: 9 }
 }
 
-/// A datagram with something in every field.
+/// A datagram with fields of most kinds.
 fn full_datagram() -> Vec<u8> {
     let mut writer = DatagramWriter::new(DatagramKind::Ping);
     writer.sender(&status(3, 7, 1, State::Alive));
@@ -80,9 +81,9 @@
     );
 }
 
-/// Seals a body as a member with the key would, whatever is in it.
-fn sealed(kind: u8, body: &[u8]) -> Vec<u8> {
-    // The seal is over the head and the body: it is taken from a writer that holds the body as one unknown field.
+/// Authenticates any body, as a member with the key would.
+fn authenticated(kind: u8, body: &[u8]) -> Vec<u8> {
+    // The MAC covers header and body, so the body is written as one field that the parser may not know.
     let mut writer = DatagramWriter::new(DatagramKind::Sync);
     writer.raw_field(kind, body);
     writer.finish(&authenticator())
@@ -100,7 +101,7 @@
         let _ = parse_datagram(&bytes, &authenticator());
     }
 
-    /// A bit that was changed on its way is noticed, wherever it is.
+    /// A bit that was changed in transit is detected, wherever it is.
     #[test]
     fn any_flipped_bit_is_rejected(index in 0..full_datagram().len(), bit in 0..8u8) {
         let mut bytes = full_datagram();
@@ -108,11 +109,22 @@
         prop_assert!(parse_datagram(&bytes, &authenticator()).is_err());
     }
 
-    /// Fields of any tag and content, sealed by the key: read or spoilt, never a panic, and never more than came.
+    /// Authenticated fields of any tag and content are parsed or rejected as malformed, never with a panic,
+    /// and never yield more than was sent.
     #[test]
-    fn any_authenticated_field_parses_or_is_malformed(tag in any::<u8>(), body in proptest::collection::vec(any::<u8>(), 0..200)) {
-        if let Ok(datagram) = parse_datagram(&sealed(tag, &body), &authenticator()) {
-            prop_assert!(datagram.updates.len() + datagram.records.len() + datagram.wanted_records.len() + datagram.digests.len() + datagram.listed_prefixes.len() <= 1);
+    fn any_authenticated_field_parses_or_is_malformed(
+        tag in any::<u8>(),
+        body in proptest::collection::vec(any::<u8>(), 0..200),
+    ) {
+        if let Ok(datagram) = parse_datagram(&authenticated(tag, &body), &authenticator()) {
+            prop_assert!(
+                datagram.updates.len()
+                    + datagram.records.len()
+                    + datagram.wanted_records.len()
+                    + datagram.digests.len()
+                    + datagram.listed_prefixes.len()
+                    <= 1
+            );
         }
     }
 }
--- a/crates/decide/nickelshed-fleet/tests/members.rs
+++ b/crates/decide/nickelshed-fleet/tests/members.rs
@@ -1,4 +1,4 @@
-//! Members face to face: what each rule does, with datagrams carried by hand.
+//! The rules of the protocol, with a few members and datagrams delivered by hand.
 use nickelshed_fleet::*;
 use std::net::SocketAddr;
 
@@ -32,16 +32,16 @@
     )
 }
 
-/// A few members on a network without delay.
+/// A few members on a network without latency.
 struct TestNetwork {
     now: Ns,
     members: Vec<Fleet>,
     outputs: Vec<(usize, Output)>,
-    /// All that was ever sent: to whom, from whom.
+    /// All datagrams ever sent: recipient, sender, bytes.
     sent: Vec<(SocketAddr, SocketAddr, Vec<u8>)>,
-    /// Nothing reaches these, and nothing they send counts.
+    /// Members that receive nothing, and whose datagrams reach nobody.
     isolated: Vec<usize>,
-    /// What the first sends the second is lost.
+    /// Pairs of sender and recipient whose datagrams are lost.
     lost: Vec<(usize, usize)>,
 }
 
@@ -149,10 +149,10 @@
     network.members[2].handle(network.now, Input::Timer, &mut Vec::new());
     network.run(4 * SECOND);
     assert_eq!((network.state(2, 0), network.state(0, 2)), (Some(State::Alive), Some(State::Alive)));
-    assert!(network.members[2].local_member().0.incarnation.number > 0, "it has refuted that it is gone");
+    assert!(network.members[2].local_member().0.incarnation.number > 0, "it has refuted its failure");
 }
 
-/// It can't be told that it is doubted, and so says nothing of it; but it is heard.
+/// The suspect cannot learn of the suspicion, and so does not refute it; but its datagrams arrive.
 #[test]
 fn suspect_whose_datagrams_arrive_is_not_declared_failed() {
     let mut network = TestNetwork::new(vec![member(1, 1, &[2], 0), member(2, 1, &[1], 0)]);
@@ -169,7 +169,8 @@
     assert_eq!(network.state(1, 0), Some(State::Alive));
 }
 
-/// Its part may be in use on the other side of a cut, and it may be back where only the new one asks.
+/// The failed member's share may be in use on the other side of a partition, and it may return where only the
+/// new member pings it.
 #[test]
 fn late_joiner_learns_of_failed_members() {
     let mut network = three_members();
@@ -178,10 +179,10 @@
     network.members.push(member(4, 1, &[1], network.now));
     network.run(5 * SECOND);
     assert_eq!(network.state(2, 3), Some(State::Failed));
-    assert!(!network.changes(3).contains(&Change::Gone), "it has seen nobody go");
+    assert!(!network.changes(3).contains(&Change::Gone), "it has seen no failure itself");
 }
 
-/// Two that can't reach one another ask over the third.
+/// Two members that cannot reach each other probe through the third.
 #[test]
 fn broken_link_raises_no_suspicion_while_a_third_member_reaches_both_ends() {
     let mut network = three_members();
@@ -229,12 +230,15 @@
     let mut network = three_members();
     network.members[2] = member(3, 9, &[1], network.now);
     network.run(3 * SECOND);
-    // Started as one that has never been: its folder is gone.
+    // It starts with the first start number, because its state folder is gone.
     network.members[2] = member(3, 1, &[1], network.now);
     network.run(5 * SECOND);
     assert_eq!(network.state(2, 0), Some(State::Alive));
     assert_eq!(network.members[2].local_member().0.incarnation.start_number, 10);
-    assert!(network.outputs.contains(&(2, Output::Persist { start_number: 10 })), "and it is to be kept");
+    assert!(
+        network.outputs.contains(&(2, Output::Persist { start_number: 10 })),
+        "the new start number must be persisted"
+    );
 }
 
 #[test]
@@ -283,7 +287,7 @@
 #[test]
 fn ack_from_another_member_at_the_same_address_does_not_count() {
     let mut network = three_members();
-    // n3 is dead, and n4 has its address.
+    // n3 has crashed, and n4 has its address.
     let info = MemberInfo { address: address(3), ..member(4, 1, &[], 0).local_member().1.clone() };
     let authenticator = Authenticator::new("prognozy", b"key");
     network.members[2] = Fleet::new(
@@ -317,7 +321,8 @@
     assert_eq!((member.info.settings, member.status.incarnation.start_number), (10, 2));
 }
 
-/// Sends what an observer asks, and brings it the answers, until it is told all or has asked so often.
+/// Sends an observer's requests and delivers the answers, until the view is complete or `max_rounds` are
+/// over.
 fn observe(network: &mut TestNetwork, number: usize, max_rounds: usize) -> Observer {
     let mut observer = Observer::new(Authenticator::new("prognozy", b"key"), 5);
     for _ in 0..max_rounds {
@@ -359,8 +364,8 @@
     assert_eq!(reported.len(), 60);
     let failed: Vec<&str> = reported
         .iter()
-        .filter(|reported| reported.status.state == State::Failed)
-        .map(|reported| reported.info.name.as_str())
+        .filter(|member| member.status.state == State::Failed)
+        .map(|member| member.info.name.as_str())
         .collect();
     assert_eq!(failed, ["n8"]);
     network.run(3 * SECOND);
@@ -383,5 +388,5 @@
     }
     let bytes = network.members[0].counts().sent_bytes - before.sent_bytes;
     assert!(bytes <= 6 * 8_192, "{bytes} bytes in 5 s");
-    assert_eq!(network.members[1].present_count(), 3, "and nobody is taken for gone over it");
+    assert_eq!(network.members[1].present_count(), 3, "nobody is declared failed because of it");
 }
--- a/crates/decide/nickelshed-fleet/tests/parts.rs
+++ b/crates/decide/nickelshed-fleet/tests/parts.rs
@@ -1,21 +1,22 @@
-//! Parts over random histories of joins, crashes, cuts and stalls, with a view for each: their sum keeps its bound.
+//! Shares of a limit over random histories of joins, crashes, partitions and stalls, with a simulated view
+//! for each member: their sum stays within its bound.
 use nickelshed_fleet::parts::{max_total_share, LimitQuota, MembershipSummary};
 use nickelshed_fleet::{MemberId, Ns};
 use proptest::prelude::*;
 
 const SECOND: Ns = 1_000_000_000;
-/// Until a view shows what is so, at most.
+/// Longest time in seconds until a view shows a change.
 const MAX_VIEW_LAG: u64 = 6;
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// So many begin.
+    /// This many members join.
     Join(usize),
     Crash(usize),
-    /// Members are in so many groups that do not reach one another.
+    /// Members are split into this many groups that do not reach one another.
     Partition(usize),
     Heal,
-    /// One stands still for so many seconds.
+    /// One member is stalled for this many seconds.
     Stall(usize, u64),
 }
 
@@ -36,13 +37,13 @@
     alive: bool,
     group: usize,
     stalled_until: u64,
-    /// Woken since then: it holds itself in doubt.
+    /// When it last resumed from a stall; its local health is degraded for a short time then.
     resumed_at: u64,
     present: Vec<MemberId>,
     failed: Vec<MemberId>,
 }
 
-/// The greatest sum of parts over the bound, while all the room that there is was told of.
+/// Returns the greatest excess of the sum of shares over its bound, while all available headroom is reported.
 fn max_excess_over_bound(initial: usize, events: &[(u64, Event)], lags: &[u64]) -> f64 {
     let mut members: Vec<Member> = Vec::new();
     let add_member = |members: &mut Vec<Member>, at: u64, configured: usize| {
@@ -94,7 +95,7 @@
             .filter(|member| member.alive && member.stalled_until <= second)
             .map(|member| (member.id, member.group))
             .collect();
-        // Whoever meets another learns of all that this remembers.
+        // A member learns of all members that any member within its reach remembers.
         let known_ids: Vec<(usize, Vec<MemberId>)> = members
             .iter()
             .map(|member| {
@@ -118,8 +119,7 @@
             if resumed {
                 member.resumed_at = second;
             }
-            // A view is late, each by its own time; it knows those that it reaches now after that, and goes on
-            // knowing the others until then.
+            // Each view lags by its own time. Until then it keeps the members that it listed before.
             let view_lag = lags[number % lags.len()] % MAX_VIEW_LAG;
             if second >= changed_at + view_lag || member.present.is_empty() {
                 let reachable =
@@ -172,6 +172,6 @@
         lags in proptest::collection::vec(0..MAX_VIEW_LAG, 1..6),
     ) {
         let excess = max_excess_over_bound(initial, &events, &lags);
-        prop_assert!(excess < 1e-6, "{excess} over the bound");
+        prop_assert!(excess < 1e-6, "shares exceed the bound by {excess}");
     }
 }
