--- a/crates/proof/nickelshed-rig/src/lib.rs
+++ b/crates/proof/nickelshed-rig/src/lib.rs
@@ -1,6 +1,6 @@
-//! Several members of a fleet, and the faults between them: `script` is what befalls them, `play` does so in virtual
-//! time, `truth` knows who can reach whom, and what members believe is held against it; `measure`
-//! makes tables of many days. `relay` stands between processes of the delivered program.
+//! Fleets of several members under scripted faults. `script` defines the faults, `play` simulates them in
+//! virtual time, `truth` knows who can reach whom, which the views of the members are checked against, and
+//! `measure` computes tables over many runs. `relay` is put between processes of the delivered program.
 pub mod measure;
 pub mod play;
 pub mod relay;
--- a/crates/proof/nickelshed-rig/src/main.rs
+++ b/crates/proof/nickelshed-rig/src/main.rs
@@ -1,4 +1,5 @@
-//! The program `nickelshed-rig`: plays scripts and prints what members believed, and makes the tables of many days.
+//! The program `nickelshed-rig`: simulates scripts and prints what members observed, and prints tables over
+//! many runs.
 use clap::{Parser, Subcommand};
 use nickelshed_config::units::Period;
 use nickelshed_rig::measure::{convergence_seconds, quantile, simulate_seeds, single_event_script, Event};
@@ -6,11 +7,11 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Plays fleets in virtual time, with faults between their members.
+/// Simulates fleets in virtual time, with faults between their members.
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Ends with 0 if all views were right at the end, with 1 if one was not, with 2 if it was called wrongly."
+    after_help = "Exits with 0 if all views were right at the end, with 1 if one was wrong, with 2 on wrong usage."
 )]
 struct Arguments {
     #[command(subcommand)]
@@ -19,39 +20,39 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play scripts (see lab/fleet) and print how long views took to settle
+    /// Simulate scripts (see lab/fleet) and print how long views took to converge
     Run {
         #[arg(required = true, value_name = "SCRIPT")]
         scripts: Vec<PathBuf>,
         /// [default: the script's own]
         #[arg(long)]
         seed: Option<u64>,
-        /// Print every change that a member saw
+        /// Print every change that a member observed
         #[arg(long)]
         changes: bool,
     },
-    /// Print how long views take to settle after a join, a crash and a partition, by size and loss
+    /// Print how long views take to converge after a join, a crash and a partition, by fleet size and loss
     Settle {
         #[arg(long, value_delimiter = ',', default_value = "3,10,50")]
         members: Vec<usize>,
-        /// In per cent
+        /// In percent
         #[arg(long, value_delimiter = ',', default_value = "0,5,20")]
         lost: Vec<f64>,
         #[arg(long, default_value_t = 100)]
         seeds: u64,
     },
-    /// Print whom members take for gone wrongly while nothing fails but the network
+    /// Print how often live members are declared failed while only the network is faulty
     Loss {
         #[arg(long, default_value_t = 50)]
         members: usize,
-        /// In per cent
+        /// In percent
         #[arg(long, default_value_t = 20.0)]
         lost: f64,
-        /// Days of ten minutes
+        /// Number of runs, of ten minutes each
         #[arg(long = "days", value_name = "DAYS", default_value_t = 600)]
         runs: u64,
     },
-    /// Print what each member sends, by the fleet's size
+    /// Print what each member sends, by fleet size
     Cost {
         #[arg(long, value_delimiter = ',', default_value = "10,100,300,1000")]
         members: Vec<usize>,
@@ -74,12 +75,12 @@
             Some(duration) => {
                 println!("  from {at:.2} s on: all views right after {:.2} s", *duration as f64 / 1e9)
             }
-            None => println!("  from {at:.2} s on: not settled before the next fault"),
+            None => println!("  from {at:.2} s on: not converged before the next fault"),
         }
     }
     let max = |values: &[f64]| values.iter().copied().fold(0.0, f64::max);
     println!(
-        "  datagrams a second {:.1} (most {:.1}), bytes {:.0} (most {:.0}); dropped {}",
+        "  datagrams per second {:.1} (max {:.1}), bytes per second {:.0} (max {:.0}); dropped {}",
         mean(report.datagrams_per_s.clone()),
         max(&report.datagrams_per_s),
         mean(report.bytes_per_s.clone()),
@@ -87,7 +88,7 @@
         report.dropped
     );
     println!(
-        "  parts add up to {:.3} at most, at {:.2} s; wrongly gone {}, verdicts {}, names taken {}",
+        "  shares add up to {:.3} at most, at {:.2} s; false failures {}, failures declared {}, name conflicts {}",
         report.max_total_share.0,
         report.max_total_share.1 as f64 / 1e9,
         report.false_failures(),
@@ -130,7 +131,7 @@
 }
 
 fn settle(members: &[usize], lost: &[f64], seeds: u64) {
-    println!("| members | lost | event | p50 | p99 | most | not settled |\n| --- | --- | --- | --- | --- | --- | --- |");
+    println!("| members | lost | event | p50 | p99 | max | not converged |\n| --- | --- | --- | --- | --- | --- | --- |");
     for &member_count in members {
         for &lost in lost {
             for event in [Event::Join, Event::Crash, Event::Healed] {
@@ -146,9 +147,9 @@
                 let mut times: Vec<f64> = reports.iter().filter_map(convergence_seconds).collect();
                 times.sort_by(f64::total_cmp);
                 let (p50, p99, max) = (quantile(&times, 0.5), quantile(&times, 0.99), quantile(&times, 1.0));
-                let unsettled = reports.len() - times.len();
+                let not_converged = reports.len() - times.len();
                 println!(
-                    "| {member_count} | {lost}% | {event:?} | {p50:.2} s | {p99:.2} s | {max:.2} s | {unsettled} of {} |",
+                    "| {member_count} | {lost}% | {event:?} | {p50:.2} s | {p99:.2} s | {max:.2} s | {not_converged} of {} |",
                     reports.len()
                 );
             }
@@ -170,14 +171,14 @@
                 .filter(|observation| observation.change == nickelshed_fleet::Change::Suspected)
                 .count();
             println!(
-                "{:.1} hours of {members} members, {lost}% lost: {false_failures} times one that was there was taken for gone, {suspected} times one was held suspect",
+                "{:.1} hours of {members} members, {lost}% lost: live members were declared failed {false_failures} times and suspected {suspected} times",
                 reports.len() as f64 / 6.0
             );
         }
         Command::Cost { members } => {
-            println!("| members | datagrams a second | bytes a second |\n| --- | --- | --- |");
+            println!("| members | datagrams per second | bytes per second |\n| --- | --- | --- |");
             for member_count in members {
-                // What settling costs at the start is left out: only the later part of the day is long.
+                // The run is long, so that the cost of joining at the start hardly counts.
                 let report =
                     simulate(&single_event_script(member_count, 0.0, Event::NoFault, 1, Period::ms(300_000)));
                 println!(
--- a/crates/proof/nickelshed-rig/src/measure.rs
+++ b/crates/proof/nickelshed-rig/src/measure.rs
@@ -1,21 +1,22 @@
-//! The tables of `docs/design/membership.md`: how long views take to settle, what that costs, and what is said wrongly.
+//! Computes the tables of `docs/design/membership.md`: how long views take to converge, what that costs, and
+//! how many failures are declared falsely.
 use crate::play::{simulate, RunReport, SECOND};
 use crate::script::{Fault, FaultKind, MemberSet, Script};
 use nickelshed_config::units::{Percent, Period};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// What befalls a fleet once it is there.
+/// What happens to a fleet that is running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     Join,
     Crash,
-    /// Two halves, for half a minute; the time is that after they are healed.
+    /// Two halves are partitioned for 30 s; the time is measured from the end of the partition.
     Healed,
     NoFault,
 }
 
-/// A script of one such event, at 20 s.
+/// Returns a script with one such event, at 20 s.
 #[must_use]
 pub fn single_event_script(members: usize, loss: f64, event: Event, seed: u64, length: Period) -> Script {
     let fault = |kind, targets: Vec<usize>, duration| Fault {
@@ -39,7 +40,7 @@
     Script { seed, members, sites: 2, length, loss: Percent(loss), faults, ..Script::default() }
 }
 
-/// Seconds until all views were right after the last thing that happened; none if they never were.
+/// Seconds from the last event until all views were right; `None` if they never were.
 #[must_use]
 pub fn convergence_seconds(report: &RunReport) -> Option<f64> {
     report
@@ -49,7 +50,8 @@
         .map(|duration| duration as f64 / SECOND as f64)
 }
 
-/// Plays one script for each of so many seeds, on all cores; days in the order of their seeds.
+/// Simulates a script for each of this many seeds, with `jobs` threads. Returns the reports in the order of
+/// the seeds.
 pub fn simulate_seeds(seeds: u64, jobs: usize, script_for: impl Fn(u64) -> Script + Sync) -> Vec<RunReport> {
     let (next, reports) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
@@ -60,16 +62,16 @@
                     return;
                 }
                 let report = simulate(&script_for(seed + 1));
-                reports.lock().expect("no player panics while it holds it").push((seed, report));
+                reports.lock().expect("no simulation panics while it holds the lock").push((seed, report));
             });
         }
     });
-    let mut reports = reports.into_inner().expect("all players have ended");
+    let mut reports = reports.into_inner().expect("all threads have ended");
     reports.sort_by_key(|(seed, _)| *seed);
     reports.into_iter().map(|(_, report)| report).collect()
 }
 
-/// The value below which this part of them lies.
+/// Returns the value below which the fraction `q` of the values lies; NaN if there are none.
 #[must_use]
 pub fn quantile(sorted: &[f64], q: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
--- a/crates/proof/nickelshed-rig/src/play.rs
+++ b/crates/proof/nickelshed-rig/src/play.rs
@@ -1,5 +1,5 @@
-//! A script played by members in virtual time: a network that loses, delays, repeats and cuts, and processes that are
-//! stopped, killed and started again. The same script and seed give the same day.
+//! Simulates a script in virtual time: a network that loses, delays, duplicates and blocks datagrams, and
+//! processes that are stopped, killed and restarted. The same script and seed give the same run.
 use crate::script::{Fault, FaultKind, Script};
 use crate::truth::GroundTruth;
 use nickelshed_fleet::parts::LimitQuota;
@@ -10,19 +10,19 @@
 
 pub const MS: Ns = 1_000_000;
 pub const SECOND: Ns = 1_000 * MS;
-/// What each may send, in bytes a second.
+/// What each member may send.
 pub const RATE_BYTES_PER_S: u32 = 8_192;
-/// Datagrams that wait for a process that stands still.
+/// Datagrams that wait in the socket of a stalled process, at most.
 const SOCKET_BUFFER: usize = 400;
-/// How often it is looked whether all views are right.
+/// How often all views are checked.
 const CHECK_INTERVAL: Ns = 50 * MS;
 
-/// One member's machine.
+/// One member: its state folder, its socket and its process, if it runs.
 struct SimulatedMember {
     name: String,
     address: SocketAddr,
     site: usize,
-    /// The start that its folder holds.
+    /// The start number in its state folder.
     persisted_start: u32,
     fleet: Option<Fleet>,
     quota: LimitQuota,
@@ -30,7 +30,7 @@
     stalled_until: Ns,
     socket_queue: Vec<(SocketAddr, Vec<u8>)>,
     timer_at: Ns,
-    /// Counts of its processes that have ended.
+    /// Counters of its processes that have ended.
     past_counts: Counts,
     running_since: Ns,
     run_time: Ns,
@@ -46,40 +46,41 @@
     Flood(usize),
 }
 
-/// A change that a member saw in its view.
+/// A change that a member observed in its view.
 #[derive(Clone, Debug)]
 pub struct Observation {
     pub at: Ns,
     pub observer: usize,
     pub subject: String,
     pub change: Change,
-    /// Whether the other ran and could be reached then, and had for some seconds.
+    /// Whether the other member had been running and reachable for some seconds, so that a declared failure
+    /// is false.
     pub is_false: bool,
 }
 
-/// What a day came to.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunReport {
     pub observations: Vec<Observation>,
-    /// For each moment at which something began or ended, how long until all views were right, if they ever were before
-    /// the next one.
+    /// For each time at which a fault began or ended: how long until all views were right; `None` if that was
+    /// not before the next one.
     pub convergence: Vec<(Ns, Option<Ns>)>,
-    /// The most that the parts of running members added up to, and when.
+    /// Greatest sum of the shares of the running members, and when.
     pub max_total_share: (f64, Ns),
-    /// The sum of parts at each second.
+    /// Sum of the shares at each second.
     pub total_shares: Vec<f64>,
-    /// Datagrams and bytes a second that each member sent while it ran.
+    /// What each member sent per second while it ran.
     pub datagrams_per_s: Vec<f64>,
     pub bytes_per_s: Vec<f64>,
     pub dropped: u64,
     pub name_conflicts: usize,
     pub failures_declared: u64,
-    /// What is still wrong at the end, in words.
+    /// What is still wrong at the end, as a message.
     pub final_mismatch: Option<String>,
 }
 
 impl RunReport {
-    /// Members that were declared gone though they ran and could be reached.
+    /// Number of times that a running, reachable member was declared failed.
     #[must_use]
     pub fn false_failures(&self) -> usize {
         self.observations.iter().filter(|s| s.change == Change::Gone && s.is_false).count()
@@ -98,7 +99,8 @@
     member_at: BTreeMap<SocketAddr, usize>,
     ground_truth: GroundTruth,
     report: RunReport,
-    /// Since when something is not settled.
+    /// Time of the last start or end of a fault, while the views are not all right since; `None` once they
+    /// are.
     unconverged_since: Option<Ns>,
     headroom: f64,
 }
@@ -111,7 +113,7 @@
     Authenticator::new("rig", b"a key for tests only")
 }
 
-/// Plays a script to its end.
+/// Simulates a script to its end.
 #[must_use]
 pub fn simulate(script: &Script) -> RunReport {
     let mut simulation = Simulation {
@@ -161,7 +163,7 @@
                 break;
             }
             self.now = at;
-            let event = self.pending_events.remove(&key).expect("each has its place in the queue once");
+            let event = self.pending_events.remove(&key).expect("each event is in the queue once");
             self.handle_event(event);
         }
         self.now = end;
@@ -230,7 +232,7 @@
             random_seed,
         };
         member.fleet = Some(Fleet::new(config, self.now));
-        // The settings of a deployment name as many as are planned.
+        // The settings of a deployment name the planned number of senders.
         member.quota = LimitQuota::new(self.script.members, self.now);
         member.share = 1.0 / member.quota.sender_count();
         (member.stalled_until, member.running_since) = (0, self.now);
@@ -262,7 +264,7 @@
         }
     }
 
-    /// Has a machine's timer come when its process asks for it.
+    /// Schedules the next timer that a member's process asks for.
     fn schedule_timer(&mut self, number: usize) {
         let Some(fleet) = &self.members[number].fleet else { return };
         let at = fleet.wake_at().max(self.now + MS);
@@ -298,7 +300,8 @@
                 }
                 let socket_queue = std::mem::take(&mut member.socket_queue);
                 self.ground_truth.resume(number, self.now);
-                // Its timers are due, and its socket is full: which comes first is the runtime's choice.
+                // Its timers are due and its socket is full; which of them comes first depends on the
+                // runtime.
                 self.deliver(number, Input::Timer);
                 for (from, bytes) in socket_queue {
                     self.deliver(number, Input::Datagram { from, bytes: &bytes });
@@ -363,13 +366,17 @@
                 }
                 FaultKind::Replace => {
                     self.stop_process(number);
-                    let (address, site) = (self.members[number].address, self.members[number].site);
-                    let other = self.add_member(format!("other-{number}"), address, site);
+                    let (member_address, site) = (self.members[number].address, self.members[number].site);
+                    let other = self.add_member(format!("other-{number}"), member_address, site);
                     self.start_process(other);
                 }
                 FaultKind::Flood => {
-                    let fault_index =
-                        self.script.faults.iter().position(|f| f == fault).expect("it is one of them");
+                    let fault_index = self
+                        .script
+                        .faults
+                        .iter()
+                        .position(|f| f == fault)
+                        .expect("the fault is from this script");
                     self.schedule(self.now, SimEvent::Flood(fault_index));
                 }
                 FaultKind::Cut | FaultKind::Lossy | FaultKind::Slow => {}
@@ -387,7 +394,7 @@
         self.update_cuts();
     }
 
-    /// Tells the truth who can reach whom now.
+    /// Updates in the ground truth who can reach whom.
     fn update_cuts(&mut self) {
         let all = self.members.len();
         let faults: Vec<&Fault> =
@@ -410,7 +417,8 @@
         self.ground_truth.set_cuts(cuts, self.now);
     }
 
-    /// Three kinds of what is none of this fleet's, at two hundred a second.
+    /// Sends datagrams that are not of this fleet (another fleet, another key, truncated, of a newer
+    /// version), two hundred times per second.
     fn flood(&mut self, fault_index: usize) {
         let fault = &self.script.faults[fault_index];
         if !self.is_active(fault) {
@@ -418,7 +426,7 @@
         }
         let from = address(2_000);
         for &number in &fault.targets.0 {
-            let info = MemberInfo {
+            let foreign_info = MemberInfo {
                 name: "x".into(),
                 address: from,
                 site: String::new(),
@@ -430,7 +438,7 @@
                 _ => Authenticator::new("rig", b"another key"),
             };
             let config = Config {
-                info: info,
+                info: foreign_info,
                 start_number: 1,
                 seeds: vec![address(number)],
                 authenticator: foreign,
@@ -466,9 +474,9 @@
                 Output::Persist { start_number } => self.members[number].persisted_start = start_number,
                 Output::Changed { name, change, .. } => {
                     view_changed = true;
-                    let subject =
+                    let subject_number =
                         self.members.iter().position(|member| member.name == name && member.fleet.is_some());
-                    let is_false = subject
+                    let is_false = subject_number
                         .is_some_and(|subject| self.ground_truth.were_long_connected(number, subject, now));
                     self.report.observations.push(Observation {
                         at: now,
@@ -480,7 +488,7 @@
                 }
                 Output::NameConflict { .. } => {
                     self.report.name_conflicts += 1;
-                    // An operator ends it: it says nothing any more.
+                    // An operator stops it, so it sends nothing any more.
                     self.stop_process(number);
                 }
                 Output::Stalled { .. } => view_changed = true,
@@ -532,7 +540,7 @@
         }
     }
 
-    /// Whether all views are right, and what parts add up to.
+    /// Checks whether all views are right, and sums up the shares.
     fn check(&mut self) {
         if self.now % SECOND < CHECK_INTERVAL {
             for number in 0..self.members.len() {
@@ -562,7 +570,7 @@
         }
     }
 
-    /// The first view that does not hold exactly those that it should.
+    /// Returns the first view that does not list exactly the members that it should.
     fn find_mismatch(&self) -> Option<String> {
         for (number, member) in self.members.iter().enumerate() {
             let Some(fleet) = &member.fleet else { continue };
@@ -583,7 +591,7 @@
             if present != expected {
                 let extra: Vec<_> = present.iter().filter(|name| !expected.contains(name)).collect();
                 let missing: Vec<_> = expected.iter().filter(|name| !present.contains(name)).collect();
-                return Some(format!("{} holds {extra:?} too many and lacks {missing:?}", member.name));
+                return Some(format!("{} lists {extra:?} wrongly and lacks {missing:?}", member.name));
             }
         }
         None
--- a/crates/proof/nickelshed-rig/src/relay.rs
+++ b/crates/proof/nickelshed-rig/src/relay.rs
@@ -1,5 +1,6 @@
-//! A relay on each link between processes: every member is reached at a front of the relay's, so each ordered pair can be
-//! cut, thinned and counted. Faults are set by the test beside the load.
+//! A UDP relay on each link between processes. Each member is reached at a socket of the relay, so that
+//! datagrams of each ordered pair can be dropped, duplicated and counted. Tests set the faults while load is
+//! running.
 use std::collections::BTreeSet;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -11,42 +12,43 @@
 #[derive(Default)]
 struct Faults {
     cut_links: BTreeSet<(usize, usize)>,
-    /// Of a hundred datagrams so many are lost, by their number.
+    /// Percentage of datagrams to drop, picked by their sequence number.
     lost_percent: u64,
     duplicate: bool,
 }
 
 struct Shared {
     sockets: Vec<UdpSocket>,
-    /// Where the members themselves are.
-    members: Vec<SocketAddr>,
+    /// Addresses at which the members themselves listen.
+    member_addresses: Vec<SocketAddr>,
     faults: Mutex<Faults>,
-    relayed: AtomicU64,
+    received: AtomicU64,
     is_stopping: AtomicBool,
 }
 
-/// Ends its threads when it is dropped.
+/// Stops its threads when it is dropped.
 pub struct Relay {
     shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Relay {
-    /// Fronts for so many members, on ports that the kernel gives; the members get free ports of their own.
+    /// Opens a socket for each member, on ports that the kernel picks, and finds free ports for the members
+    /// themselves.
     ///
     /// # Errors
-    /// If no port is to be had.
+    /// Fails if no port is free.
     pub fn new(members: usize) -> io::Result<Relay> {
         let bind = || UdpSocket::bind("127.0.0.1:0");
         let sockets = (0..members).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
         let reserved = (0..members).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
-        let members = reserved.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
+        let member_addresses = reserved.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
         drop(reserved);
         for socket in &sockets {
             socket.set_read_timeout(Some(Duration::from_millis(50)))?;
         }
-        let (faults, relayed, is_stopping) = (Mutex::default(), AtomicU64::new(0), AtomicBool::new(false));
-        let shared = Arc::new(Shared { sockets, members, faults, relayed, is_stopping });
+        let (faults, received, is_stopping) = (Mutex::default(), AtomicU64::new(0), AtomicBool::new(false));
+        let shared = Arc::new(Shared { sockets, member_addresses, faults, received, is_stopping });
         let thread = |receiver: usize| {
             let shared = shared.clone();
             std::thread::spawn(move || shared.relay_datagrams(receiver))
@@ -55,26 +57,26 @@
         Ok(Relay { shared, threads })
     }
 
-    /// Where a member listens itself.
+    /// Address at which a member itself listens.
     #[must_use]
     pub fn member_address(&self, number: usize) -> SocketAddr {
-        self.shared.members[number]
+        self.shared.member_addresses[number]
     }
 
-    /// Where the others reach it.
+    /// Address at which other members reach it.
     ///
     /// # Panics
-    /// If the machine has lost the socket.
+    /// Panics if the socket has no address.
     #[must_use]
     pub fn relay_address(&self, number: usize) -> SocketAddr {
         self.shared.sockets[number].local_addr().expect("a bound socket has an address")
     }
 
     fn with_faults(&self, apply: impl FnOnce(&mut Faults)) {
-        apply(&mut self.shared.faults.lock().expect("no holder panics"));
+        apply(&mut self.shared.faults.lock().expect("no thread panics while it holds the lock"));
     }
 
-    /// What one of the first sends one of the second is lost, and the other way round unless `one_way`.
+    /// Drops what `senders` send to `receivers`, and the other direction too unless `one_way`.
     pub fn cut(&self, senders: &[usize], receivers: &[usize], one_way: bool) {
         self.with_faults(|faults| {
             for &sender in senders {
@@ -92,57 +94,58 @@
         self.with_faults(|faults| faults.cut_links.clear());
     }
 
-    /// Of a hundred datagrams so many are lost, and all others come twice if so.
+    /// Drops this percentage of datagrams, and sends all others twice if `duplicate`.
     pub fn impair(&self, lost_percent: u64, duplicate: bool) {
         self.with_faults(|faults| (faults.lost_percent, faults.duplicate) = (lost_percent, duplicate));
     }
 
-    /// Datagrams that were carried so far.
+    /// Number of datagrams that members have sent so far, dropped ones included.
     #[must_use]
-    pub fn relayed_count(&self) -> u64 {
-        self.shared.relayed.load(Ordering::Relaxed)
+    pub fn received_count(&self) -> u64 {
+        self.shared.received.load(Ordering::Relaxed)
     }
 }
 
 impl Shared {
-    /// Carries what comes for one member, under the front of whoever sent it.
+    /// Relays what arrives for one member, from the socket that stands for its sender.
     fn relay_datagrams(&self, receiver: usize) {
         let mut buffer = [0; 2_048];
         while !self.is_stopping.load(Ordering::Relaxed) {
             let Ok((length, source)) = self.sockets[receiver].recv_from(&mut buffer) else { continue };
-            let Some(sender) = self.members.iter().position(|member_address| *member_address == source)
+            let Some(sender) =
+                self.member_addresses.iter().position(|member_address| *member_address == source)
             else {
                 self.relay_from_outside(receiver, source, &buffer[..length]);
                 continue;
             };
             let (is_cut, copies) = {
-                let faults = self.faults.lock().expect("no holder panics");
-                let sequence = self.relayed.load(Ordering::Relaxed).wrapping_mul(61);
+                let faults = self.faults.lock().expect("no thread panics while it holds the lock");
+                let sequence = self.received.load(Ordering::Relaxed).wrapping_mul(61);
                 let is_lost = sequence % 100 < faults.lost_percent;
                 (faults.cut_links.contains(&(sender, receiver)) || is_lost, 1 + usize::from(faults.duplicate))
             };
-            self.relayed.fetch_add(1, Ordering::Relaxed);
+            self.received.fetch_add(1, Ordering::Relaxed);
             for _ in 0..if is_cut { 0 } else { copies } {
-                let _ = self.sockets[sender].send_to(&buffer[..length], self.members[receiver]);
+                let _ = self.sockets[sender].send_to(&buffer[..length], self.member_addresses[receiver]);
             }
         }
     }
 }
 
 impl Shared {
-    /// One that is no member asks: the answer goes back under the front that it asked.
+    /// Relays a request from outside the fleet. The answer goes back from the socket that was asked.
     fn relay_from_outside(&self, receiver: usize, source: SocketAddr, bytes: &[u8]) {
         let (Ok(relay_socket), Ok(socket)) =
             (self.sockets[receiver].try_clone(), UdpSocket::bind("127.0.0.1:0"))
         else {
             return;
         };
-        let (member, bytes) = (self.members[receiver], bytes.to_vec());
+        let (member, bytes) = (self.member_addresses[receiver], bytes.to_vec());
         std::thread::spawn(move || {
             let _ = socket.set_read_timeout(Some(Duration::from_millis(500)));
             let _ = socket.send_to(&bytes, member);
             let mut buffer = [0; 2_048];
-            // An answer has some datagrams at most, and the thread ends with the last.
+            // An answer is a few datagrams at most; the thread ends 500 ms after the last one.
             while let Ok((length, _)) = socket.recv_from(&mut buffer) {
                 let _ = relay_socket.send_to(&buffer[..length], source);
             }
--- a/crates/proof/nickelshed-rig/src/script.rs
+++ b/crates/proof/nickelshed-rig/src/script.rs
@@ -1,26 +1,28 @@
-//! What befalls a fleet, as a file in TOML with a seed: the same for members in virtual time and for processes.
+//! Scripts of faults in a fleet: TOML files with a seed, the same for members in virtual time and for
+//! processes.
 use nickelshed_config::units::{Percent, Period};
 use serde::Deserialize;
 use std::str::FromStr;
 
-/// A day of a fleet: its members, its network and its faults.
+/// A run of a fleet: its members, its network and its faults.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Script {
     pub seed: u64,
     pub length: Period,
-    /// Members that start at the beginning; numbers from 0.
+    /// Members that start at the beginning; they are numbered from 0.
     pub members: usize,
-    /// Members stand in so many sites, in equal blocks.
+    /// Number of sites that the members are divided among, in equal blocks.
     pub sites: usize,
-    /// The first so many are named as seeds to all.
+    /// Number of members that all others use as seeds: the first ones.
     pub seeds: usize,
-    /// One way, from the least to the most; drawn for each datagram, so that they overtake one another.
+    /// Shortest and longest latency of one direction, drawn for each datagram, so that datagrams overtake one
+    /// another.
     pub latency: [Period; 2],
-    /// Of the datagrams that so many are lost.
+    /// Fraction of datagrams that is lost.
     #[serde(rename = "lost")]
     pub loss: Percent,
-    /// And so many come twice.
+    /// Fraction of datagrams that arrives twice.
     #[serde(rename = "twice")]
     pub duplicated: Percent,
     #[serde(rename = "fault")]
@@ -49,24 +51,25 @@
     pub kind: FaultKind,
     #[serde(rename = "at")]
     pub start: Period,
-    /// Nought: for good.
+    /// Zero: until the end of the run.
     #[serde(default, rename = "lasts")]
     pub duration: Period,
-    /// Whom it meets.
+    /// Members that the fault affects.
     #[serde(rename = "who")]
     pub targets: MemberSet,
-    /// The other side of a cut; without it, all others.
+    /// The other side of a cut; all other members if `None`.
     #[serde(default, rename = "to")]
     pub peers: Option<MemberSet>,
-    /// Of a cut: only what `who` send is lost.
+    /// For `cut`: only what `targets` send is lost.
     #[serde(default)]
     pub one_way: bool,
-    /// Of `lossy`: so many are lost; of `slow`: see `by`.
+    /// For `lossy`: fraction of datagrams that is lost.
     #[serde(default, rename = "part")]
     pub loss: Percent,
+    /// For `slow`: greatest delay that is added.
     #[serde(default, rename = "by")]
     pub extra_delay: Period,
-    /// Of `kill`: the state folder is lost too.
+    /// For `kill`: the state folder is lost too.
     #[serde(default)]
     pub folder_lost: bool,
 }
@@ -76,23 +79,23 @@
 pub enum FaultKind {
     /// Datagrams between the two sides are lost.
     Cut,
-    /// Of the datagrams to and from them this part is lost.
+    /// A fraction of the datagrams to and from the members is lost.
     Lossy,
-    /// Datagrams to and from them are later by up to so much more.
+    /// Datagrams to and from the members are delayed by up to `extra_delay` more.
     Slow,
-    /// Their processes stand still.
+    /// The processes are stalled.
     Stop,
-    /// Their processes are killed; they start again at the end of the fault, or never.
+    /// The processes are killed; they start again at the end of the fault, if it ends.
     Kill,
-    /// They end on purpose, and start again at the end of the fault, or never.
+    /// The processes leave on purpose; they start again at the end of the fault, if it ends.
     Leave,
-    /// They are not there before this; without it a member starts at the beginning.
+    /// The members start only now; without this fault a member starts at the beginning.
     Join,
-    /// A second process starts under their names, at other addresses.
+    /// A second process starts under the name of each member, at another address.
     Double,
-    /// They are killed, and a member of another name takes their addresses.
+    /// The members are killed, and members of other names take over their addresses.
     Replace,
-    /// They are sent datagrams of another fleet, of another key, cut short and of a later form.
+    /// The members receive datagrams of another fleet, with another key, truncated and of a newer version.
     Flood,
 }
 
@@ -136,7 +139,7 @@
 
 impl Script {
     /// # Errors
-    /// What is wrong with the file, in words.
+    /// Returns what is wrong with the file, as a message.
     pub fn parse(text: &str) -> Result<Script, String> {
         let script: Script = toml::from_str(text).map_err(|e| e.to_string())?;
         let named = script
@@ -147,7 +150,7 @@
             return Err(format!("member {number} is named, but there are only {}", script.members));
         }
         if script.latency[0] > script.latency[1] {
-            return Err("the least latency is above the most".to_string());
+            return Err("the least latency is above the greatest".to_string());
         }
         if script.members == 0 {
             return Err("there are no members".to_string());
--- a/crates/proof/nickelshed-rig/src/truth.rs
+++ b/crates/proof/nickelshed-rig/src/truth.rs
@@ -1,8 +1,9 @@
-//! What is so, whatever members believe: who runs, and who can reach whom.
+//! The actual state of a simulated fleet, regardless of the views of its members: which processes run, and
+//! which members can reach one another.
 use nickelshed_fleet::Ns;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Two that could reach one another for so long have no reason to hold one another for gone.
+/// Members that could reach one another for this long have no reason to declare each other failed.
 const STABLE_AFTER: Ns = 12_000_000_000;
 
 #[derive(Debug, Default)]
@@ -10,9 +11,9 @@
     running: BTreeSet<usize>,
     stalled: BTreeSet<usize>,
     cuts: BTreeSet<(usize, usize)>,
-    /// The lowest number that each running member can reach, over helpers too.
+    /// Lowest number among the members that each running member can reach, also through others.
     component: BTreeMap<usize, usize>,
-    /// Since when a member is where it is.
+    /// When a member last started, stalled, resumed or changed its component.
     stable_since: BTreeMap<usize, Ns>,
 }
 
@@ -42,7 +43,7 @@
         self.update_components(now);
     }
 
-    /// What one sends another is lost, for each of these pairs.
+    /// Sets the pairs of sender and recipient whose datagrams are lost.
     pub fn set_cuts(&mut self, cuts: BTreeSet<(usize, usize)>, now: Ns) {
         if cuts != self.cuts {
             self.cuts = cuts;
@@ -55,7 +56,8 @@
         self.cuts.contains(&(from, to))
     }
 
-    /// Whether it hears others that do not hear it: it may hold them for present or not.
+    /// Returns whether it receives from others that do not receive from it; it may then list them as present
+    /// or not.
     #[must_use]
     pub fn is_receive_only(&self, number: usize) -> bool {
         let is_alone = self
@@ -68,7 +70,7 @@
             && self.component.keys().any(|&other| other != number && !self.cuts.contains(&(other, number)))
     }
 
-    /// All that a member can reach, itself too; one that stands still reaches nobody.
+    /// Returns all members that a member can reach, itself included; a stalled one reaches no other.
     pub fn reachable_from(&self, number: usize) -> impl Iterator<Item = usize> + '_ {
         let own_component = self.component.get(&number).copied();
         self.component
@@ -77,7 +79,8 @@
             .map(|(other, _)| *other)
     }
 
-    /// Whether both ran within reach of one another for so long that neither may hold the other for gone.
+    /// Returns whether both ran within reach of each other for so long that neither may declare the other
+    /// failed.
     #[must_use]
     pub fn were_long_connected(&self, a: usize, b: usize, now: Ns) -> bool {
         let is_stable = |n: usize| self.stable_since.get(&n).is_some_and(|at| now - at >= STABLE_AFTER);
@@ -85,7 +88,7 @@
         of_a.is_some() && of_a == of_b && is_stable(a) && is_stable(b)
     }
 
-    /// Those that reach one another both ways, directly or over others.
+    /// Recomputes which members reach one another in both directions, directly or through others.
     fn update_components(&mut self, now: Ns) {
         let responsive: Vec<usize> = self.running.difference(&self.stalled).copied().collect();
         let mut component: BTreeMap<usize, usize> = BTreeMap::new();
--- a/crates/proof/nickelshed-rig/tests/scripts.rs
+++ b/crates/proof/nickelshed-rig/tests/scripts.rs
@@ -1,4 +1,5 @@
-//! The hard cases under `lab/fleet`, in virtual time: what members believe is held against what is so.
+//! The scripts in `lab/fleet`, in virtual time: the views of the members are checked against the ground
+//! truth.
 use nickelshed_fleet::parts::max_total_share;
 use nickelshed_fleet::Change;
 use nickelshed_rig::{simulate, RunReport, Script};
@@ -14,14 +15,14 @@
     (script, report)
 }
 
-/// Plays a script on a few seeds; what holds for all of them is looked at here, the rest by the caller.
+/// Simulates a script with a few seeds. Checks what holds for all scripts here and the rest by `check`.
 fn run_seeds(name: &str, check: impl Fn(&Script, &RunReport)) {
     for seed in 1..=3 {
         let (script, report) = run(name, seed);
         assert_eq!(report.final_mismatch, None, "{name}, seed {seed}: all views are right at the end");
         let (sum, at) = report.max_total_share;
         let max = max_total_share(script.members, script.members);
-        assert!(sum <= max, "{name}, seed {seed}: parts add up to {sum} at {at}");
+        assert!(sum <= max, "{name}, seed {seed}: shares add up to {sum} at {at}");
         check(&script, &report);
     }
 }
@@ -38,10 +39,10 @@
     assert_eq!(report.false_failures(), 0);
 }
 
-/// Parts of all that run, from this second on, are between these.
+/// Checks that from this second on the shares of all running members add up to a sum within these bounds.
 fn assert_total_share(report: &RunReport, from_second: usize, min: f64, max: f64) {
     for (at, sum) in report.total_shares.iter().enumerate().skip(from_second) {
-        assert!((min..=max).contains(sum), "parts add up to {sum} at {at} s");
+        assert!((min..=max).contains(sum), "shares add up to {sum} at {at} s");
     }
 }
 
@@ -107,16 +108,17 @@
 #[test]
 fn stalled_members_declare_no_failure() {
     run_seeds("stopped", |_, report| {
-        // One second is no reason for a verdict, five and thirty are; those that woke give none.
+        // A stall of 1 s is too short for a failure to be declared, stalls of 5 s and 30 s are long enough;
+        // the stalled members themselves declare none.
         assert!(report
             .observations
             .iter()
             .all(|observation| observation.change != Change::Gone || observation.at > 25_000_000_000));
-        let stopped = ["n2", "n3", "n4", "n5", "n6", "n7"];
-        let gone = report.observations.iter().filter(|observation| observation.change == Change::Gone);
+        let stalled = ["n2", "n3", "n4", "n5", "n6", "n7"];
+        let failures = report.observations.iter().filter(|observation| observation.change == Change::Gone);
         assert!(
-            gone.clone().all(|observation| stopped.contains(&observation.subject.as_str())),
-            "only those that stood still"
+            failures.clone().all(|observation| stalled.contains(&observation.subject.as_str())),
+            "only the stalled members"
         );
         assert_eq!(report.false_failures(), 0);
     });
@@ -126,7 +128,11 @@
 fn restarts_lost_folders_name_conflicts_and_reused_addresses_converge() {
     run_seeds("returns", |_, report| {
         assert_eq!(report.name_conflicts, 1);
-        assert_eq!(observers_of_failure(report, "n3").count(), 0, "it was back before it was missed");
+        assert_eq!(
+            observers_of_failure(report, "n3").count(),
+            0,
+            "it was back before its failure was noticed"
+        );
         assert!(observers_of_failure(report, "n7").count() >= 9);
         assert_eq!(report.false_failures(), 0);
     });
@@ -152,7 +158,7 @@
     );
     assert!(
         report.observations.iter().any(|observation| observation.change == Change::Refuted),
-        "and yet some were doubted"
+        "some must have been suspected"
     );
 }
 
@@ -198,10 +204,10 @@
     assert_eq!(report.final_mismatch, None);
     assert_eq!(report.false_failures(), 0);
     let max = report.bytes_per_s.iter().copied().fold(0.0, f64::max);
-    assert!(max <= 8_192.0, "{max} bytes a second");
+    assert!(max <= 8_192.0, "{max} bytes per second");
 }
 
-/// The same bytes again: the verdicts of two plays are one another's.
+/// Two simulations of one script and seed observe the same changes.
 #[test]
 fn same_script_and_seed_give_the_same_run() {
     let observed = |report: &RunReport| {
--- a/crates/serve/nickelshed/tests/members.rs
+++ b/crates/serve/nickelshed/tests/members.rs
@@ -81,8 +81,8 @@
 
     /// Until so many more datagrams have passed between the members.
     fn until_passed(&self, more: u64) {
-        let from = self.relay.relayed_count();
-        self.nodes[0].until("datagrams pass", || self.relay.relayed_count() > from + more);
+        let from = self.relay.received_count();
+        self.nodes[0].until("datagrams pass", || self.relay.received_count() > from + more);
     }
 }
 
