--- a/crates/proof/nickelshed-rig/src/play.rs
+++ b/crates/proof/nickelshed-rig/src/play.rs
@@ -360,15 +360,15 @@
                     let name = self.members[number].name.clone();
                     let (site, start_number) =
                         (self.members[number].site, self.members[number].persisted_start);
-                    let double = self.add_member(name, address(1_000 + number), site);
-                    self.members[double].persisted_start = start_number - 1;
-                    self.start_process(double);
+                    let duplicate = self.add_member(name, address(1_000 + number), site);
+                    self.members[duplicate].persisted_start = start_number - 1;
+                    self.start_process(duplicate);
                 }
                 FaultKind::Replace => {
                     self.stop_process(number);
                     let (member_address, site) = (self.members[number].address, self.members[number].site);
-                    let other = self.add_member(format!("other-{number}"), member_address, site);
-                    self.start_process(other);
+                    let replacement = self.add_member(format!("other-{number}"), member_address, site);
+                    self.start_process(replacement);
                 }
                 FaultKind::Flood => {
                     let fault_index = self
