--- a/crates/decide/nickelshed-fleet/src/member.rs
+++ b/crates/decide/nickelshed-fleet/src/member.rs
@@ -1,76 +1,77 @@
-//! A member as others know it, and the one order by which two things said of it are compared.
+//! Identity, metadata and status of a member, and the order that decides which of two statuses holds.
 use std::net::SocketAddr;
 
-/// Names and sites are at most so many bytes, so that two whole records always fit into a datagram.
-pub const MOST_NAME: usize = 32;
-pub const MOST_SITE: usize = 16;
+/// Limits on name and site, so that two full member records always fit into one datagram.
+pub const MAX_NAME_BYTES: usize = 32;
+pub const MAX_SITE_BYTES: usize = 16;
 
-/// A member's name in short: 64 bits of its hash. Nought is nobody's: it stands for whoever is asked, and for an
-/// observer.
+/// The first 64 bits of the hash of a member's name. Zero belongs to no member. It stands for any member as
+/// the target of a ping, and for an observer as a recipient.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Id(pub u64);
+pub struct MemberId(pub u64);
 
-impl Id {
-    pub const NOBODY: Id = Id(0);
+impl MemberId {
+    pub const UNSPECIFIED: MemberId = MemberId(0);
 
     #[must_use]
-    pub fn of(name: &str) -> Id {
+    pub fn from_name(name: &str) -> MemberId {
         let hash = blake3::hash(name.as_bytes());
-        let first = hash.as_bytes()[..8].try_into().expect("a hash has 32 bytes");
-        Id(u64::from_le_bytes(first).max(1))
+        let first_bytes = hash.as_bytes()[..8].try_into().expect("a hash has 32 bytes");
+        MemberId(u64::from_le_bytes(first_bytes).max(1))
     }
 
-    /// Enough to tell accusers of one member apart.
+    /// Returns 32 bits that tell the reporters of one suspect apart.
     #[must_use]
-    pub fn short(self) -> u32 {
+    pub fn short_id(self) -> u32 {
         (self.0 ^ self.0 >> 32) as u32
     }
 }
 
-/// What is true of a member for the whole life of one of its processes with one set of settings.
+/// What stays the same for one process run of a member with one set of settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Facts {
-    /// At most [`MOST_NAME`] bytes.
+pub struct MemberInfo {
+    /// At most [`MAX_NAME_BYTES`] bytes.
     pub name: String,
     pub address: SocketAddr,
-    /// At most [`MOST_SITE`] bytes.
+    /// At most [`MAX_SITE_BYTES`] bytes.
     pub site: String,
-    /// Major, minor and patch of its program.
+    /// Major, minor and patch version of the program.
     pub version: [u16; 3],
-    /// Of its settings, shortened.
+    /// Shortened digest of the settings.
     pub settings: u32,
 }
 
-/// Which life of a name is spoken of. A greater one is a later one.
+/// Orders the process runs and refutations of one member. The greater incarnation is the later one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
-    /// Kept in the state folder; rises with each start and each change of the settings.
-    pub start: u32,
-    /// Drawn by the process, so that two that claim one start are told apart.
+    /// Persisted in the state folder; rises with each start and each change of the settings.
+    pub start_number: u32,
+    /// Random number of the process, to tell apart two processes that use the same start number.
     pub nonce: u32,
-    /// Rises each time the member refutes what is said of it (SWIM, section 4.2: the incarnation number).
-    pub word: u32,
+    /// Rises with each refutation by the member (the incarnation number of SWIM, section 4.2).
+    pub number: u32,
 }
 
 impl Incarnation {
-    /// Whether both are of one process, whatever it has refuted meanwhile.
+    /// Returns whether both belong to one process run with one set of settings, regardless of refutations.
     #[must_use]
-    pub fn is_same_life(self, other: Incarnation) -> bool {
-        (self.start, self.nonce) == (other.start, other.nonce)
+    pub fn is_same_run(self, other: Incarnation) -> bool {
+        (self.start_number, self.nonce) == (other.start_number, other.nonce)
     }
 }
 
-/// What is held of a member. Within one incarnation a later state overrides an earlier one; only the member itself
-/// begins another incarnation (SWIM, section 4.2, the order of its messages).
+/// State of a member in a view. Within one incarnation a later variant overrides an earlier one; only the
+/// member itself starts a new incarnation (SWIM, section 4.2, order of messages).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// It is there, and does not know all others yet.
+    /// Present, but does not know all other members yet.
     Joining,
     Alive,
-    /// It answered nobody who asked lately; it can still say otherwise.
+    /// Did not answer a recent probe; it can still refute the suspicion.
     Suspect,
-    Gone,
-    /// It said itself that it ends.
+    /// Declared failed; written out as `gone`.
+    Failed,
+    /// Announced that it leaves.
     Left,
 }
 
@@ -82,47 +83,50 @@
 
     #[must_use]
     pub fn from_byte(byte: u8) -> Option<State> {
-        [State::Joining, State::Alive, State::Suspect, State::Gone, State::Left].get(byte as usize).copied()
+        [State::Joining, State::Alive, State::Suspect, State::Failed, State::Left].get(byte as usize).copied()
     }
 
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             State::Joining => "joining",
             State::Alive => "alive",
             State::Suspect => "suspect",
-            State::Gone => "gone",
+            State::Failed => "gone",
             State::Left => "left",
         }
     }
 }
 
-/// What is said of a member, without its facts. Of two claims the greater holds.
+/// Status of a member, without its metadata. Of two statuses the greater one holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Claim {
-    pub id: Id,
+pub struct MemberStatus {
+    pub id: MemberId,
     pub incarnation: Incarnation,
     pub state: State,
 }
 
-/// Spreads the bits of what tells two views apart: who is present or gone, in which incarnation. Claims that differ only
-/// in whether somebody doubts them are one here, as the set is the same; one that left on purpose is in no set.
+/// Hashes the part of a status in which two views may differ: whether the member is present or failed, and in
+/// which incarnation. Statuses that differ only by a suspicion hash alike, because the set of present members
+/// is the same. A member that left is in neither set and hashes to zero.
 #[must_use]
-pub fn mark(claim: &Claim, salt: u64) -> u64 {
-    if claim.state == State::Left {
+pub fn digest(status: &MemberStatus, salt: u64) -> u64 {
+    if status.state == State::Left {
         return 0;
     }
-    let i = claim.incarnation;
-    let mut x = salt ^ claim.id.0;
-    let word = u64::from(i.word) << 1 | u64::from(claim.state.is_present());
-    for part in [u64::from(i.start) << 32 | u64::from(i.nonce), word] {
+    let incarnation = status.incarnation;
+    let mut hash = salt ^ status.id.0;
+    let number_and_presence = u64::from(incarnation.number) << 1 | u64::from(status.state.is_present());
+    for input in
+        [u64::from(incarnation.start_number) << 32 | u64::from(incarnation.nonce), number_and_presence]
+    {
         // The finalizer of splitmix64.
-        x = (x ^ part).wrapping_add(0x9e37_79b9_7f4a_7c15);
-        x = (x ^ x >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        x = (x ^ x >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
-        x ^= x >> 31;
+        hash = (hash ^ input).wrapping_add(0x9e37_79b9_7f4a_7c15);
+        hash = (hash ^ hash >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        hash = (hash ^ hash >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
+        hash ^= hash >> 31;
     }
-    x.max(1)
+    hash.max(1)
 }
 
 #[cfg(test)]
@@ -130,30 +134,30 @@
     use super::*;
 
     #[test]
-    fn a_later_life_wins_over_any_state_and_a_state_over_those_before_it() {
-        let claim = |start, word, state| Claim {
-            id: Id(7),
-            incarnation: Incarnation { start, nonce: 9, word },
+    fn newer_incarnation_overrides_any_state_and_later_state_overrides_earlier() {
+        let status = |start_number, number, state| MemberStatus {
+            id: MemberId(7),
+            incarnation: Incarnation { start_number, nonce: 9, number },
             state,
         };
-        let rising = [
-            claim(1, 0, State::Joining),
-            claim(1, 0, State::Alive),
-            claim(1, 0, State::Suspect),
-            claim(1, 0, State::Gone),
-            claim(1, 0, State::Left),
-            claim(1, 1, State::Alive),
-            claim(2, 0, State::Joining),
+        let ascending = [
+            status(1, 0, State::Joining),
+            status(1, 0, State::Alive),
+            status(1, 0, State::Suspect),
+            status(1, 0, State::Failed),
+            status(1, 0, State::Left),
+            status(1, 1, State::Alive),
+            status(2, 0, State::Joining),
         ];
-        assert!(rising.windows(2).all(|w| w[0] < w[1]));
+        assert!(ascending.windows(2).all(|pair| pair[0] < pair[1]));
     }
 
     #[test]
-    fn who_is_present_and_who_is_gone_count_in_a_mark_and_who_left_does_not() {
-        let with = |state| Claim { id: Id(7), incarnation: Incarnation::default(), state };
-        assert_eq!(mark(&with(State::Left), 0), 0);
-        assert_ne!(mark(&with(State::Gone), 0), mark(&with(State::Alive), 0));
-        assert_eq!(mark(&with(State::Alive), 0), mark(&with(State::Suspect), 0));
-        assert_ne!(mark(&with(State::Alive), 0), mark(&with(State::Alive), 1));
+    fn digest_covers_present_and_failed_members_but_not_those_that_left() {
+        let in_state = |state| MemberStatus { id: MemberId(7), incarnation: Incarnation::default(), state };
+        assert_eq!(digest(&in_state(State::Left), 0), 0);
+        assert_ne!(digest(&in_state(State::Failed), 0), digest(&in_state(State::Alive), 0));
+        assert_eq!(digest(&in_state(State::Alive), 0), digest(&in_state(State::Suspect), 0));
+        assert_ne!(digest(&in_state(State::Alive), 0), digest(&in_state(State::Alive), 1));
     }
 }
--- a/crates/proof/nickelshed-rig/src/relay.rs
+++ b/crates/proof/nickelshed-rig/src/relay.rs
@@ -1,5 +1,6 @@
-//! A relay on each link between processes: every member is reached at a front of the relay's, so each ordered pair can be
-//! cut, thinned and counted. Faults are set by the test beside the load.
+//! A UDP relay on each link between processes. Each member is reached at a socket of the relay, so that
+//! datagrams of each ordered pair can be dropped, duplicated and counted. Tests set the faults while load is
+//! running.
 use std::collections::BTreeSet;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -10,78 +11,79 @@
 
 #[derive(Default)]
 struct Faults {
-    cut: BTreeSet<(usize, usize)>,
-    /// Of a hundred datagrams so many are lost, by their number.
-    lost: u64,
-    twice: bool,
+    cut_links: BTreeSet<(usize, usize)>,
+    /// Percentage of datagrams to drop, picked by their sequence number.
+    lost_percent: u64,
+    duplicate: bool,
 }
 
 struct Shared {
-    fronts: Vec<UdpSocket>,
-    /// Where the members themselves are.
-    members: Vec<SocketAddr>,
+    sockets: Vec<UdpSocket>,
+    /// Addresses at which the members themselves listen.
+    member_addresses: Vec<SocketAddr>,
     faults: Mutex<Faults>,
-    passed: AtomicU64,
-    ends: AtomicBool,
+    received: AtomicU64,
+    is_stopping: AtomicBool,
 }
 
-/// Ends its threads when it is dropped.
+/// Stops its threads when it is dropped.
 pub struct Relay {
     shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Relay {
-    /// Fronts for so many members, on ports that the kernel gives; the members get free ports of their own.
+    /// Opens a socket for each member, on ports that the kernel picks, and finds free ports for the members
+    /// themselves.
     ///
     /// # Errors
-    /// If no port is to be had.
+    /// Fails if no port is free.
     pub fn new(members: usize) -> io::Result<Relay> {
         let bind = || UdpSocket::bind("127.0.0.1:0");
-        let fronts = (0..members).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
-        let held = (0..members).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
-        let members = held.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
-        drop(held);
-        for front in &fronts {
-            front.set_read_timeout(Some(Duration::from_millis(50)))?;
+        let sockets = (0..members).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
+        let reserved = (0..members).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
+        let member_addresses = reserved.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
+        drop(reserved);
+        for socket in &sockets {
+            socket.set_read_timeout(Some(Duration::from_millis(50)))?;
         }
-        let (faults, passed, ends) = (Mutex::default(), AtomicU64::new(0), AtomicBool::new(false));
-        let shared = Arc::new(Shared { fronts, members, faults, passed, ends });
-        let thread = |to: usize| {
+        let (faults, received, is_stopping) = (Mutex::default(), AtomicU64::new(0), AtomicBool::new(false));
+        let shared = Arc::new(Shared { sockets, member_addresses, faults, received, is_stopping });
+        let thread = |receiver: usize| {
             let shared = shared.clone();
-            std::thread::spawn(move || shared.carry(to))
+            std::thread::spawn(move || shared.relay_datagrams(receiver))
         };
-        let threads = (0..shared.fronts.len()).map(thread).collect();
+        let threads = (0..shared.sockets.len()).map(thread).collect();
         Ok(Relay { shared, threads })
     }
 
-    /// Where a member listens itself.
+    /// Address at which a member itself listens.
     #[must_use]
-    pub fn member(&self, number: usize) -> SocketAddr {
-        self.shared.members[number]
+    pub fn member_address(&self, number: usize) -> SocketAddr {
+        self.shared.member_addresses[number]
     }
 
-    /// Where the others reach it.
+    /// Address at which other members reach it.
     ///
     /// # Panics
-    /// If the machine has lost the socket.
+    /// Panics if the socket has no address.
     #[must_use]
-    pub fn front(&self, number: usize) -> SocketAddr {
-        self.shared.fronts[number].local_addr().expect("a bound socket has an address")
+    pub fn relay_address(&self, number: usize) -> SocketAddr {
+        self.shared.sockets[number].local_addr().expect("a bound socket has an address")
     }
 
-    fn change(&self, change: impl FnOnce(&mut Faults)) {
-        change(&mut self.shared.faults.lock().expect("no holder panics"));
+    fn with_faults(&self, apply: impl FnOnce(&mut Faults)) {
+        apply(&mut self.shared.faults.lock().expect("no thread panics while it holds the lock"));
     }
 
-    /// What one of the first sends one of the second is lost, and the other way round unless `one_way`.
-    pub fn cut(&self, from: &[usize], to: &[usize], one_way: bool) {
-        self.change(|f| {
-            for &a in from {
-                for &b in to.iter().filter(|b| **b != a) {
-                    f.cut.insert((a, b));
+    /// Drops what `senders` send to `receivers`, and the other direction too unless `one_way`.
+    pub fn cut(&self, senders: &[usize], receivers: &[usize], one_way: bool) {
+        self.with_faults(|faults| {
+            for &sender in senders {
+                for &receiver in receivers.iter().filter(|receiver| **receiver != sender) {
+                    faults.cut_links.insert((sender, receiver));
                     if !one_way {
-                        f.cut.insert((b, a));
+                        faults.cut_links.insert((receiver, sender));
                     }
                 }
             }
@@ -89,59 +91,63 @@
     }
 
     pub fn heal(&self) {
-        self.change(|f| f.cut.clear());
+        self.with_faults(|faults| faults.cut_links.clear());
     }
 
-    /// Of a hundred datagrams so many are lost, and all others come twice if so.
-    pub fn spoil(&self, lost: u64, twice: bool) {
-        self.change(|f| (f.lost, f.twice) = (lost, twice));
+    /// Drops this percentage of datagrams, and sends all others twice if `duplicate`.
+    pub fn impair(&self, lost_percent: u64, duplicate: bool) {
+        self.with_faults(|faults| (faults.lost_percent, faults.duplicate) = (lost_percent, duplicate));
     }
 
-    /// Datagrams that were carried so far.
+    /// Number of datagrams that members have sent so far, dropped ones included.
     #[must_use]
-    pub fn passed(&self) -> u64 {
-        self.shared.passed.load(Ordering::Relaxed)
+    pub fn received_count(&self) -> u64 {
+        self.shared.received.load(Ordering::Relaxed)
     }
 }
 
 impl Shared {
-    /// Carries what comes for one member, under the front of whoever sent it.
-    fn carry(&self, to: usize) {
+    /// Relays what arrives for one member, from the socket that stands for its sender.
+    fn relay_datagrams(&self, receiver: usize) {
         let mut buffer = [0; 2_048];
-        while !self.ends.load(Ordering::Relaxed) {
-            let Ok((length, source)) = self.fronts[to].recv_from(&mut buffer) else { continue };
-            let Some(from) = self.members.iter().position(|m| *m == source) else {
-                self.carry_stranger(to, source, &buffer[..length]);
+        while !self.is_stopping.load(Ordering::Relaxed) {
+            let Ok((length, source)) = self.sockets[receiver].recv_from(&mut buffer) else { continue };
+            let Some(sender) =
+                self.member_addresses.iter().position(|member_address| *member_address == source)
+            else {
+                self.relay_from_outside(receiver, source, &buffer[..length]);
                 continue;
             };
-            let (cut, copies) = {
-                let faults = self.faults.lock().expect("no holder panics");
-                let number = self.passed.load(Ordering::Relaxed).wrapping_mul(61);
-                let lost = number % 100 < faults.lost;
-                (faults.cut.contains(&(from, to)) || lost, 1 + usize::from(faults.twice))
+            let (is_cut, copies) = {
+                let faults = self.faults.lock().expect("no thread panics while it holds the lock");
+                let sequence = self.received.load(Ordering::Relaxed).wrapping_mul(61);
+                let is_lost = sequence % 100 < faults.lost_percent;
+                (faults.cut_links.contains(&(sender, receiver)) || is_lost, 1 + usize::from(faults.duplicate))
             };
-            self.passed.fetch_add(1, Ordering::Relaxed);
-            for _ in 0..if cut { 0 } else { copies } {
-                let _ = self.fronts[from].send_to(&buffer[..length], self.members[to]);
+            self.received.fetch_add(1, Ordering::Relaxed);
+            for _ in 0..if is_cut { 0 } else { copies } {
+                let _ = self.sockets[sender].send_to(&buffer[..length], self.member_addresses[receiver]);
             }
         }
     }
 }
 
 impl Shared {
-    /// One that is no member asks: the answer goes back under the front that it asked.
-    fn carry_stranger(&self, to: usize, source: SocketAddr, bytes: &[u8]) {
-        let (Ok(front), Ok(own)) = (self.fronts[to].try_clone(), UdpSocket::bind("127.0.0.1:0")) else {
+    /// Relays a request from outside the fleet. The answer goes back from the socket that was asked.
+    fn relay_from_outside(&self, receiver: usize, source: SocketAddr, bytes: &[u8]) {
+        let (Ok(relay_socket), Ok(socket)) =
+            (self.sockets[receiver].try_clone(), UdpSocket::bind("127.0.0.1:0"))
+        else {
             return;
         };
-        let (member, bytes) = (self.members[to], bytes.to_vec());
+        let (member, bytes) = (self.member_addresses[receiver], bytes.to_vec());
         std::thread::spawn(move || {
-            let _ = own.set_read_timeout(Some(Duration::from_millis(500)));
-            let _ = own.send_to(&bytes, member);
+            let _ = socket.set_read_timeout(Some(Duration::from_millis(500)));
+            let _ = socket.send_to(&bytes, member);
             let mut buffer = [0; 2_048];
-            // An answer has some datagrams at most, and the thread ends with the last.
-            while let Ok((length, _)) = own.recv_from(&mut buffer) {
-                let _ = front.send_to(&buffer[..length], source);
+            // An answer is a few datagrams at most; the thread ends 500 ms after the last one.
+            while let Ok((length, _)) = socket.recv_from(&mut buffer) {
+                let _ = relay_socket.send_to(&buffer[..length], source);
             }
         });
     }
@@ -149,7 +155,7 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.shared.ends.store(true, Ordering::Relaxed);
+        self.shared.is_stopping.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
