--- a/crates/decide/nickelshed-fleet/src/fleet.rs
+++ b/crates/decide/nickelshed-fleet/src/fleet.rs
@@ -6,11 +6,11 @@
     parse_datagram, Authenticator, Datagram, DatagramKind, DatagramWriter, DropReason, MemberRecord,
     StatusUpdate,
 };
+use crate::gossip::GossipQueue;
 use crate::health::LocalHealth;
 use crate::member::{digest, Incarnation, MemberId, MemberInfo, MemberStatus, State};
-use crate::parts::MembershipSummary;
+use crate::quota::MembershipSummary;
 use crate::random::Random;
-use crate::rumours::GossipQueue;
 use crate::suspicion::Suspicion;
 use crate::view::{Member, View};
 use crate::Ns;
--- a/crates/decide/nickelshed-fleet/src/lib.rs
+++ b/crates/decide/nickelshed-fleet/src/lib.rs
@@ -12,17 +12,17 @@
 //! multiple of log n; it always ends, because digests are exchanged for as long as two views differ).
 //! Measured values of T are in `docs/design/membership.md`.
 //!
-//! A view can be wrong on either side of a partition. [`parts`] decides how rate limits are divided in that
+//! A view can be wrong on either side of a partition. [`quota`] decides how rate limits are divided in that
 //! case, and prefers the error that does less harm.
 mod budget;
 mod datagram;
 mod fleet;
+mod gossip;
 mod health;
 mod member;
 mod observer;
-pub mod parts;
+pub mod quota;
 mod random;
-mod rumours;
 mod suspicion;
 mod sync;
 mod view;
--- a/crates/decide/nickelshed-fleet/tests/parts.rs
+++ b/crates/decide/nickelshed-fleet/tests/quota.rs
@@ -1,6 +1,6 @@
 //! Shares of a limit over random histories of joins, crashes, partitions and stalls, with a simulated view
 //! for each member: their sum stays within its bound.
-use nickelshed_fleet::parts::{max_total_share, LimitQuota, MembershipSummary};
+use nickelshed_fleet::quota::{max_total_share, LimitQuota, MembershipSummary};
 use nickelshed_fleet::{MemberId, Ns};
 use proptest::prelude::*;
 
--- a/crates/proof/nickelshed-rig/src/measure.rs
+++ b/crates/proof/nickelshed-rig/src/measure.rs
@@ -1,7 +1,7 @@
 //! Computes the tables of `docs/design/membership.md`: how long views take to converge, what that costs, and
 //! how many failures are declared falsely.
-use crate::play::{simulate, RunReport, SECOND};
 use crate::script::{Fault, FaultKind, MemberSet, Script};
+use crate::simulation::{simulate, RunReport, SECOND};
 use nickelshed_config::units::{Percent, Period};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
--- a/crates/proof/nickelshed-rig/src/play.rs
+++ b/crates/proof/nickelshed-rig/src/simulation.rs
@@ -1,8 +1,8 @@
 //! Simulates a script in virtual time: a network that loses, delays, duplicates and blocks datagrams, and
 //! processes that are stopped, killed and restarted. The same script and seed give the same run.
+use crate::ground_truth::GroundTruth;
 use crate::script::{Fault, FaultKind, Script};
-use crate::truth::GroundTruth;
-use nickelshed_fleet::parts::LimitQuota;
+use nickelshed_fleet::quota::LimitQuota;
 use nickelshed_fleet::{Authenticator, Change, Config, Counts, Fleet, Input, MemberInfo, Ns, Output, Random};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
--- a/crates/proof/nickelshed-rig/tests/scripts.rs
+++ b/crates/proof/nickelshed-rig/tests/scripts.rs
@@ -1,6 +1,6 @@
 //! The scripts in `lab/fleet`, in virtual time: the views of the members are checked against the ground
 //! truth.
-use nickelshed_fleet::parts::max_total_share;
+use nickelshed_fleet::quota::max_total_share;
 use nickelshed_fleet::Change;
 use nickelshed_rig::{simulate, RunReport, Script};
 use std::path::Path;
--- a/crates/serve/nickelshed/src/fleet.rs
+++ b/crates/serve/nickelshed/src/fleet.rs
@@ -5,7 +5,7 @@
 use crate::inbox::Input;
 use book::Book;
 use nickelshed_config::sidecar::Membership;
-use nickelshed_fleet::parts::LimitQuota;
+use nickelshed_fleet::quota::LimitQuota;
 use nickelshed_fleet::{
     Authenticator, Config, Fleet, Input as Told, MemberInfo, Ns, Output, MAX_DATAGRAM_BYTES,
 };
