--- a/crates/serve/nickelshed/src/calls.rs
+++ b/crates/serve/nickelshed/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints: what is checked as one is written, and how each of its messages ended.
+//! Calls to endpoints: the checks before a request is written, and how each message of a call ended.
 use crate::connections::{request, Connection, Fault, Pool};
 use crate::inbox::Input;
 use crate::pulse::Pulse;
@@ -22,14 +22,15 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// How long an answer's head may take from its first byte, and the body of one that must be whole. Some never
-/// end, and their calls would hold a slot until the time is up.
+/// Time limits for the head of an answer, counted from its first byte, and for the body of a batch answer,
+/// which must be read to the end. Some endpoints never finish an answer, and without a limit such a call
+/// would hold its slot until the messages expire.
 const HEAD: Duration = Duration::from_millis(500);
 const WHOLE: Duration = Duration::from_secs(1);
-/// Waits longer than this are kept as this one; no message lives so long.
+/// Upper bound, in seconds, of a `Retry-After` value; no message lives as long.
 const LONGEST_WAIT: f64 = 1e6;
 
-/// Set once the module calls an attempt off.
+/// Cancels a call when the policy cancels an attempt in it.
 #[derive(Default)]
 pub struct Cancel {
     set: Cell<bool>,
@@ -48,23 +49,24 @@
     }
 }
 
-/// A message's part in a call.
+/// One message in a call.
 pub struct Member {
     pub attempt: u32,
     pub taken: Rc<Taken>,
-    /// When its time is up.
+    /// When the message expires.
     pub end: Instant,
-    /// When this attempt is given up; not after `end`.
+    /// When this attempt times out; not later than `deadline`.
     pub limit: Instant,
-    /// Its first byte must be written before this.
+    /// The first byte of the request must be written before this time.
     pub by: Instant,
 }
 
-/// What an answer said.
+/// The head of an answer, and its body as far as it has been read.
 struct Answer {
     status: u16,
     headers: HeaderMap,
-    /// Of a call with several messages and 200: the whole answer. Else what is left to read.
+    /// For a batch call answered 200 the complete body is in `batch_body`; otherwise `remaining` is the
+    /// unread body.
     ends: Option<Bytes>,
     rest: Option<Incoming>,
 }
@@ -76,10 +78,11 @@
 }
 
 impl<H: Host> Client<H> {
-    /// Carries out one call of the module and tells how each of its messages ended.
+    /// Makes one call of the policy and reports to the core how each of its messages ended.
     pub async fn call(self: Rc<Self>, endpoint: EndpointId, members: Vec<Member>, cancel: Rc<Cancel>) {
         let started = Instant::now();
-        // What the module puts into one call may be too much for one body; the parts go one by one.
+        // A batch may be larger than one request body can be; it is then split, and the chunks are sent one
+        // after the other.
         let mut waiting: VecDeque<Vec<Member>> = parts(members).into();
         while let Some(part) = waiting.pop_front() {
             let mut exchange = pin!(self.exchange(endpoint, part, &cancel, started));
@@ -90,7 +93,8 @@
                     () = &mut exchange => break,
                     () = sleep_until(next.unwrap_or(started)), if next.is_some() => {}
                 }
-                // The part before may hang for longer than these have: their end is told when it is due.
+                // The current chunk may take longer than the messages in the next ones have left, so expired
+                // ones are reported on time.
                 let late: Vec<_> = waiting.iter_mut().flat_map(|part| leavers(part, None)).collect();
                 waiting.retain(|part| !part.is_empty());
                 self.report(late.iter().map(|m| end(m, endpoint, Outcome::NotSent, started)).collect()).await;
@@ -106,11 +110,13 @@
         started: Instant,
     ) {
         let tell = |outcome| move |m: &Member| end(m, endpoint, outcome, started);
-        // The one with the most time is named first, so that it is never one that leaves the call alone: where the
-        // first left, the platform was seen not to count what the answer said of the others.
+        // The message with the latest deadline comes first in the request, so that the first one never leaves
+        // the call early by itself: where it did, the platform was observed to ignore what the answer said
+        // about the others.
         members.sort_by_key(|m| std::cmp::Reverse(m.end));
-        // A message that could go again is not left out on an open connection, or its next attempt would be a
-        // second copy: then the call is closed for all. One whose time is up leaves alone.
+        // An attempt that times out while its message may still be retried must not stay open on the
+        // connection, or the retry would be a second copy of the message. The whole call is closed at that
+        // time. A message that expires can leave the call by itself, because it is not retried.
         let again = members.iter().filter(|m| m.limit < m.end).map(|m| m.limit).min();
         let close_at = again.or(members.iter().map(|m| m.end).max()).unwrap_or(started);
         let (mut link, answer) = loop {
@@ -123,7 +129,8 @@
                         link = &mut made => break link,
                         () = sleep_until(next_end(&members, close_at)) => {}
                     }
-                    // A connection may come up long after a message's time is over; its end is told when it is due.
+                    // Connecting may take longer than a message has left, so expired ones are reported on
+                    // time.
                     let late = leavers(&mut members, Some(close_at));
                     self.report(late.iter().map(tell(Outcome::NoConnection)).collect()).await;
                     if members.is_empty() {
@@ -135,8 +142,8 @@
                 Ok(link) => link,
                 Err(outcome) => return self.report(members.iter().map(tell(outcome)).collect()).await,
             };
-            // A drain, a wait or the end of a window may have come while the connection was being made, or while the
-            // process stood still.
+            // A drain, a retry-after or the end of a send window may have arrived while the connection was
+            // made or while the process was stalled.
             self.pulse.caught_up().await;
             let now = Instant::now();
             let may = self.pool.may_write(endpoint);
@@ -150,7 +157,8 @@
             let request = build(&members, link.at, close_at - now);
             let several = members.len() > 1;
             let idle = link.idle();
-            // A first line with 200 is true, whatever follows it; for several the whole answer counts.
+            // For a single message, a status line with 200 is proof of success whatever follows it. For a
+            // batch, the complete answer is needed.
             let served = |link: &Connection<H>| !several && says_200(&link.socket.head());
             let answer = {
                 let mut answer = pin!(self.answer(&mut link, request, endpoint, several));
@@ -172,20 +180,22 @@
                 Ok(answer) => answer,
                 Err((left, outcome)) => {
                     let outcome = if served(&link) { Outcome::Served } else { outcome };
-                    // Closed before it is told: the next attempt of a message that is still out on an open
-                    // connection would be a second copy, and the call would still hold its slot.
+                    // The connection is closed before the result is reported. Otherwise the next attempt
+                    // could start while this request is still open on the connection, as a second copy of the
+                    // message, and the call would still occupy its slot.
                     link.close().await;
                     return self.report(left.iter().map(tell(outcome)).collect()).await;
                 }
             };
             match answer {
-                // The pooled connection had ended: nothing was written, so another one may carry it.
+                // The reused connection was already closed and nothing was written, so the request can be
+                // sent on another one.
                 Err(Fault::Unsent) => drop(link),
                 Err(fault) => {
                     let served = served(&link);
                     let kept = idle.filter(|_| link.socket.head().is_empty());
                     link.close().await;
-                    tracing::debug!(%fault, served, "no answer that can be read");
+                    tracing::debug!(%fault, served, "no readable answer");
                     let outcome = match fault {
                         _ if served => Outcome::Served,
                         Fault::Broken(_) => Outcome::ConnectionLost,
@@ -222,18 +232,19 @@
         let (head, body) = tokio::select! {
             biased;
             answer = link.send(request) => answer?.into_parts(),
-            () = head_is_late(&socket) => return Err(Fault::Broken("the head does not end".into())),
+            () = head_is_late(&socket) => return Err(Fault::Broken("the response head did not end in time".into())),
         };
         socket.rest();
-        // At once: calls to other endpoints of the destination may be about to be written.
+        // Recorded before the body is read, because calls to other endpoints of the destination may be about
+        // to be written.
         if let Some(wait) = wait_told(&head.headers) {
             self.pool.heed_wait(endpoint, wait);
         }
         let (status, headers) = (head.status.as_u16(), head.headers);
         if status == 200 && several {
             let whole = timeout(WHOLE, Limited::new(body, MAX_BODY).collect()).await;
-            let whole = whole.map_err(|_| Fault::Broken("the answer does not end".into()))?;
-            let whole = whole.map_err(|e| Fault::Broken(format!("the answer can't be read: {e}")))?;
+            let whole = whole.map_err(|_| Fault::Broken("the response body did not end in time".into()))?;
+            let whole = whole.map_err(|e| Fault::Broken(format!("cannot read the response body: {e}")))?;
             return Ok(Answer { status, headers, ends: Some(whole.to_bytes()), rest: None });
         }
         Ok(Answer { status, headers, ends: None, rest: Some(body) })
@@ -272,12 +283,12 @@
     }
 }
 
-/// When the next of them leaves its call, at the latest as that is closed.
+/// Returns when the next message leaves the call, at the latest when the call is closed.
 fn next_end(members: &[Member], close_at: Instant) -> Instant {
     members.iter().map(|m| m.end).fold(close_at, Instant::min)
 }
 
-/// Takes out those whose time is up, and all of them once their call is to be closed.
+/// Removes and returns the expired messages, or all of them once the call is due to be closed.
 fn leavers(members: &mut Vec<Member>, close_at: Option<Instant>) -> Vec<Member> {
     let now = Instant::now();
     let closes = close_at.is_some_and(|at| now >= at);
@@ -335,7 +346,8 @@
     AttemptEnd { id, attempt, endpoint, outcome, took, done, wait: 0, report: None, kept: false }
 }
 
-/// The protocol's table: outcome, and whether the message is over. What it does not name may have run.
+/// Maps a response to the outcome of the attempt and whether the message is finished, as the protocol defines
+/// it. After a status that the protocol does not define, the attempt may have run.
 fn outcome(status: u16, headers: &HeaderMap) -> (Outcome, bool) {
     match status {
         200 => (Outcome::Served, true),
@@ -363,7 +375,7 @@
             Some("busy") => (Outcome::TurnedAway, false),
             Some("void") => (Outcome::NotSent, true),
             Some("used_up") => (Outcome::NotSent, false),
-            // `failed`, or an answer that leaves it out: it may have run.
+            // `failed`, or the message is missing from the answer: it may have run.
             _ => (Outcome::ServerError, false),
         }
     };
@@ -374,7 +386,7 @@
     members.iter().map(tell).collect()
 }
 
-/// What has come of an answer behind the interim ones (1xx) before it.
+/// Skips interim (1xx) responses and returns the received bytes after them.
 fn final_head(mut bytes: &[u8]) -> &[u8] {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -386,7 +398,7 @@
     }
 }
 
-/// Whether the first line of an answer has come whole and says 200.
+/// Returns whether a complete status line with code 200 has been received.
 fn says_200(bytes: &[u8]) -> bool {
     let head = final_head(bytes);
     let line = head.split(|&b| b == b'\n').next().filter(|line| line.len() < head.len());
@@ -394,7 +406,7 @@
     words.next().is_some_and(|version| version.starts_with(b"HTTP/1.")) && words.next() == Some(b"200")
 }
 
-/// Returns once an answer's head has begun and does not end in time; interim answers are none.
+/// Returns when a final (not interim) response head has started but not ended within `HEAD_TIMEOUT`.
 async fn head_is_late<S: Stream>(socket: &Socket<S>) {
     loop {
         match socket.heard() {
@@ -410,14 +422,14 @@
     }
 }
 
-/// `Retry-After` in seconds, whole or with decimals.
+/// Parses `Retry-After` in seconds, with or without a decimal fraction.
 fn wait_told(headers: &HeaderMap) -> Option<Duration> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
     (seconds > 0.0 && seconds.is_finite()).then(|| Duration::from_secs_f64(seconds.min(LONGEST_WAIT)))
 }
 
-/// `Endpoint-Load-Metrics: TEXT x0=0.4, x1=25`. What can't be read, or makes no sense, is no report: half of one
-/// would pass for a limit that is used up, or for none.
+/// Parses `Endpoint-Load-Metrics: TEXT x0=0.4, x1=25`. A header with a missing or invalid value is ignored as
+/// a whole: half a report would look like an exhausted limit, or like no limit.
 fn load_report(headers: &HeaderMap) -> Option<Report> {
     let text = headers.get("endpoint-load-metrics")?.to_str().ok()?;
     let value = |name: &str| {
--- a/crates/serve/nickelshed/src/config/mod.rs
+++ b/crates/serve/nickelshed/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! What a sender is told at its start, in either of two forms, and what of it may change while it runs.
+//! The configuration of a sender, read from either of two sources at startup, and the part of it that can be
+//! reloaded.
 mod platform;
 mod sidecar;
 
@@ -15,14 +16,15 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// The form in which a sender is told what it needs.
+/// Where a sender reads its configuration.
 #[derive(Clone, Debug)]
 pub enum Form {
-    /// The platform's environment and config.json, and what the operator decides beside them.
+    /// The platform's environment variables and config.json, with the operator's own settings.
     Platform(Operator),
-    /// The same without a process of its own: what it is told may be changed before a hang-up.
+    /// Like `Platform`, for a sender that is not a process of its own. The variables may be changed before a
+    /// reload.
     Told(Operator, Rc<RefCell<Told>>),
-    /// One file of the operator's.
+    /// One TOML file written by the operator.
     Sidecar(PathBuf),
 }
 
@@ -37,14 +39,14 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Endpoints {
     Discovery(SocketAddr),
-    /// From the configuration itself.
+    /// The configuration file lists the endpoints.
     Listed,
 }
 
-/// Who is told how messages ended that were taken on and not delivered.
+/// A receiver of notices: how accepted messages ended that were not delivered.
 #[derive(Clone, Debug)]
 pub enum Sink {
-    /// The platform, where discovery is.
+    /// The platform, at the address of discovery.
     Platform,
     Http {
         address: SocketAddr,
@@ -54,7 +56,7 @@
 }
 
 pub struct Config {
-    /// The application that a sidecar stands beside.
+    /// The application that this sidecar serves; None on the platform.
     pub application: Option<String>,
     pub listen: SocketAddr,
     pub endpoints: Endpoints,
@@ -66,11 +68,11 @@
     pub known: List,
     pub settings: Settings,
     pub around: Around,
-    /// The fleet that it is a member of.
+    /// None if the sender is not a member of a fleet.
     pub fleet: Option<crate::fleet::Fellowship>,
 }
 
-/// What takes effect while a sender runs.
+/// The part of a configuration that takes effect without a restart.
 pub struct Fresh {
     pub discovery: Option<SocketAddr>,
     pub list: Option<List>,
@@ -78,7 +80,7 @@
 
 impl Form {
     /// # Errors
-    /// Says all that keeps the sender from starting.
+    /// Returns every reason why the sender cannot start with this configuration.
     pub(crate) fn read(&self) -> Result<Config, String> {
         match self {
             Form::Platform(operator) => Told::by_environment()?.read(operator),
@@ -87,10 +89,11 @@
         }
     }
 
-    /// The file was replaced: what of it takes effect at once.
+    /// Reads the configuration again after its file was replaced, for the part that takes effect without a
+    /// restart.
     ///
     /// # Errors
-    /// Says what is wrong with it; then nothing of it does.
+    /// Returns what is wrong with the file; the caller then applies nothing of it.
     pub(crate) fn reread(&self) -> Result<Fresh, String> {
         match self {
             Form::Platform(_) => Told::by_environment()?.reread(),
--- a/crates/serve/nickelshed/src/config/platform.rs
+++ b/crates/serve/nickelshed/src/config/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's form: the environment and config.json, read at the start, and the file once more on SIGHUP.
+//! The platform's configuration: environment variables and config.json, read at startup; on SIGHUP only the
+//! file is read again.
 use super::{Config, Endpoints, Fresh, Limits, Sink};
 use crate::fleet::{Fellowship, Notes};
 use crate::list::List;
@@ -18,7 +19,8 @@
     #[serde(default)]
     known: List,
     settings: Value,
-    /// Where notes to the other senders go, and where theirs come; a strange form is no reason not to start.
+    /// The addresses of the other senders and the one to listen on for their datagrams. They are kept as raw
+    /// JSON so that an unexpected form does not prevent the start; the sender then runs without a fleet.
     #[serde(default)]
     peers: Value,
     #[serde(default)]
@@ -33,19 +35,19 @@
     }
 }
 
-/// What the platform tells a process, from wherever it is read.
+/// What the platform sets for a process, taken from its environment or supplied by the caller.
 #[derive(Clone, Debug, Default)]
 pub struct Told {
     pub listen: Option<String>,
     pub discovery: Option<String>,
     pub state: Option<String>,
-    /// The text of the configuration, and what it is called in messages.
+    /// The text of the configuration file, and the file's name for error messages.
     pub config: String,
     pub name: String,
 }
 
 impl Told {
-    /// From the environment of this process, and the file that it names.
+    /// Reads the environment of this process, and the file that EDGE_CONFIG names.
     pub(super) fn by_environment() -> Result<Told, String> {
         let var = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
         let name = var("EDGE_CONFIG")
@@ -59,13 +61,14 @@
         serde_json::from_str(&self.config).map_err(|e| format!("{}: {e}", self.name))
     }
 
-    /// The file may be replaced while the sender runs, its environment can't be: a process that is started again
-    /// after that would go back to an address that is served no more, so the file's word comes first.
+    /// The address of discovery. The file takes precedence over the environment: the file can be replaced
+    /// while the sender runs and the environment cannot, so a restarted process would otherwise use an
+    /// address that is no longer served.
     fn discovery(&self, file: Option<String>) -> Result<SocketAddr, String> {
         address("EDGE_DISCOVERY", file, self.discovery.clone())
     }
 
-    /// Discovery's address as the file has it now; its other keys take effect at the next start.
+    /// Returns the address of discovery in the current file. Changes to all other keys need a restart.
     pub(super) fn reread(&self) -> Result<Fresh, String> {
         Ok(Fresh { discovery: Some(self.discovery(self.file()?.discovery)?), list: None })
     }
@@ -100,13 +103,14 @@
     }
 }
 
-/// `first` if it is there, else `second`.
+/// Parses `first`, or `second` if `first` is None.
 fn address(name: &str, first: Option<String>, second: Option<String>) -> Result<SocketAddr, String> {
     let text = first.or(second).ok_or(format!("{name} is not set"))?;
-    text.parse().map_err(|e| format!("{name} is no address: {text}: {e}"))
+    text.parse().map_err(|e| format!("{name} is not an address: {text}: {e}"))
 }
 
-/// The seed is a text in hex; any other form still gives a number of its own.
+/// Reads the seed, a hexadecimal string. A value in any other form is hashed, so that different values still
+/// give different seeds.
 fn seed(value: &Value) -> u64 {
     let text = value.as_str().map_or_else(|| value.to_string(), str::to_string);
     u64::from_str_radix(&text, 16).unwrap_or_else(|_| crc32fast::hash(text.as_bytes()).into())
--- a/crates/serve/nickelshed/src/config/sidecar.rs
+++ b/crates/serve/nickelshed/src/config/sidecar.rs
@@ -1,4 +1,4 @@
-//! The operator's form: one file in TOML, with paths relative to its folder.
+//! The sidecar's configuration: one TOML file, in which paths are relative to the folder of the file.
 use super::{Config, Endpoints, Fresh, Limits, Sink};
 use crate::list::{Instance, List};
 use nickelshed_config::sidecar::{Sidecar, MAX_FILE};
@@ -8,10 +8,10 @@
 use std::path::Path;
 
 /// # Errors
-/// Everything that is wrong with the file, a line each.
+/// Returns all errors in the file, one per line.
 fn load(path: &Path) -> Result<Sidecar, String> {
     let mut bytes = Vec::new();
-    // No more of it than would be read: a path may lead anywhere.
+    // Limits the read, since the path may lead to a file of any size, or to a device.
     let read = std::fs::File::open(path).and_then(|f| f.take(MAX_FILE as u64 + 1).read_to_end(&mut bytes));
     read.map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     nickelshed_config::load(&bytes).sound().map_err(|findings| {
@@ -34,7 +34,8 @@
     List::whole(compile::listed(sidecar).into_iter().map(instance).collect())
 }
 
-/// What of the file takes effect while the sender runs: its endpoints, or where they are asked for.
+/// Returns the part of the file that takes effect without a restart: the endpoints, or the address of
+/// discovery.
 pub(super) fn reread(path: &Path) -> Result<Fresh, String> {
     let sidecar = load(path)?;
     Ok(match sidecar.discovery {
@@ -49,7 +50,7 @@
     let (settings, around) = compile::settings(&sidecar);
     let state = folder.join(&sidecar.state);
     std::fs::create_dir_all(&state)
-        .map_err(|e| format!("cannot make the state folder {}: {e}", state.display()))?;
+        .map_err(|e| format!("cannot create the state folder {}: {e}", state.display()))?;
     let http = sidecar
         .notices
         .http
--- a/crates/serve/nickelshed/src/connections.rs
+++ b/crates/serve/nickelshed/src/connections.rs
@@ -1,4 +1,5 @@
-//! Connections to endpoints, discovery and the platform: the pool, its bounds, and whom nothing may be written.
+//! Connections to endpoints, discovery and the platform: the connection pool, its limits, and which endpoints
+//! may currently be written to.
 use crate::wire::{Io, Socket, MAX_HEAD, MAX_HEADERS};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -19,36 +20,36 @@
 use tokio::task::JoinHandle;
 use tokio::time::{timeout, Instant};
 
-/// How long the rest of an answer whose outcome is known may take before its connection is given up.
+/// How long to wait for the rest of an answer whose outcome is already known before its connection is closed.
 const TAIL: Duration = Duration::from_millis(100);
 
 /// Why a request got no answer.
 pub enum Fault {
-    /// The connection had ended before: the library hands the request back unwritten.
+    /// The reused connection had already been closed; the HTTP library returned the request unwritten.
     Unsent,
-    /// Nothing of it was written.
+    /// Nothing was written on a new connection.
     NeverRan(String),
-    /// It may have been read.
+    /// The endpoint may have read the request.
     Broken(String),
 }
 
 impl std::fmt::Display for Fault {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Fault::Unsent => write!(f, "the connection had ended"),
+            Fault::Unsent => write!(f, "the connection was already closed"),
             Fault::NeverRan(why) | Fault::Broken(why) => write!(f, "{why}"),
         }
     }
 }
 
-/// One HTTP/1.1 connection. Dropping it closes the socket at once, whatever is under way.
+/// One HTTP/1.1 connection. Dropping it closes the socket immediately, also in the middle of an exchange.
 pub struct Connection<H: Host> {
     pub at: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
     pub socket: Rc<Socket<H::Stream>>,
     idle_since: Instant,
-    /// It has carried an exchange.
+    /// Whether it has carried an exchange.
     used: bool,
     _counted: Option<Counted>,
 }
@@ -71,14 +72,15 @@
         let (sender, connection) = made.map_err(io::Error::other)?;
         let task = tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
-                tracing::debug!(%error, "a connection broke");
+                tracing::debug!(%error, "a connection failed");
             }
         });
         let idle_since = Instant::now();
         Ok(Connection { at, sender, task, socket, idle_since, used: false, _counted: None })
     }
 
-    /// The connection that was kept from the exchange before, if it still stands and leads to that address.
+    /// Reuses the connection of the previous exchange if it is still open and leads to `address`, or else
+    /// opens a new one.
     pub async fn kept_or_new(
         kept: &mut Option<Connection<H>>,
         host: &H,
@@ -91,18 +93,19 @@
         }
     }
 
-    /// Closes the socket before it returns.
+    /// Returns after the socket has been closed.
     pub async fn close(mut self) {
         self.task.abort();
         let _ = (&mut self.task).await;
     }
 
-    /// How long it has been idle, if it has carried an exchange.
+    /// How long it has been idle; None if it has not carried an exchange yet.
     pub fn idle(&self) -> Option<Duration> {
         self.used.then(|| self.idle_since.elapsed())
     }
 
-    /// Whether a request may be written to it; not where bytes wait that belong to no request.
+    /// Whether a request may be written to it. False if unread bytes are waiting, since they belong to no
+    /// request.
     pub fn is_open(&self) -> bool {
         self.sender.is_ready() && !self.task.is_finished() && !self.socket.has_news()
     }
@@ -114,13 +117,14 @@
         self.sender.try_send_request(request).await.map_err(|mut e| match e.take_message() {
             None if self.socket.written() > before => Fault::Broken(e.into_error().to_string()),
             _ if used => Fault::Unsent,
-            // A new one that had ended is no reason to make another: that would go on for as long as the call may take.
-            Some(_) => Fault::NeverRan("ended as it was made".into()),
+            // A new connection that is closed at once is not retried here; the retries could go on until the
+            // call times out.
+            Some(_) => Fault::NeverRan("closed as soon as it was opened".into()),
             None => Fault::NeverRan(e.into_error().to_string()),
         })
     }
 
-    /// A whole exchange, for discovery, notices and probes.
+    /// Sends a request and reads the complete answer, for discovery, notices and probes.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -129,12 +133,14 @@
         let (head, body) = self.send(request).await?.into_parts();
         self.socket.rest();
         let body = Limited::new(body, most).collect().await.map_err(|e| Fault::Broken(e.to_string()))?;
-        // Else the next request could find the connection still busy with the end of this answer.
+        // Without this wait, the next request could find the connection still busy with the end of this
+        // answer.
         let _ = timeout(TAIL, self.sender.ready()).await;
         Ok((head.status.as_u16(), head.headers, body.to_bytes()))
     }
 
-    /// Reads what is left of an answer whose outcome is known; whether the connection is at rest after it.
+    /// Reads the remaining body of an answer whose outcome is known. Returns whether the connection can be
+    /// reused.
     pub async fn finish(&mut self, rest: Option<Incoming>) -> bool {
         let read = async {
             let whole = match rest {
@@ -159,7 +165,7 @@
     *request.uri_mut() = path.parse().unwrap_or_default();
     let to = to.to_string();
     for (name, value) in headers.iter().copied().chain([("host", to.as_str())]) {
-        // Values come from headers that were read, so they can be written.
+        // Values are copied from headers that were read, so they are valid.
         if let Ok(value) = HeaderValue::from_str(value) {
             request.headers_mut().insert(HeaderName::from_static(name), value);
         }
@@ -172,12 +178,13 @@
     address: SocketAddr,
     route: (DestId, Option<EndpointId>),
     usable: bool,
-    /// Connections idle for so long are not used there, until then.
+    /// Connections idle for at least this time are not reused there, until the given instant.
     brief: Option<(Duration, Instant)>,
 }
 
-/// Some endpoints close idle connections earlier than the settings say, and a request shows it as a reset. What
-/// was learned of that holds for so long; a reset after less idle time than this tells nothing of it.
+/// Some endpoints close idle connections earlier than configured, which shows as a reset of the next request.
+/// `SHORT_IDLE_RETENTION` is how long an observed shorter idle time is applied. A reset after less than
+/// `MIN_SHORT_IDLE` of idling is not taken as a sign of it.
 const DISTRUST: Duration = Duration::from_secs(30);
 const LEAST_IDLE: Duration = Duration::from_millis(50);
 
@@ -185,10 +192,11 @@
     host: H,
     pub dial: Duration,
     idle: Duration,
-    /// Most connections to endpoints at a time.
+    /// Limit of open connections to endpoints.
     most: usize,
     open: Rc<Cell<usize>>,
-    /// In an order that is the same each time: closing many at once is seen outside.
+    /// Ordered, so that connections closed together close in the same order in every run. The endpoints can
+    /// see the order.
     links: RefCell<BTreeMap<EndpointId, Vec<Connection<H>>>>,
     places: RefCell<HashMap<EndpointId, Place>>,
     waits: RefCell<HashMap<(DestId, Option<EndpointId>), Instant>>,
@@ -196,7 +204,8 @@
 
 impl<H: Host> Pool<H> {
     pub fn new(host: H, dial: Ns, idle: Ns, most: usize) -> Pool<H> {
-        // Closed well before the endpoint would: what is written to a connection that it has closed is a reset.
+        // Kept shorter than the endpoint's own idle timeout, because a request written on a connection that
+        // the endpoint has closed is reset.
         let idle = Duration::from_nanos((idle.max(0) as f64 * 0.9) as u64);
         Pool {
             host,
@@ -210,7 +219,7 @@
         }
     }
 
-    /// Follows the list; what it no longer names as ready gets nothing more, from now on.
+    /// Applies an entry of the endpoint list. An endpoint that is not ready gets no further requests.
     pub fn place(
         &self,
         endpoint: EndpointId,
@@ -228,19 +237,19 @@
         }
     }
 
-    /// A whole list replaces the one before: what is not in it is gone.
+    /// Called before a full list is applied: an endpoint missing from it is unavailable.
     pub fn withdraw_all(&self) {
         self.places.borrow_mut().values_mut().for_each(|p| p.usable = false);
     }
 
-    /// Whether nothing more may be written to an endpoint, and no wait is kept under its number.
+    /// Whether nothing more may be written to an endpoint and no retry-after is stored under its id.
     pub fn is_done_with(&self, endpoint: EndpointId) -> bool {
         let places = self.places.borrow();
         let Some(place) = places.get(&endpoint) else { return true };
         !place.usable && (place.route.1.is_none() || !self.waits.borrow().contains_key(&place.route))
     }
 
-    /// The list has not named it for so long that its number means nothing any more.
+    /// Removes an endpoint that has not been listed for so long that its id is no longer in use.
     pub fn forget(&self, endpoint: EndpointId) {
         self.places.borrow_mut().remove(&endpoint);
         self.close_idle(endpoint);
@@ -250,7 +259,8 @@
         self.links.borrow_mut().remove(&endpoint);
     }
 
-    /// Closes what has stood idle too long or was closed from the other side, and forgets waits that are over.
+    /// Closes connections that were idle too long or closed by the endpoint, and drops expired retry-after
+    /// times.
     pub async fn keep(self: Rc<Self>) {
         let mut every = tokio::time::interval(Duration::from_millis(100));
         loop {
@@ -279,7 +289,8 @@
         *held = until.max(*held);
     }
 
-    /// A kept connection there was reset at a request after so long: those idle for longer are no better.
+    /// A reused connection was reset on a request after this idle time; connections idle for longer are not
+    /// trusted either.
     pub fn distrust(&self, endpoint: EndpointId, idle: Duration) {
         self.close_idle(endpoint);
         if let Some(place) = self.places.borrow_mut().get_mut(&endpoint).filter(|_| idle >= LEAST_IDLE) {
@@ -297,7 +308,8 @@
         std::iter::from_fn(|| links.pop()).find(|l| l.is_open() && now - l.idle_since < most)
     }
 
-    /// Frees the place of the connection that has stood idle longest.
+    /// If the limit is reached, closes the connection that has been idle longest. Returns whether a new one
+    /// may be opened.
     fn make_place(&self) -> bool {
         if self.open.get() < self.most {
             return true;
@@ -316,7 +328,8 @@
         let Some(address) = address.filter(|_| self.make_place()) else {
             return Err(Outcome::NotSent);
         };
-        // Counted from before it is made, so that many at once stay under the limit too.
+        // Counted before it is established, so that many concurrent connection attempts also stay within the
+        // limit.
         let counted = Counted::new(&self.open);
         match Connection::open(&self.host, address, self.dial).await {
             Ok(mut link) => {
@@ -324,13 +337,13 @@
                 Ok(link)
             }
             Err(error) => {
-                tracing::debug!(%address, %error, "no connection");
+                tracing::debug!(%address, %error, "cannot connect to the endpoint");
                 Err(Outcome::NoConnection)
             }
         }
     }
 
-    /// Keeps a connection that is at rest.
+    /// Returns an idle connection to the pool.
     pub fn give_back(&self, endpoint: EndpointId, mut link: Connection<H>) {
         if self.places.borrow().get(&endpoint).is_some_and(|p| p.usable && p.address == link.at) {
             link.idle_since = Instant::now();
@@ -339,7 +352,7 @@
     }
 }
 
-/// One of the connections to endpoints, from before it is made until it is closed.
+/// Counts one connection to an endpoint, from the connection attempt until it is closed.
 struct Counted(Rc<Cell<usize>>);
 
 impl Counted {
--- a/crates/serve/nickelshed/src/core.rs
+++ b/crates/serve/nickelshed/src/core.rs
@@ -1,4 +1,5 @@
-//! The one owner of the module: events in, one round of decisions, actions out. It decides nothing itself.
+//! The event loop that owns the policy and the journal. Each iteration collects inputs, lets the policy
+//! decide, writes the journal once and then acts. The core makes no decisions of its own.
 mod effects;
 mod outages;
 mod resume;
@@ -21,7 +22,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// A message that the module has not ended.
+/// A message that the policy has not finished.
 struct Held {
     taken: Rc<Taken>,
     end: Ns,
@@ -32,29 +33,29 @@
 struct Known {
     name: String,
     kind: usize,
-    /// Since when it takes nothing new.
+    /// Since when the endpoint has not been ready; None while it is.
     closed: Option<Instant>,
 }
 
 struct Offered {
     taken: Rc<Taken>,
-    /// More than one where the same message came twice in a round.
+    /// More than one if the same message was submitted again before it was decided on.
     replies: Vec<oneshot::Sender<Reply>>,
 }
 
 impl Offered {
-    /// False if nobody is left to hear it.
+    /// Returns false if no client is waiting for the reply any more.
     fn answer(self, reply: Reply) -> bool {
         self.replies.into_iter().filter_map(|r| r.send(reply).ok()).count() > 0
     }
 }
 
-/// What a round gathers before the module decides.
+/// The inputs of one iteration, collected before the policy decides.
 struct Round {
     at: Instant,
     events: Vec<Event>,
     offered: BTreeMap<u64, Offered>,
-    /// Room in the journal for the messages of this round.
+    /// Journal space reserved for the messages of this iteration.
     claim: Claim,
 }
 
@@ -64,9 +65,9 @@
     settings: Settings,
     around: Around,
     journal: Journal<S>,
-    /// Where syncs are run, if rounds wait for them.
+    /// Queue of the sync thread; None if records need not be synced.
     syncs: Option<std::sync::mpsc::Sender<Sync<S::File>>>,
-    /// Rounds whose records are not kept yet, in order.
+    /// Iterations whose records are not durable yet, in order, with what they may do once they are.
     waiting: VecDeque<(Mark, Effects)>,
     client: Rc<Client<H>>,
     inbox: mpsc::Receiver<Input>,
@@ -74,17 +75,18 @@
     start: Instant,
     names: HashMap<String, EndpointId>,
     endpoints: BTreeMap<EndpointId, Known>,
-    /// Numbers are never used again: calls and the module may know an endpoint longer than the list.
+    /// Ids are never reused: calls and the policy may refer to an endpoint for longer than the list names it.
     next_endpoint: EndpointId,
-    /// All destinations that a list has named: as many as there are customers' systems.
+    /// All destinations that a list has ever named. Their number is bounded by the number of partner systems.
     dests: HashSet<DestId>,
     held: BTreeMap<u64, Held>,
     traces: HashMap<String, u64>,
     noticing: HashSet<u64>,
-    /// What the module has not taken on yet, nor turned away: its clients wait for their answer, and no record stands.
+    /// Submissions that the policy has neither accepted nor rejected yet. Their clients wait for a reply, and
+    /// the journal has no record of them.
     undecided: BTreeMap<u64, Offered>,
     calls: HashMap<(u64, u32), (EndpointId, Rc<Cancel>)>,
-    /// Events of the core's own making, for the next round.
+    /// Events produced by the core itself, for the next iteration.
     next: Vec<Event>,
     timer: Option<Ns>,
     next_id: u64,
@@ -92,19 +94,22 @@
     keeper: outages::Keeper,
     untried: untried::Untried,
     write_failed: bool,
-    /// Where what answers leave of a limit is told, in a fleet that goes by it.
+    /// Where the remaining headroom of limits, as endpoints report it, is recorded for the fleet's limit
+    /// quota; None outside a fleet.
     pub room: Option<Rc<crate::fleet::Room>>,
 }
 
-/// Where the module's clock starts: attempts of earlier processes lie before it.
+/// Start of the policy's clock. It is far above zero because attempts of earlier process runs lie before it.
 const CLOCK_START: Ns = 1_000_000 * SECOND;
-/// Events of one round at most, so that a flood of them does not hold up the answers.
+/// Limit of the inputs of one iteration, so that a flood of inputs does not delay the replies.
 const ROUND: usize = 512;
-/// For so long after it was closed an endpoint is remembered, as long as the module does: new ones come all day.
+/// How long an endpoint that is no longer ready is remembered, as long as by the policy. It has to be
+/// forgotten at some time because endpoints are replaced all day.
 const FORGET: Duration = Duration::from_secs(60);
-/// Each time limit may be so much longer or shorter for the other side: a request is on its way before it is read.
+/// Tolerance on each deadline: a request is under way for some time before the other side reads it, so the
+/// two sides see a deadline pass at different times.
 const SLACK: Ns = 50 * MS;
-/// With less left than this a message counts as one whose time ran out, and not as turned away.
+/// An unattempted message with less time left than this is counted as expired, not as returned.
 const LEAST_TIME: Ns = 300 * MS;
 
 impl<S: Storage, H: Host> Core<S, H> {
@@ -171,7 +176,7 @@
                 count = self.inbox.recv_many(&mut inputs, ROUND) => if count == 0 { return },
                 () = async { match wake { Some(at) => sleep_until(at).await, None => std::future::pending().await } } => {}
             }
-            // Whatever else is ready on the sockets comes into the same round.
+            // Yields once, so that input from other sockets that are ready joins the same iteration.
             tokio::task::yield_now().await;
             while inputs.len() < ROUND {
                 let Ok(input) = self.inbox.try_recv() else { break };
@@ -187,7 +192,7 @@
         }
     }
 
-    /// While winding down past its time, timers no longer matter.
+    /// After the shutdown deadline, wake-ups that were due by then no longer matter.
     fn started_before(&self, wake: Instant) -> bool {
         self.wind.is_none_or(|end| Instant::now() < end || wake > end)
     }
@@ -214,7 +219,7 @@
                 "Ready" if shut.contains(&instance.name) => Condition::Draining,
                 "Ready" => Condition::Ready,
                 "Gone" => Condition::Gone,
-                // Also what is not known: it gets nothing new.
+                // An unknown state is treated like draining: the endpoint gets nothing new.
                 _ => Condition::Draining,
             };
             let endpoint = *self.names.entry(instance.name.clone()).or_insert_with(|| {
@@ -252,7 +257,8 @@
         });
     }
 
-    /// One round: all that has come, the module's answer to it, one write, then the actions.
+    /// Runs one iteration: applies all inputs, lets the policy decide, writes the journal once, and acts on
+    /// the result.
     fn round(&mut self, inputs: Vec<Input>, events: Vec<Event>) {
         let at = Instant::now();
         let (now, wall) = (self.clock(at), self.host.wall_ms());
@@ -300,7 +306,7 @@
                 Input::Start(start) => {
                     let kept = self.journal.keep_beside(crate::fleet::START, format!("{start}\n").as_bytes());
                     if let Err(error) = kept {
-                        tracing::warn!(start, %error, "cannot keep the start; others may hold an earlier life for this one");
+                        tracing::warn!(start, %error, "cannot persist the start number; members may confuse the next process run with this one");
                     }
                 }
                 Input::Wind(until) => self.wind = Some(until),
@@ -329,7 +335,7 @@
                     let limit = if limit > 0 { (now + limit).min(end) } else { end };
                     let (end, limit, by) = (self.instant(end), self.instant(limit), self.instant(by));
                     let member = Member { attempt, taken, end, limit, by };
-                    // As the module counts: sends to one endpoint in one round share calls.
+                    // Must group as the policy does: sends to one endpoint in one iteration share calls.
                     let batch = self.settings.kinds.get(kind).map_or(1, |k| k.batch.max(1));
                     match calls.iter_mut().rev().find(|(e, _)| *e == endpoint) {
                         Some((_, members)) if members.len() < batch => members.push(member),
@@ -360,7 +366,7 @@
             }
         }
         for (o, reply) in refused {
-            tracing::debug!(id = o.taken.id, dest = o.taken.dest, "not taken on");
+            tracing::debug!(id = o.taken.id, dest = o.taken.dest, "rejected");
             self.forget(o.taken.id);
             o.answer(reply);
         }
@@ -396,8 +402,9 @@
         self.keep_outages(now, wall);
     }
 
-    /// What earlier rounds left undecided is part of this one, with room in the journal claimed for it anew. While
-    /// winding down the module is not asked any more, so that nothing can be taken on.
+    /// Carries undecided submissions of earlier iterations over into this one, reserving journal space for
+    /// them again. After the shutdown deadline the policy is no longer asked and could not accept them, so
+    /// they are rejected.
     fn put_forward(&mut self, round: &mut Round, wall: i64) {
         for (id, o) in std::mem::take(&mut self.undecided) {
             if !self.winding() && self.journal.claim(&o.taken, &mut round.claim, wall) {
@@ -412,14 +419,15 @@
 
     fn offer(&mut self, mut taken: Taken, end: Instant, reply: oneshot::Sender<Reply>, round: &mut Round) {
         if let Some(id) = self.traces.get(&taken.trace) {
-            // The same message once more, while it is held: it is taken on already, or shares this round's fate.
-            // Another one under its id is told nothing of either.
+            // A message with the id of an open one: the same message has been accepted already, or gets the
+            // same reply as the first submission. A different message under that id is told nothing about the
+            // first one.
             match round.offered.get_mut(id) {
                 _ if !self.held.get(id).is_some_and(|held| held.taken.is_same(&taken)) => {
                     _ = reply.send(Reply::Conflict)
                 }
                 Some(first) => first.replies.push(reply),
-                // Or is not kept yet, and neither is its word.
+                // Accepted, but not durable yet: the reply waits for that too.
                 None => match self.waiting.iter_mut().find_map(|(_, e)| e.taken_on.get_mut(id)) {
                     Some(first) => first.replies.push(reply),
                     None => _ = reply.send(Reply::TakenOn),
@@ -427,7 +435,8 @@
             }
             return;
         }
-        // Nothing could ever be sent for it. Before the first list nothing is known of any destination.
+        // No endpoint exists for it. Before the first list no destination is known, so the client is asked to
+        // retry.
         if !self.dests.contains(&taken.dest) {
             let first = self.dests.is_empty();
             let _ = reply.send(if first { Reply::Refused(None) } else { Reply::NoDestination });
@@ -459,7 +468,7 @@
         round.offered.insert(taken.id, Offered { taken, replies: vec![reply] });
     }
 
-    /// Enters a message that the module is about to be told of.
+    /// Registers a message as open and builds the policy's description of it.
     fn hold(&mut self, taken: Rc<Taken>, class: usize, left: Ns, end: Ns, attempts: u32) -> Message {
         let (id, dest) = (taken.id, taken.dest);
         let tenant = position(&self.around.tenants, &taken.tenant).unwrap_or(0);
@@ -468,20 +477,22 @@
         Message { id, class, dest, left, cost: 0, key: None, tenant }
     }
 
-    /// Its notice, which is owed until the platform has answered it.
+    /// Builds the notice of a message. It stays pending until every sink has received it.
     fn notice(&mut self, taken: &Taken, ending: Ending) -> Notice {
         self.noticing.insert(taken.id);
         let (trace, class) = (taken.trace.clone(), taken.class.clone());
         Notice { id: taken.id, trace, class, dest: taken.dest, ending, at: self.host.wall_ms() }
     }
 
-    /// Whether an answer came as the message's time ran out. It may have been written when that was over already, and then
-    /// delivers nothing: the message's end is owed all the same, and a notice for one that is over does no harm.
+    /// Whether the attempt succeeded only as the message expired. The answer may have been written after
+    /// the deadline, and then the message does not count as delivered, so its client must get a notice. A
+    /// notice for a message that was delivered in time does no harm.
     fn is_late(&self, end: &AttemptEnd, now: Ns) -> bool {
         end.outcome == Outcome::Served && self.held.get(&end.id).is_some_and(|held| held.end <= now + SLACK)
     }
 
-    /// Books an attempt's end; of a `late` one the message is ended by its notice, later in the round.
+    /// Records the end of an attempt. If it is `late`, the message is not finished here but with its notice,
+    /// later in the iteration.
     fn ended(&mut self, end: &AttemptEnd, late: bool, records: &mut Vec<Record>) {
         self.calls.remove(&(end.id, end.attempt));
         if !self.held.contains_key(&end.id) {
@@ -504,7 +515,8 @@
     }
 }
 
-/// What became of all that a start found untried, once the last one is called for or over.
+/// Logs the counts of the messages recovered unattempted, once the last of them has been attempted or
+/// finished.
 fn tell_untried(counts: Option<untried::Counts>) {
     if let Some(untried::Counts { found, called, late, ran_out, turned_away }) = counts {
         tracing::info!(
--- a/crates/serve/nickelshed/src/core/effects.rs
+++ b/crates/serve/nickelshed/src/core/effects.rs
@@ -1,13 +1,14 @@
-//! What a round has decided, written down and then done: at once, or when the journal has it for good.
+//! The effects of an iteration: written to the journal, then carried out immediately or once the records are
+//! durable.
 use super::*;
 
-/// When a client is to come again that could not be taken on for want of disk.
+/// Retry-after for a client whose message cannot be accepted because the disk is full.
 pub(super) const FULL: Duration = Duration::from_secs(1);
 
-/// A call that is to be made.
+/// A call to be made: the endpoint, its messages, and the token that cancels it.
 type Call = (EndpointId, Vec<Member>, Rc<Cancel>);
 
-/// What a round has decided and may do once its records are kept.
+/// What an iteration has decided, to be carried out once its records are durable.
 #[derive(Default)]
 pub(super) struct Effects {
     pub(super) taken_on: BTreeMap<u64, Offered>,
@@ -16,9 +17,10 @@
 }
 
 impl<S: Storage, H: Host> Core<S, H> {
-    /// The round could not be written down: nothing is taken on. What is held goes on if the journal has room held
-    /// back for it; else nothing new is begun, since without its record it could run twice, and what ended is tried
-    /// by itself.
+    /// Handles a failed write of the iteration's records. No submission is accepted. Attempts of open
+    /// messages go ahead if the journal's reserved space can hold their records. If not, no attempt is
+    /// started, since an unrecorded attempt could be repeated after a restart, and only the finished messages
+    /// are recorded.
     pub(super) fn go_on_without(
         &mut self,
         offered: BTreeMap<u64, Offered>,
@@ -42,7 +44,8 @@
         }
     }
 
-    /// Of calls that the module has decided on, makes only those parts that may go; the others were not sent.
+    /// Keeps only those messages of the policy's calls for which `may_send` is true; reports the others to
+    /// the policy as not sent.
     fn leave_out(&mut self, calls: &mut Vec<Call>, goes: impl Fn(&Member) -> bool) {
         let now = Instant::now();
         calls.retain_mut(|(endpoint, members, _)| {
@@ -55,7 +58,7 @@
         });
     }
 
-    /// Does what a round has decided, now or when the journal has it for good.
+    /// Carries out the effects of an iteration now, or once the journal has made its records durable.
     pub(super) fn once_kept(&mut self, effects: Effects) {
         let mark = self.journal.last();
         self.waiting.push_back((mark, effects));
@@ -73,8 +76,8 @@
         let mut unheard = HashSet::new();
         for (id, o) in effects.taken_on {
             if !o.answer(Reply::TakenOn) {
-                // The client has left without its answer: it may hand the message in again elsewhere, and a call that
-                // this round decided on would run it twice.
+                // The client disconnected without its reply and may submit the message elsewhere; a call
+                // decided in this iteration would then run it twice.
                 unheard.insert(id);
                 self.next.push(Event::Expired { id });
                 self.forget(id);
@@ -90,11 +93,11 @@
         }
     }
 
-    /// Has the next sync run, where rounds wait for one.
+    /// Hands the next sync to the sync thread, if records need to be synced.
     pub(super) fn sync(&mut self) {
         let Some(syncs) = &self.syncs else { return };
         if let Some(sync) = self.journal.sync() {
-            // Its thread ends with this one.
+            // The sync thread ends only with this one.
             let _ = syncs.send(sync);
         }
     }
@@ -104,7 +107,8 @@
         self.wrote(result)
     }
 
-    /// For messages that are held, also where nothing new has room.
+    /// Writes records for open messages; may use the journal's reserved space when new messages no longer
+    /// fit.
     pub(super) fn write_owed(&mut self, records: &[Record]) -> bool {
         let result = self.journal.append_owed(records, self.host.wall_ms());
         self.wrote(result)
--- a/crates/serve/nickelshed/src/core/outages.rs
+++ b/crates/serve/nickelshed/src/core/outages.rs
@@ -1,38 +1,40 @@
-//! What is known of destinations that are out, kept for the next process of this sender: without it, one that starts
-//! again would push over what is just coming back.
+//! Persists the known outages of destinations for the next process run of this sender. Without them, a
+//! restarted sender would overload destinations that are just recovering.
 use super::*;
 use serde::{Deserialize, Serialize};
 
-/// It is written at most so often: a kill may cost what was learned since.
+/// A process that is killed may lose what it learned within this time.
 const EVERY: Duration = Duration::from_millis(200);
-/// What is older when it is read is no outage any more.
+/// An outage read back at this age is taken to be over.
 const OLD_MS: i64 = 3_600_000;
-/// What is in doubt has failed so lately, at least.
+/// The last failure of a suspect route is stored as at most this old, since the route has not recovered yet.
 const DOUBT: Ns = 60 * SECOND;
 
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub(super) struct Kept {
     dest: DestId,
-    /// The endpoint's name, where it is a route by itself.
+    /// The endpoint's name if it is a route of its own.
     endpoint: Option<String>,
     doubt: bool,
-    /// Unix time in tenths of a second: no finer, as the two clocks' difference would change it at each look.
+    /// Unix time in tenths of a second. At a finer resolution the drift between the monotonic and the wall
+    /// clock would change the value, and cause a write, at every check.
     last_failure: i64,
-    /// Calls in ten seconds.
+    /// Calls per ten seconds that the route was seen to serve.
     proved: u32,
 }
 
-/// What was kept last, and when that was looked at.
+/// What was written last, and when the outages were last checked for changes.
 #[derive(Default)]
 pub(super) struct Keeper {
     last: Vec<Kept>,
     looked: Option<Instant>,
 }
 
-/// Those with the newest failures that find room in so many bytes: their number and names are others' choice.
+/// Returns the outages with the newest failures whose encoding fits into `capacity` bytes. Their number and
+/// the length of the names are set by the platform, so they may not all fit.
 fn that_fit(mut all: Vec<Kept>, room: usize) -> Vec<Kept> {
     all.sort_by_key(|k| (std::cmp::Reverse(k.last_failure), k.dest));
-    // Their number goes before them.
+    // Reserved for the count that precedes the entries.
     let mut room = room.saturating_sub(8);
     all.into_iter()
         .map_while(|k| {
@@ -51,7 +53,7 @@
 }
 
 impl<S: Storage, H: Host> Core<S, H> {
-    /// Writes down who is out, if that has changed.
+    /// Persists the known outages if they have changed.
     pub(super) fn keep_outages(&mut self, now: Ns, wall: i64) {
         let at = Instant::now();
         if self.keeper.looked.is_some_and(|looked| at < looked + EVERY) {
@@ -68,10 +70,11 @@
         {
             tracing::debug!(dest = k.dest, endpoint = k.endpoint, doubt = k.doubt, "out");
         }
-        // Without it the next process learns anew who is out, as one on a new machine does.
+        // If the write fails, the next process run only has to learn the outages again, like a sender on a
+        // new machine.
         match self.journal.keep_note(&written(&all)) {
             Ok(()) => self.keeper.last = all,
-            Err(error) => tracing::debug!(%error, "cannot keep who is out"),
+            Err(error) => tracing::debug!(%error, "cannot persist the known outages"),
         }
     }
 
@@ -87,7 +90,8 @@
         Some(Kept { dest: o.dest, endpoint, doubt: o.doubt, last_failure, proved })
     }
 
-    /// What an earlier process has kept, as the module is told it: after the list, which names the endpoints.
+    /// Returns the outages that an earlier process run persisted, as events for the policy. The endpoint list
+    /// must have been applied before, because it maps names to endpoints.
     pub(super) fn recalled(&self, now: Ns, wall: i64) -> Vec<Event> {
         let kept = self.journal.note().map(|bytes| read(&bytes)).unwrap_or_default();
         let event = |k: Kept| {
--- a/crates/serve/nickelshed/src/core/outages/tests.rs
+++ b/crates/serve/nickelshed/src/core/outages/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// On the smallest disk, and on one of 3 MB.
+/// Capacity on the smallest disk allowed, and on a disk of 3 MB.
 const LEAST_ROOM: usize = 2_032;
 const ROOM: usize = 46_576;
 
@@ -27,7 +27,7 @@
     assert_eq!(read(&[0xff; 64]), []);
 }
 
-/// As platforms name them, every endpoint a route of its own and all of them out.
+/// With names as platforms give them, each endpoint a route of its own, and all routes unavailable.
 #[test]
 fn a_thousand_routes_that_are_out_are_all_kept() {
     let out = |i: u64| Kept {
--- a/crates/serve/nickelshed/src/core/resume.rs
+++ b/crates/serve/nickelshed/src/core/resume.rs
@@ -1,8 +1,9 @@
-//! The start: what an earlier process of this sender has left in the journal.
+//! Startup: recovers the messages that an earlier process run of this sender left in the journal.
 use super::*;
 
 impl<S: Storage, H: Host> Core<S, H> {
-    /// Takes up what the journal holds. Where `known` may be old, news of it is waited for as long as told.
+    /// Recovers all messages from the journal. `initial_list` may be outdated, so an update is awaited for up
+    /// to `startup_wait`.
     pub async fn resume(&mut self, known: List, news_within: Duration) {
         let mut events = vec![self.list(known, true)];
         let first = match news_within {
@@ -31,13 +32,14 @@
                     may_have_run: !a.never_ran,
                 })
                 .collect();
-            // Numbers have a gap where an attempt could not be written down, and so was not made. The module counts
-            // on from how many there are, and no number may be given twice.
+            // Attempts whose record could not be written, and which were not made for that reason, leave gaps
+            // in the numbering. The policy continues from the number of attempts, and no number may be used
+            // twice, so the gaps are filled up.
             let gap = PastAttempt { endpoint: None, sent: now, may_have_run: false };
             past.resize(past.len().max(live.next_number() as usize), gap);
             let attempts = past.len() as u32;
             let Some(class) = position(&self.around.classes, &taken.class) else {
-                // The settings no longer have its class, so the module can't be asked.
+                // The settings no longer contain the message's class, so the policy cannot decide on it.
                 let ran = past.iter().any(|p| p.may_have_run);
                 let ending = if ran { Ending::GivenUp } else { Ending::HandedBack(None) };
                 lost.push((id, taken, ending, true));
@@ -69,7 +71,8 @@
             }
             effects.notices.push(self.notice(&taken, ending));
         }
-        // Should it fail, the next process finds the message with its time up, and comes to the same end.
+        // If this write fails, the next process run finds the message expired and finishes it in the same
+        // way.
         self.write_owed(&records);
         self.once_kept(effects);
         self.round(Vec::new(), events);
--- a/crates/serve/nickelshed/src/core/untried.rs
+++ b/crates/serve/nickelshed/src/core/untried.rs
@@ -1,23 +1,23 @@
-//! What a start found taken on and never called for, until each of these has had a call or its end: an operator sees from
-//! it that a restart cost no message its try.
+//! Tracks the messages that recovery found accepted but never attempted, until each of them is attempted or
+//! finished. The resulting counts show an operator that a restart did not cost any message its attempt.
 use std::collections::BTreeMap;
 
-/// How many there were, and how many of them came to each end.
+/// How many messages were recovered unattempted, and how many of them ended in each way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub found: usize,
     pub called: usize,
-    /// Their time was up when the process started.
+    /// They had expired before the process started.
     pub late: usize,
-    /// Their time has run out since.
+    /// They expired after the start.
     pub ran_out: usize,
-    /// They were turned away while they had time, or are not known here any more.
+    /// They were returned while they still had time left, or their destination is no longer known.
     pub turned_away: usize,
 }
 
 #[derive(Default)]
 pub struct Untried {
-    /// Those that wait, and whether their time was up at the start.
+    /// The messages not attempted yet, and whether each had expired at startup.
     waiting: BTreeMap<u64, bool>,
     counts: Counts,
 }
@@ -28,14 +28,15 @@
         self.counts.found += 1;
     }
 
-    /// It is called for. `Some`: it was the last one of them, and what became of all.
+    /// Counts a message as attempted. Returns the final counts if it was the last pending one.
     pub fn called(&mut self, id: u64) -> Option<Counts> {
         self.waiting.remove(&id)?;
         self.counts.called += 1;
         self.told()
     }
 
-    /// It ends without a call; `has_time`: while one would still have been in time. `Some` as for [`called`](Self::called).
+    /// Counts a message as finished without an attempt; `has_time` says whether an attempt could still have
+    /// been in time. Returns the final counts if it was the last pending one.
     pub fn ended(&mut self, id: u64, has_time: bool) -> Option<Counts> {
         let is_late = self.waiting.remove(&id)?;
         match (is_late, has_time) {
--- a/crates/serve/nickelshed/src/discovery.rs
+++ b/crates/serve/nickelshed/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The list of endpoints: the whole list once, then a watch that goes out again at once. When it is asked again
-//! after a failure is for `asking` to say.
+//! Follows the list of endpoints at discovery: a full list first, then a watch (long poll) that is repeated
+//! as soon as it is answered. `schedule` decides how long to pause after a failure.
 mod asking;
 
 use crate::connections::{self, Connection};
@@ -14,13 +14,13 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The longest that a start is held up by discovery.
+/// The longest time for which discovery may delay the start.
 const LONGEST_START: Duration = Duration::from_millis(300);
-/// What is known already is answered within this.
+/// Discovery answers within this time if it already has what is asked for.
 const AT_ONCE: Duration = Duration::from_millis(50);
 const MAX_LIST: usize = 1 << 20;
 
-/// Why an ask had no list for an answer.
+/// Why a request to discovery did not return a list.
 #[derive(Debug)]
 enum AskError {
     Status(u16),
@@ -32,10 +32,10 @@
 impl std::fmt::Display for AskError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            AskError::Status(status) => write!(f, "answered {status}"),
-            AskError::NotAList(error) => write!(f, "not a list: {error}"),
+            AskError::Status(status) => write!(f, "answered with status {status}"),
+            AskError::NotAList(error) => write!(f, "the answer is not a valid list: {error}"),
             AskError::Unreached(error) => f.write_str(error),
-            AskError::Silent => f.write_str("is silent"),
+            AskError::Silent => f.write_str("no answer in time"),
         }
     }
 }
@@ -69,14 +69,15 @@
     Ok(list)
 }
 
-/// A list that is held at the start, and when it is first asked what has changed since.
+/// The generation of the list that the sender has at startup, and when changes since then are first asked
+/// for.
 pub struct Held {
     pub generation: u64,
     pub ask_after: Duration,
 }
 
-/// How long a start waits for news of the list it holds, which is told at once if there is any, or for the first one.
-/// Nought where the news would come later than a start may be held up.
+/// How long the start waits for an update of the cached list, which discovery sends at once if there is one,
+/// or for the first list if none is cached. Zero if the update would arrive too late to wait for.
 pub fn news_within(held: Option<&Held>) -> Duration {
     let wait = held.map_or(LONGEST_START, |held| held.ask_after + AT_ONCE);
     if wait > LONGEST_START {
@@ -86,8 +87,9 @@
     }
 }
 
-/// Never ends: while discovery is silent the sender goes on with the list it has. Where its address changes,
-/// what is under way at the old one is dropped at once, and the new one is first asked for a whole list.
+/// Polls discovery; returns only when the core has ended. While discovery fails, the sender keeps using its
+/// last list. When the address of discovery changes, the request to the old address is abandoned at once and
+/// the new one is first asked for a full list.
 pub async fn follow<H: Host>(
     host: H,
     mut place: watched::Listener<SocketAddr>,
@@ -104,7 +106,7 @@
         if !pause.is_zero() {
             tokio::select! {
                 biased;
-                // Whoever is there now was not asked in vain.
+                // The pause was due to the old address, so the new one is asked at once.
                 Ok(()) = place.changed() => (connection, known) = (None, None),
                 () = sleep(pause) => {}
             }
@@ -122,7 +124,7 @@
             biased;
             Ok(()) = place.changed() => None,
             asked = timeout(allowed, get(&mut connection, &host, at, &path)) => {
-                // One that fell silent is not one that was turned away.
+                // A watch that timed out is treated differently from a rejected request.
                 silent = watch && asked.is_err();
                 Some(asked.unwrap_or(Err(AskError::Silent)))
             }
@@ -134,7 +136,7 @@
                     tracing::info!("discovery answers again");
                 }
                 asking.answered();
-                // A change builds on a list: the first answer must be whole.
+                // Changes apply to a list that is known, so the first answer must be a full list.
                 if list.reset || known.is_some() {
                     let nothing = !list.reset && list.instances.is_empty() && known == Some(list.generation);
                     if nothing && began.elapsed() < wait / 2 {
--- a/crates/serve/nickelshed/src/discovery/asking.rs
+++ b/crates/serve/nickelshed/src/discovery/asking.rs
@@ -1,63 +1,68 @@
-//! When discovery is asked. No I/O: what became of an ask comes in, how long to leave discovery alone goes out.
+//! Decides when discovery is asked. It does no I/O: results of requests come in, pauses go out.
 //!
-//! A sender's own agent answers at once, and what it has been sent counts as told: it is asked in the moment of the
-//! start, and again soon after a failure, or the sender would go on by a list that it counts as knowing better than.
+//! A sender's own agent answers at once, and the sender is expected to know whatever the agent has been sent.
+//! It is therefore asked immediately at startup and again soon after a failure; otherwise the sender would
+//! act on an outdated list while it is expected to know better.
 //!
-//! A change counts as told 6 s after discovery had it and could be reached, whoever is asked and whatever failed before.
-//! So an ask that was begun as discovery came back and is lost, the pause after it and the next answer take less than that.
+//! A sender is expected to act on a change at the latest 6 s after discovery had the change and could be
+//! reached, in either mode and whatever failed before. Three steps together must take less than that: a
+//! request that was sent as discovery recovered and is lost, the pause after it, and the next answer.
 //!
-//! A discovery that all share, with more calls than it can answer, turns some away, and those cost it as much as the
-//! others. One sender that asks on at once does no harm; a hundred keep it down for good. So the pauses are drawn between
-//! nought and a ceiling that stands for the whole fleet: as many times `EACH` as there are senders, doubled with each
-//! failure in a row, up to `MOST_SHARED`. Only one that many share and that turns this sender away is left alone for
-//! longer: with so many, asks within six seconds are what keeps it down, and nobody would be told at all. A list that is
-//! held already need not be asked for in the moment of the start either, when all the others start too.
+//! A shared discovery that gets more requests than it can answer rejects some, and rejected requests cost it
+//! as much work as the others. A single sender that retries immediately does no harm; a hundred of them keep
+//! discovery overloaded for good. Pauses are therefore drawn at random between zero and a ceiling that
+//! depends on the size of the fleet: `CYCLE_TIME_PER_SENDER` times the number of senders, doubled with each
+//! consecutive failure, up to `MAX_BACKOFF_SHARED`. The ceiling is higher only when discovery is shared by
+//! many senders and rejects this one: with that many, retries within six seconds are what keeps it
+//! overloaded, and no sender would get an update at all. For the same reason a sender that has a cached list
+//! does not ask right at startup, when all the others may be starting too.
 use nickelshed_settings::Lister;
 use std::time::Duration;
 
-/// Of the time in which the whole fleet asks a shared discovery once, each sender's part.
+/// The time that each sender adds to a polling cycle, in which the whole fleet asks a shared discovery once.
 const EACH: Duration = Duration::from_millis(50);
 const LONGEST_ROUND: Duration = Duration::from_secs(20);
-/// The least ceiling after a failure, and the highest by who is asked: news count as told within seconds.
+/// The lowest backoff ceiling, and the highest in each mode. Updates are expected to be known within seconds.
 const LEAST: Duration = Duration::from_millis(100);
 const MOST_SHARED: Duration = Duration::from_millis(2_800);
 const MOST_AGENT: Duration = Duration::from_millis(400);
-/// The ceiling after a shared discovery has turned this sender away, where a round of all takes longer than that: so many
-/// rounds, and no longer than this.
+/// The backoff ceiling after a shared discovery rejected this sender, if a polling cycle takes longer than
+/// `MAX_BACKOFF_SHARED`: this many cycles, but at most `MAX_BACKOFF_OVERLOADED`.
 const CROWDED_ROUNDS: u32 = 2;
 const MOST_CROWDED: Duration = Duration::from_secs(40);
-/// How long an answer may take beyond the wait that it was asked for. An agent's comes at once; a shared discovery
-/// keeps calls that it will turn away for two seconds.
+/// How long an answer may take in addition to the requested wait. An agent answers at once; a shared
+/// discovery holds requests for up to two seconds before it rejects them.
 const GRACE: Duration = Duration::from_millis(3_000);
 const GRACE_AGENT: Duration = Duration::from_millis(1_000);
 
-/// The same for an ask of an agent that has fallen silent: what it gets when it is back counts at once, and an ask that was
-/// begun in the silence may never be answered.
+/// Answer timeout for a retried request to an agent. The sender is expected to know the agent's updates as
+/// soon as the agent recovers, but a request that was sent during the outage may never be answered.
 const GRACE_SILENT: Duration = Duration::from_millis(500);
-/// The same for a watch of a shared discovery after a failure, and how long such a watch waits.
+/// Answer timeout of a watch retried at a shared discovery, and how long that watch waits for changes.
 const GRACE_AGAIN: Duration = Duration::from_millis(2_000);
 const WAIT_AGAIN: Duration = Duration::from_millis(1_000);
-/// How long a watch waits. Not long: one that is open as discovery goes down may never be answered.
+/// How long a watch waits for changes. It is short because a watch that is open when discovery fails may
+/// never be answered.
 const WAIT: Duration = Duration::from_secs(5);
-/// The longest that a shared discovery is left alone which answers watches early with nothing.
+/// The longest pause after a shared discovery answered a watch prematurely and without changes.
 const EARLY: Duration = Duration::from_secs(5);
 
-/// Why an ask had no list for an answer.
+/// Why a request did not return a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Discovery was reached, and answered with something else than a list.
+    /// Discovery was reached, but its answer was not a list.
     TurnedAway,
-    /// It was silent, or not reached.
+    /// Discovery did not answer or could not be reached.
     Unreached,
 }
 
-/// What became of the last asks of one sender.
+/// The timing of one sender's requests, from the results of its last ones.
 #[derive(Debug)]
 pub struct Asking {
     lister: Lister,
-    /// The time in which the whole fleet asks once.
+    /// The time in which the whole fleet asks discovery once; zero for an agent.
     round: Duration,
-    /// In a row.
+    /// Consecutive failures.
     failures: u32,
     random: fastrand::Rng,
 }
@@ -72,14 +77,15 @@
         Asking { lister, round, failures: 0, random: fastrand::Rng::with_seed(seed) }
     }
 
-    /// How long after the start a sender that holds a list first asks what has changed since.
+    /// The delay after startup until a sender with a cached list first asks for changes.
     pub fn first(&mut self) -> Duration {
         self.round.mul_f64(self.random.f64())
     }
 
-    /// How much longer than it was asked to wait an answer may take before the ask has failed. The first one that is a
-    /// `watch`: it was let in, so it is not one that a crowd has turned away, and one that says nothing when its wait is
-    /// over is broken, whoever is asked. What it missed counts as told two seconds after that.
+    /// How long an answer may take in addition to the requested wait before the request has failed. A first
+    /// watch without an answer at the end of its wait has failed in either mode: it had been admitted, so it
+    /// is not one that an overloaded discovery rejects. The sender is expected to know what that watch missed
+    /// two seconds later.
     pub fn grace(&self, watch: bool) -> Duration {
         match self.lister {
             Lister::Agent if watch && self.failures > 0 => GRACE_SILENT,
@@ -89,8 +95,9 @@
         }
     }
 
-    /// How long the next watch is to wait for news. After a failure an agent is asked for what it has: it answers that at
-    /// once and at no cost, or is silent still. A shared discovery is asked for a short watch, which goes on if answered.
+    /// How long the next watch waits for changes. After a failure, an agent is asked not to wait: it returns
+    /// what it has at once and at no cost, or is still unavailable. A shared discovery is asked for a short
+    /// watch, which continues normally once it is answered.
     pub fn wait(&self) -> Duration {
         match self.lister {
             Lister::Agent if self.failures > 0 => Duration::ZERO,
@@ -99,8 +106,9 @@
         }
     }
 
-    /// How long to leave discovery alone after a watch that fell silent: it is opened anew before what it missed counts.
-    /// If that fails too, there is a crowd, or discovery is down: then as after any ask that failed.
+    /// The pause after a watch timed out. It is short enough to open a new watch before the sender is
+    /// expected to know what the lost one missed. If the new one fails too, discovery is overloaded or down,
+    /// and the pause is that of any failed request.
     pub fn lost(&mut self) -> Duration {
         if self.failures > 0 {
             return self.failed(Failure::Unreached);
@@ -109,9 +117,10 @@
         LEAST / 2 + self.round.clamp(LEAST, MOST_AGENT).mul_f64(self.random.f64())
     }
 
-    /// How long to leave discovery alone after a watch that was answered long before its wait was over, with nothing: asked
-    /// on at once it would be asked as fast as it can answer. At an agent the watch goes on (200 ms); who asks a shared one
-    /// later begins a new watch, and what changed in between is told by that.
+    /// The pause after a watch returned without changes long before the end of its wait. Without a pause,
+    /// requests would follow one another as fast as discovery can answer them. After the pause at an agent
+    /// (less than 200 ms) the next request still counts as the same watch. At a shared discovery it is a new
+    /// watch, whose answer includes what changed in between.
     pub fn early(&mut self) -> Duration {
         match self.lister {
             Lister::Agent => LEAST,
@@ -123,7 +132,7 @@
         self.failures = 0;
     }
 
-    /// How long to leave discovery alone after an ask that failed.
+    /// The pause after a failed request.
     pub fn failed(&mut self, failure: Failure) -> Duration {
         let doubled = self.round.max(LEAST).saturating_mul(1 << self.failures.min(16));
         let crowded = failure == Failure::TurnedAway && self.round > MOST_SHARED;
@@ -133,7 +142,8 @@
             Lister::Shared => doubled.min(MOST_SHARED),
         };
         self.failures = self.failures.saturating_add(1);
-        // Never at once: an ask that fails in no time would be repeated as fast as the process can.
+        // Never zero: a request that fails immediately would otherwise be repeated as fast as the process
+        // can.
         LEAST / 2 + ceiling.mul_f64(self.random.f64())
     }
 }
--- a/crates/serve/nickelshed/src/discovery/asking/tests.rs
+++ b/crates/serve/nickelshed/src/discovery/asking/tests.rs
@@ -4,13 +4,13 @@
 
 const MS: u64 = 1_000;
 
-/// Discovery as a queue: calls are answered one by one, each after `SERVICE`, and who has waited for `PATIENCE` is
-/// turned away, though its place in the queue was worked for all the same.
+/// A queueing model of discovery. Requests are answered one at a time, each in `SERVICE_TIME`. A request that
+/// has waited for `MAX_QUEUE_TIME` is rejected, although its place in the queue still costs the work.
 const SERVICE: u64 = 50 * MS;
 const PATIENCE: u64 = 2_000 * MS;
 
-/// When the last of so many senders that start together has its answer, and how many were turned away; None after
-/// two minutes. Times are in microseconds.
+/// Simulates senders that start together. Returns when the last one got its answer, or None if that takes
+/// more than two minutes, and how many requests were rejected. Times are in microseconds.
 fn all_answered(senders: u64, first: impl Fn(u64) -> u64, failed: impl Fn(u64) -> u64) -> (Option<u64>, u32) {
     let mut asks: BTreeSet<(u64, u64)> = (0..senders).map(|s| (first(s), s)).collect();
     let (mut free_at, mut last, mut turned_away) = (0u64, 0, 0);
@@ -43,14 +43,15 @@
         for senders in [2, 10, 30, 100, 300, 350] {
             let (last, turned_away) = fleet(senders, seed);
             let last = last.expect("all are answered in the end");
-            // Once round all of them, and as long again for those that met a crowd.
+            // One polling cycle for all, and as long again for those that were rejected.
             assert!(last < 2 * senders.max(4) * SERVICE + PATIENCE, "{senders} senders: {last} us");
             assert!(u64::from(turned_away) < senders, "{senders} senders: {turned_away} turned away");
         }
     }
 }
 
-/// Discovery was down for all, and is back at once: every sender asks within its first pause.
+/// Guards against senders that overload discovery after an outage: it recovers all at once, and every sender
+/// asks within its first pause.
 #[test]
 fn a_fleet_whose_discovery_comes_back_gets_its_answers() {
     for senders in [2, 30, 60, 100, 350] {
@@ -66,7 +67,7 @@
         let (last, turned_away) = all_answered(senders, first, |s| pause(s, Failure::TurnedAway));
         let last = last.expect("all are answered in the end");
         println!("{senders} senders: the last after {} ms, {turned_away} turned away", last / MS);
-        // What it can answer in six seconds is answered in them.
+        // As many senders as discovery can answer in six seconds are answered in six seconds.
         assert!(senders > 60 || last < 6_000 * MS, "{senders} senders: {last} us");
         assert!(last < 90_000 * MS, "{senders} senders: {last} us");
     }
@@ -82,9 +83,9 @@
     assert_eq!(all_answered(350, |s| starts[s as usize], |_| within.borrow_mut()()).0, None);
 }
 
-/// The longest that news may take which discovery has, once it can be reached.
+/// The longest time in which an update may arrive, once discovery has it and can be reached.
 const NEWS: Duration = Duration::from_secs(6);
-/// A connection that is made and an answer.
+/// Time to connect and get an answer.
 const ANSWER: Duration = Duration::from_millis(100);
 
 #[test]
@@ -102,7 +103,8 @@
                         "{lister:?}, {senders} senders: {lost:?} and {pause:?}"
                     );
                 }
-                // Nor does an answer that is no list change that, unless very many share it.
+                // An answer that is not a list is retried in time too, unless very many senders share
+                // discovery.
                 let pause = asking.failed(Failure::TurnedAway);
                 assert!(senders > 50 && lister == Lister::Shared || pause + ANSWER < NEWS);
             }
@@ -135,7 +137,7 @@
     ceilings(11, Failure::Unreached, &[500, 1_000, 2_000, 2_800, 2_800, 2_800]);
     ceilings(100, Failure::Unreached, &[2_800, 2_800, 2_800, 2_800]);
     ceilings(11, Failure::TurnedAway, &[500, 1_000, 2_000, 2_800, 2_800]);
-    // Two rounds of so many, who keep it down otherwise.
+    // Two polling cycles: with that many senders, shorter pauses keep discovery overloaded.
     ceilings(100, Failure::TurnedAway, &[9_900, 9_900, 9_900]);
     ceilings(100_000, Failure::TurnedAway, &[40_000, 40_000]);
 }
@@ -152,8 +154,8 @@
     assert_eq!(alone.first(), Duration::ZERO, "who is alone waits for nobody");
 }
 
-/// What an agent has counts as told at the latest so long after it was sent, and for a watch so long after its
-/// wait; then a drain has its grace of a second.
+/// At the latest this long after an agent was sent an update, the sender is expected to know it; with a watch
+/// open, this long after the end of the watch's wait. A drain is enforced one second later.
 const TOLD: Duration = Duration::from_secs(6);
 const TOLD_AFTER_WAIT: Duration = Duration::from_secs(2);
 
@@ -165,18 +167,19 @@
         for _ in 0..1_000 {
             let pause = asking.failed(Failure::Unreached);
             assert!(pause >= LEAST / 2 && pause < Duration::from_millis(500));
-            // A watch that was lost, and the ask after it.
+            // A lost watch and the request after it.
             assert!(asking.grace(true) + pause < TOLD_AFTER_WAIT);
-            // Two whole lists that were lost, and the third.
+            // Two lost requests for a full list, and the third one.
             assert!((asking.grace(false) + pause) * 3 < TOLD);
         }
         asking.answered();
-        // Soon enough for what changes meanwhile to belong to the same watch.
+        // Soon enough for changes in between to belong to the same watch.
         assert!(asking.failed(Failure::Unreached) < Duration::from_millis(200));
     }
 }
 
-/// What an agent gets at the return counts at once, and a drain has its grace of a second.
+/// Guards against missing a drain: what an agent has when it recovers is expected to be known at once, and a
+/// drain is enforced one second later.
 #[test]
 fn an_agent_that_is_silent_is_asked_often_enough_to_hear_at_its_return_what_counts_then() {
     for seed in 0..200 {
@@ -217,7 +220,7 @@
             assert!(asking.grace(true) + asking.lost() + LEAST < TOLD_AFTER_WAIT, "{lister:?}");
         }
     }
-    // It is down: asked by all within its ceiling, and not in one moment.
+    // Discovery is down: it is asked by all senders within the ceiling, but not all at the same time.
     let mut asking = Asking::new(Lister::Shared, 300, 7);
     asking.lost();
     assert_eq!(asking.grace(true), GRACE_AGAIN);
--- a/crates/serve/nickelshed/src/fleet.rs
+++ b/crates/serve/nickelshed/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The front towards the other members of the fleet: its socket, its clock and its file, around the machine that keeps the
-//! view. What the view says of parts goes to the core as a number of senders.
+//! The fleet member of this process: connects the membership state machine to its socket, its clock and its
+//! state file, and tells the core how many senders share each limit.
 mod book;
 
 use crate::inbox::Input;
@@ -16,14 +16,14 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep_until, Instant};
 
-/// Bytes a second that a member may send.
+/// Limit of the bytes per second that a member sends.
 const RATE: u32 = 8_192;
-/// How often parts are looked at without a change in the view.
+/// How often the limit quota is updated if the membership view does not change.
 const LOOK: Duration = Duration::from_secs(1);
-/// The file in the state folder that holds the last start.
+/// The file in the state folder that holds the last start number.
 pub const START: &str = "fleet-start";
 
-/// How much answers left of a limit, the least of late.
+/// The lowest headroom of a limit that endpoints reported since the last call of `take`.
 #[derive(Default)]
 pub struct Room(Cell<Option<f64>>);
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// What a member is told of its fleet.
+/// What a member needs to know of its fleet.
 pub struct Fellowship {
     facts: Facts,
     seeds: Vec<SocketAddr>,
@@ -47,11 +47,12 @@
     book: Book,
     seal: Seal,
     seed: u64,
-    /// How many senders the settings name.
+    /// The number of senders in the settings.
     planned: usize,
 }
 
-/// The start after the one that was kept. One that can't be read counts as none: others that remember a later one say so.
+/// Returns the start number that follows the persisted one. An unreadable file counts as no earlier start;
+/// members that remember a later start number report it.
 pub fn start_after(kept: Option<Vec<u8>>) -> u32 {
     let text = kept.and_then(|bytes| String::from_utf8(bytes).ok());
     text.and_then(|t| t.trim().parse::<u32>().ok()).unwrap_or(0).saturating_add(1)
@@ -64,7 +65,8 @@
 
 impl Fellowship {
     /// # Errors
-    /// If the key can't be read: without it the member would talk to nobody, or to whoever comes.
+    /// Returns an error if the key file cannot be read. Without its key the member would communicate with
+    /// nobody, or with anybody.
     pub fn read(
         membership: &Membership,
         application: &str,
@@ -98,8 +100,9 @@
         })
     }
 
-    /// A member by what the platform tells it; None where its list can't be one of this sender's fleet: it has nobody but
-    /// this one, or no place for it. Places go by the number at the end of a sender's name.
+    /// Builds the configuration of a member on the platform. The number at the end of a sender's name is its
+    /// index in the list of peers. Returns None if that list cannot describe this sender's fleet: it has no
+    /// other member, or no entry at this sender's index.
     pub fn on_platform(
         name: &str,
         site: &str,
@@ -125,7 +128,8 @@
             seeds: places.filter_map(Book::place).collect(),
             listen: notes.listen,
             book: Book::Led(notes.peers),
-            // Nobody else can reach that socket; the check is against what is spoilt.
+            // Nobody else can reach that socket, so the authentication only has to detect corrupted
+            // datagrams.
             seal: Seal::new("platform", &[]),
             seed,
             planned,
@@ -133,7 +137,7 @@
     }
 }
 
-/// Where notes between senders go and come in, as the platform tells a sender.
+/// Where the other senders receive datagrams, and where this one does, as the platform sets it.
 #[derive(Clone, Debug)]
 pub struct Notes {
     pub peers: Vec<SocketAddr>,
@@ -151,7 +155,8 @@
     senders: usize,
 }
 
-/// Is a member until `end` comes, and then says that it leaves. `start` counts the processes of this member.
+/// Runs the member until `end` fires, then announces that it leaves. `start` counts the process runs of this
+/// member.
 pub async fn run<H: Host>(
     host: H,
     told: Fellowship,
@@ -162,14 +167,15 @@
 ) {
     let socket = match host.datagrams(told.listen).await {
         Ok(socket) => socket,
-        // Alone it takes what the settings give it: no reason not to deliver.
+        // Without the fleet the sender uses its share by the settings, so it can still deliver.
         Err(error) => {
-            tracing::error!(listen = %told.listen, %error, "cannot take the fleet's datagrams; going on without a view of it");
+            tracing::error!(listen = %told.listen, %error, "cannot take the fleet's datagrams; running alone");
             return;
         }
     };
-    // Before anybody hears of it: one that is killed before the core has kept it comes back under the same start, which those
-    // that heard of it then say.
+    // The start number is handed to the core before any other member learns of it. If the process is killed
+    // before the core has persisted it, the next process run uses the same number, and members that have seen
+    // it already report that.
     if core.send(Input::Start(start)).await.is_err() {
         return;
     }
@@ -202,11 +208,12 @@
                 front.tell(Told::Leave);
                 return;
             }
-            // Timers first: a process that stood still must know that before it reads what waited for it.
+            // Timers first: after a stall, the process must notice it before it reads the datagrams that
+            // arrived meanwhile.
             () = sleep_until(wake) => None,
             came = front.socket.receive(&mut buffer) => {
                 let Ok((length, from)) = came else { continue };
-                // What is nobody's of the fleet is not even looked at.
+                // Datagrams from addresses outside the fleet are dropped unread.
                 let Some(from) = front.book.from(from) else { continue };
                 Some((length, from))
             }
@@ -228,7 +235,7 @@
     }
 
     fn instant(&self, at: Ns) -> Instant {
-        // One that has fallen silent has no next time; its parts are looked at all the same.
+        // A member that has fallen silent has no next timer; its quota is still updated once a second.
         self.began + Duration::from_nanos(at.clamp(0, self.now() + 1_000_000_000) as u64)
     }
 
@@ -244,7 +251,8 @@
                     }
                 }
                 Output::Keep { start } => {
-                    // A core with no room for it: the next process learns from the others again.
+                    // If the core's queue is full, the number is not persisted; the next process run learns
+                    // it from the other members again.
                     let _ = self.core.try_send(Input::Start(start));
                 }
                 Output::Changed { name, change, .. } => {
@@ -260,14 +268,14 @@
                 Output::NameTaken { by } => {
                     tracing::error!(
                         start = by.start,
-                        "another process has this member's name; this one is silent from now on"
+                        "another process has this member's name; this one stops taking part in the fleet"
                     );
                     changed = true;
                 }
                 Output::StoodStill { time } => {
                     tracing::warn!(
                         ms = time / 1_000_000,
-                        "stood still; its view is old, and its part of each limit small until it is not"
+                        "stood still; its membership view is outdated, its share of each limit reduced for now"
                     );
                     changed = true;
                 }
@@ -278,7 +286,8 @@
         }
     }
 
-    /// Tells the core by how many limits are divided, if that has changed.
+    /// Updates the limit quota, and tells the core the sender count by which limits are divided if it has
+    /// changed.
     fn look(&mut self) {
         let now = self.now();
         if let Some(left) = self.room.take() {
@@ -286,9 +295,10 @@
         }
         let seen = self.fleet.seen();
         self.parts.see(now, &seen);
-        // Rounded up: a part is never more than the view allows.
+        // Rounded up, so that the share is never larger than the quota allows.
         let senders = (self.parts.senders() - 1e-9).ceil().max(1.0) as usize;
-        // Not waited for: a member that waits for its core is late with its own answers. The next look tries again.
+        // Not awaited: a member that waits for the core would answer other members late. The next update
+        // tries again.
         if senders != self.senders && self.core.try_send(Input::Senders(senders)).is_ok() {
             self.senders = senders;
             tracing::info!(senders, present = self.fleet.present(), "each limit is shared among");
--- a/crates/serve/nickelshed/src/fleet/book.rs
+++ b/crates/serve/nickelshed/src/fleet/book.rs
@@ -1,23 +1,25 @@
-//! By which address this member reaches which other one. On the platform each sender has a list of addresses of its own for
-//! the same senders, in the same order; members speak of one another by the place in that order, written as an address.
+//! Maps between members and the addresses at which this process reaches them. On the platform, each sender
+//! has its own list of addresses for the same senders in the same order. Members therefore refer to one
+//! another by the index in that list, encoded as a placeholder address.
 use std::net::SocketAddr;
 
-/// Members' addresses as they are, or as the platform leads them.
+/// How this process reaches the other members.
 pub enum Book {
-    /// Everybody reaches a member at the same address.
+    /// All processes reach a member at the same address.
     Plain,
-    /// By place.
+    /// This process's own addresses of the members, by index.
     Led(Vec<SocketAddr>),
 }
 
 impl Book {
-    /// The address that stands for a place; nobody ever sends to it. Places past the last port have none.
+    /// The placeholder address for an index; no datagram is sent to it. None if the index does not fit into a
+    /// port number.
     pub fn place(number: usize) -> Option<SocketAddr> {
         let port = u16::try_from(number).ok()?.checked_add(1)?;
         Some(SocketAddr::from(([0, 0, 0, 0], port)))
     }
 
-    /// Where a datagram for a member goes; nowhere if it is at no place of the list.
+    /// The address to which datagrams for a member are sent; None if the list has no such index.
     pub fn to(&self, member: SocketAddr) -> Option<SocketAddr> {
         match self {
             Book::Plain => Some(member),
@@ -28,7 +30,7 @@
         }
     }
 
-    /// Whose a datagram is that came from there; nobody's if the list does not have it.
+    /// The member that sends from an address; None if the address is not in the list.
     pub fn from(&self, address: SocketAddr) -> Option<SocketAddr> {
         match self {
             Book::Plain => Some(address),
--- a/crates/serve/nickelshed/src/inbox.rs
+++ b/crates/serve/nickelshed/src/inbox.rs
@@ -1,4 +1,4 @@
-//! What the parts of the sender say to its core, and what the core answers a client.
+//! Inputs to the core from the other parts of the sender, and the core's replies to clients.
 use crate::list::List;
 use nickelshed_journal::{Synced, Taken};
 use nickelshed_policy::api::{AttemptEnd, EndpointId, Outcome, Report};
@@ -6,21 +6,21 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What a client is answered.
+/// The reply to a submitted message.
 #[derive(Clone, Copy, Debug)]
 pub enum Reply {
     TakenOn,
-    /// Handing it in again is harmless; after how long, if that is known.
+    /// Submitting it again is harmless, after the given time if it is known.
     Refused(Option<Duration>),
     Failed,
-    /// No list has named its destination.
+    /// No endpoint list has named the destination.
     NoDestination,
-    /// Its id is that of another message that is held.
+    /// An open message with different content has the same id.
     Conflict,
 }
 
 pub enum Input {
-    /// A message handed in; `taken.id` is given by the core.
+    /// A submitted message; the core assigns `message.id`.
     Offer {
         taken: Taken,
         end: Instant,
@@ -33,14 +33,14 @@
         outcome: Outcome,
         report: Option<Report>,
     },
-    /// The platform has answered for these notices.
+    /// Every sink has received these notices.
     Noticed(Vec<u64>),
-    /// How a sync of the journal has ended.
+    /// The result of a journal sync.
     Synced(Synced),
-    /// So many senders share each limit, by the view of the fleet.
+    /// How many senders share each limit, by the membership view of the fleet.
     Senders(usize),
-    /// The start of this member of the fleet, to be kept for its next process.
+    /// The start number of this fleet member, to be persisted for the next process run.
     Start(u32),
-    /// No client can come any more: end once nothing is left to do, and start nothing new after this time.
+    /// No further client connects: exit once nothing is left to do, and start no call after this time.
     Wind(Instant),
 }
--- a/crates/serve/nickelshed/src/lib.rs
+++ b/crates/serve/nickelshed/src/lib.rs
@@ -1,4 +1,4 @@
-//! nickelshed: one real sender. Start, signals and wiring; the program itself is `main.rs`.
+//! One sender process: startup, signal handling and wiring of its parts. The executable is `main.rs`.
 mod calls;
 mod config;
 mod connections;
@@ -34,18 +34,21 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// After SIGTERM: how long new connections are still taken, when nothing new is begun any more, and when the
-/// process ends whatever is still out. What is left then is in the journal.
+/// Phases of a shutdown, each counted from SIGTERM: new connections are accepted until
+/// `STOP_ACCEPTING_AFTER`, client connections should have ended by `CLOSE_CLIENTS_BY`, no new call is started
+/// after `STOP_SENDING_AFTER`, and the process exits at `EXIT_AFTER` even with calls in flight. Messages that
+/// are still open then stay in the journal for the next process.
 const ACCEPT_ON: Duration = Duration::from_millis(500);
 const CLIENTS_GONE: Duration = Duration::from_millis(1_200);
 const BEGIN_ON: Duration = Duration::from_millis(2_600);
 const END: Duration = Duration::from_millis(3_300);
-/// How long a sync that failed is left before the next.
+/// Pause after a failed sync of the journal.
 const SYNC_AGAIN: Duration = Duration::from_millis(200);
-/// Inputs that wait for the core. Clients are told 503 beyond it.
+/// Inputs that may be queued for the core. When the queue is full, clients get a 503.
 const INBOX: usize = 2_048;
 
-/// SIGHUP: the file of the configuration was replaced. A bad one is no reason to end, or to lose what works.
+/// Applies a changed configuration file on SIGHUP. An invalid file is logged and ignored: it must neither end
+/// the process nor replace a configuration that works.
 async fn reload(
     form: Form,
     mut hangups: mpsc::Receiver<()>,
@@ -76,20 +79,21 @@
     }
 }
 
-/// Runs a sender until it is told to end, on a runtime of one thread.
+/// Runs a sender on a single-threaded runtime until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// Says what kept it from starting, or that it has failed.
+/// Returns the reason if the sender cannot start, or if it ends by a failure.
 pub fn run<S: Storage + 'static>(form: &Form, storage: impl FnOnce(&Path) -> S) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("cannot make a runtime: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("cannot start the async runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
         let signals = Signals::of_process()?;
         serve(form, Machine, signals, storage).await
     })
 }
 
-/// Syncs, on a thread of their own, for as long as the core asks for them.
+/// Starts the thread that runs the journal's syncs, and returns the queue by which the core requests them.
+/// The results go back to the core as [`Input::Synced`].
 fn sync_thread<F: Handle>(core: mpsc::Sender<Input>) -> Result<std::sync::mpsc::Sender<Sync<F>>, String> {
     let (syncs, jobs) = std::sync::mpsc::channel::<Sync<F>>();
     let (out, mut done) = mpsc::unbounded_channel();
@@ -104,7 +108,7 @@
         for sync in jobs {
             let synced = sync.run();
             if let Some(error) = synced.error() {
-                tracing::error!(%error, "cannot sync the journal; what waits for it is written once more");
+                tracing::error!(%error, "cannot sync the journal; its records will be written again");
                 std::thread::sleep(SYNC_AGAIN);
             }
             if out.send(synced).is_err() {
@@ -115,11 +119,11 @@
     std::thread::Builder::new()
         .name("sync".into())
         .spawn(run)
-        .map_err(|e| format!("cannot start a thread: {e}"))?;
+        .map_err(|e| format!("cannot start the journal sync thread: {e}"))?;
     Ok(syncs)
 }
 
-/// Opens the journal and says what was found.
+/// Opens the journal, and logs damage and imported messages.
 fn open_journal<S: Storage + 'static>(
     config: &Config,
     wall_ms: i64,
@@ -128,7 +132,8 @@
 ) -> Result<Journal<S>, String> {
     let limits = &config.limits;
     let options = Options {
-        // The start that a member keeps lies in the folder too, and for a moment beside the one before it.
+        // A member of a fleet also keeps its start number in the state folder. Replacing that file needs
+        // space for the old and the new one at the same time.
         disk: ((limits.disk_mb * 1e6) as u64).saturating_sub(if config.fleet.is_some() {
             nickelshed_journal::ROOM_BESIDE
         } else {
@@ -148,35 +153,40 @@
             segment = torn.seq,
             kept = torn.kept,
             cut = torn.cut,
-            "the last write was cut off; it had been promised to nobody"
+            "the last write was cut off; nothing in it had been acknowledged"
         );
     }
     if let Some(first) = found.damage.first() {
         let (places, doubted) = (found.damage.len(), found.doubted);
         let aside = found.set_aside.join(", ");
         tracing::error!(
-            segment = first.seq, from = first.from, to = first.to, places, doubted, aside,
-            "the journal is damaged; what can be read is kept, and messages whose attempts may be lost count as tried"
+            segment = first.seq,
+            from = first.from,
+            to = first.to,
+            places,
+            doubted,
+            aside,
+            "the journal is damaged; readable records are kept, uncertain attempts are assumed made"
         );
     }
     if found.imported > 0 {
-        tracing::info!(messages = found.imported, "taken over from the journal of the version before");
+        tracing::info!(messages = found.imported, "imported from the journal of the previous version");
     }
     Ok(journal)
 }
 
-/// What a process is told from outside while it runs.
+/// Requests from outside to a running sender.
 pub struct Signals {
-    /// Comes to its end when the process is to end.
+    /// Resolves when the sender should shut down.
     pub end: Pin<Box<dyn Future<Output = ()>>>,
-    /// Each time the file of the configuration was replaced.
+    /// Receives a message each time the configuration file has been replaced.
     pub hangups: mpsc::Receiver<()>,
 }
 
 impl Signals {
-    /// SIGTERM and SIGINT, and SIGHUP.
+    /// Handles SIGTERM and SIGINT as shutdown, and SIGHUP as reload.
     fn of_process() -> Result<Signals, String> {
-        let listen = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
+        let listen = |kind| signal(kind).map_err(|e| format!("cannot install the signal handlers: {e}"));
         let (mut terminate, mut interrupt) =
             (listen(SignalKind::terminate())?, listen(SignalKind::interrupt())?);
         let mut hangup = listen(SignalKind::hangup())?;
@@ -192,11 +202,11 @@
     }
 }
 
-/// One sender on a host, until it is told to end. Its tasks are those of the local set that this runs in: dropping the
-/// set ends the sender like a kill.
+/// Runs one sender on a host until `signals.shutdown` resolves. All its tasks are spawned on the current
+/// local set; dropping that set ends the sender as a kill would.
 ///
 /// # Errors
-/// Says what kept it from starting, or that it has failed.
+/// Returns the reason if the sender cannot start, or if it ends by a failure.
 pub async fn serve<S: Storage + 'static, H: Host>(
     form: &Form,
     host: H,
@@ -268,7 +278,8 @@
         spawn_local(fleet::run(host.clone(), told, start, core_in.clone(), room, leaving))
     });
 
-    // Only now: a sender is used once it answers, and what the journal holds comes first.
+    // The port is opened only after recovery: a sender is used as soon as it answers, and messages from the
+    // journal come first.
     let listener = host.listen(listen).await.map_err(|e| format!("cannot listen on {listen}: {e}"))?;
     if let Some(application) = application {
         tracing::info!(application, %listen, "ready");
@@ -290,11 +301,12 @@
     tokio::select! {
         biased;
         () = &mut signals.end => {}
-        // It only ends by itself when it has failed; a new process takes up the journal.
-        ended = core => return Err(format!("the core ended: {ended:?}")),
+        // The core ends without a shutdown request only when it has failed. The next process recovers from
+        // the journal.
+        ended = core => return Err(format!("the event loop has failed: {ended:?}")),
     }
     let told = Instant::now();
-    // The others take up its part once it has said that it ends.
+    // Announces to the fleet that this member leaves, so that the others take over its share of the limits.
     drop(leave);
     if let Some(member) = member {
         let _ = timeout(ACCEPT_ON, member).await;
--- a/crates/serve/nickelshed/src/list.rs
+++ b/crates/serve/nickelshed/src/list.rs
@@ -1,4 +1,4 @@
-//! A list of endpoints in the form in which discovery and the configuration give it.
+//! A list of endpoints as discovery and the configuration provide it.
 use nickelshed_journal::MAX_NAME;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
@@ -27,25 +27,26 @@
 }
 
 impl List {
-    /// The names of what it says of somewhere that it takes nothing new. Of two words on one endpoint that one counts:
-    /// new work breaks a drain, and work that waits for the next list breaks nothing.
+    /// The names of listed instances that are not ready. If a list names an instance both as ready and as not
+    /// ready, the second counts: new work would violate a drain, while waiting for the next list does no
+    /// harm.
     pub fn shut(&self) -> HashSet<String> {
         self.instances.iter().filter(|i| i.lifecycle != "Ready").map(|i| i.name.clone()).collect()
     }
 
-    /// A list that is all there is.
+    /// A full list: instances missing from it are unavailable.
     pub fn whole(instances: Vec<Instance>) -> List {
         List { generation: 0, reset: true, instances }
     }
 }
 
-/// The entries that can be read; one that can't be does not cost the others.
+/// Reads the valid entries. An invalid entry is logged and skipped without rejecting the others.
 fn readable<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<Instance>, D::Error> {
     let values = Vec::<Value>::deserialize(from)?;
     let read = |v: &Value| {
         let read = instance(v);
         if read.is_none() {
-            tracing::warn!(entry = %v, "a list entry can't be read");
+            tracing::warn!(entry = %v, "ignoring an invalid entry of the endpoint list");
         }
         read
     };
--- a/crates/serve/nickelshed/src/main.rs
+++ b/crates/serve/nickelshed/src/main.rs
@@ -1,21 +1,21 @@
-//! The program `nickelshed`: its arguments, its log, and one sender.
+//! The `nickelshed` executable: command line, logging, and one sender.
 use clap::Parser;
 use nickelshed::{Form, Operator};
 use nickelshed_journal::Folder;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Delivers messages to other people's systems.
+/// Delivers messages to systems of other parties.
 ///
-/// As a sidecar of one application it is told all it needs by one file: `nickelshed --config deploy/sidecar.toml`.
-/// On the platform it is told by EDGE_LISTEN, EDGE_DISCOVERY, EDGE_STATE and EDGE_CONFIG.
+/// As the sidecar of one application it reads its whole configuration from one file: `nickelshed --config
+/// deploy/sidecar.toml`. On the platform it reads EDGE_LISTEN, EDGE_DISCOVERY, EDGE_STATE and EDGE_CONFIG.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// The sidecar's configuration (see deploy/sidecar.toml; nickelshed-ctl writes and checks it)
+    /// The sidecar's configuration (see deploy/sidecar.toml; nickelshed-ctl creates and checks it)
     #[arg(long, value_name = "FILE", conflicts_with = "operator")]
     config: Option<PathBuf>,
-    /// On the platform: what the operator decides beside it (see deploy/operator.toml)
+    /// On the platform: the settings that the operator makes in addition (see deploy/operator.toml)
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
 }
--- a/crates/serve/nickelshed/src/notices/file.rs
+++ b/crates/serve/nickelshed/src/notices/file.rs
@@ -1,4 +1,5 @@
-//! Notices into a file of JSON lines. The file may be moved away at any time; a new one is begun then.
+//! A sink that appends notices as JSON lines to a file. The file may be moved away at any time; a new one is
+//! created then.
 use super::{Notice, Take};
 use std::fs::OpenOptions;
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -8,13 +9,14 @@
 use tokio::task::spawn_blocking;
 use tokio::time::sleep;
 
-/// Bytes written at once at most, one line aside.
+/// Limit of the bytes in one write, unless a single line is longer.
 const MOST: usize = 64 << 10;
 const FIRST_PAUSE: Duration = Duration::from_millis(20);
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 
-/// Appends lines, all or none as far as the disk lets: what was begun and can't be ended is cut off again. A line
-/// that another process left unfinished is ended first, so that it costs none but itself.
+/// Appends all of the lines or, as far as the disk allows, none: after a failed write the file is truncated
+/// to its former length. If another process left an incomplete last line, it is terminated first, so that
+/// only that line is lost.
 fn append(path: &Path, lines: &str, sync: bool) -> io::Result<()> {
     let mut file = OpenOptions::new().read(true).append(true).create(true).open(path)?;
     let before = file.seek(SeekFrom::End(0))?;
@@ -32,13 +34,14 @@
         }
     });
     if written.is_err() {
-        // If this fails too the unfinished line is ended by the next write.
+        // If this fails as well, the next write terminates the incomplete line.
         let _ = file.set_len(before);
     }
     written
 }
 
-/// Appends what comes, and again until it is written. Ends with its queue, or once `take` is false.
+/// Appends the queued notices, and retries until they are written. Returns when the queue is closed or the
+/// dispatcher has ended.
 pub async fn run(path: PathBuf, sync: bool, mut queue: mpsc::UnboundedReceiver<Notice>, take: Take) {
     let mut failing = false;
     while let Some(first) = queue.recv().await {
@@ -52,7 +55,7 @@
         let mut pause = FIRST_PAUSE;
         loop {
             let (to, text) = (path.clone(), lines.clone());
-            // Beside the thread that serves clients: a disk may stall.
+            // Not on the thread that serves clients, since a disk may stall.
             let written = spawn_blocking(move || append(&to, &text, sync)).await;
             match written.unwrap_or_else(|e| Err(io::Error::other(e))) {
                 Ok(()) => break,
--- a/crates/serve/nickelshed/src/notices/http.rs
+++ b/crates/serve/nickelshed/src/notices/http.rs
@@ -1,4 +1,4 @@
-//! Notices over HTTP: to the platform, or where an operator wants them.
+//! A sink that posts notices over HTTP, to the platform or to a receiver of the operator's.
 use super::{Notice, Take};
 use crate::connections::{self, Connection};
 use crate::watched;
@@ -13,11 +13,11 @@
 const FIRST_PAUSE: Duration = Duration::from_millis(20);
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 
-/// Where notices are posted, and who that is.
+/// Where notices are posted, and which answers accept them.
 pub struct Receiver {
     pub place: watched::Listener<SocketAddr>,
     pub path: String,
-    /// Whether an answer takes the notices over.
+    /// Whether an answer with this status means that the receiver has the notices.
     pub takes: fn(u16) -> bool,
 }
 
@@ -36,8 +36,9 @@
     Ok(status)
 }
 
-/// Sends what comes, all that waits in one request, and again until it is taken. The queue holds no more than the
-/// journal does, which bounds it. Ends with its queue, or once `take` is false.
+/// Posts all queued notices in one request, and retries until they are accepted. The journal limits how many
+/// notices can be pending, and so the length of the queue. Returns when the queue is closed or the dispatcher
+/// has ended.
 pub async fn run<H: Host>(
     host: H,
     receiver: Receiver,
@@ -48,7 +49,8 @@
     let mut connection = None;
     let mut waiting: Vec<Notice> = Vec::new();
     let mut pause = FIRST_PAUSE;
-    // After a 400 one at a time, so that one notice the platform can't read does not hold up the others.
+    // After a 400 the same notices are sent one at a time, so that one which the receiver cannot read does
+    // not block the others.
     let mut single: usize = 0;
     loop {
         if waiting.is_empty() {
@@ -73,18 +75,19 @@
         let at = place.latest();
         let result = tokio::select! {
             biased;
-            // What the old address has not answered goes to the new one at once; a second notice does no harm.
+            // Notices that the old address has not acknowledged go to the new one at once; a duplicate notice
+            // does no harm.
             Ok(()) = place.changed() => {
                 connection = None;
                 continue;
             }
             result = timeout(PATIENCE, post(&mut connection, &host, at, &path, body)) => result,
         };
-        match result.unwrap_or(Err("is silent".into())) {
+        match result.unwrap_or(Err("no answer in time".into())) {
             Ok(400) if count > 1 => single = count,
             Ok(status) if status == 400 || takes(status) => {
                 if status == 400 {
-                    tracing::error!(message = %waiting[0].trace, "a notice can't be read where it is told");
+                    tracing::error!(message = %waiting[0].trace, "dropping a notice that its receiver cannot read");
                 }
                 single = single.saturating_sub(count);
                 pause = FIRST_PAUSE;
@@ -94,7 +97,7 @@
                 }
             }
             other => {
-                tracing::warn!(?other, "notices don't get through");
+                tracing::warn!(?other, "cannot deliver notices; trying again");
                 tokio::select! {
                     biased;
                     Ok(()) = place.changed() => connection = None,
--- a/crates/serve/nickelshed/src/notices/mod.rs
+++ b/crates/serve/nickelshed/src/notices/mod.rs
@@ -1,5 +1,5 @@
-//! How messages ended that were taken on and not delivered: told to each sink that the configuration names, and owed
-//! until every one of them has it.
+//! Notices: how accepted messages ended that were not delivered. Each notice goes to every configured sink
+//! and stays pending until all of them have received it.
 mod file;
 mod http;
 mod owed;
@@ -27,16 +27,16 @@
     pub at: i64,
 }
 
-/// What a sink does with a notice: writes it in the form that its readers know, and says that it has it.
+/// One sink's side of the dispatcher: formats notices for the sink's readers and acknowledges them.
 pub struct Take {
     sink: usize,
-    /// Of a sidecar; the platform knows who speaks to it.
+    /// Included in the notices of a sidecar; None on the platform, which knows the sender it hears from.
     application: Option<Rc<str>>,
     done: mpsc::Sender<(usize, Vec<u64>)>,
 }
 
 impl Take {
-    /// A JSON object with the line's end.
+    /// The notice as a JSON object, with a line break at the end.
     fn line(&self, notice: &Notice) -> String {
         let (outcome, after) = match notice.ending {
             Ending::GivenUp => ("given_up", None),
@@ -55,7 +55,7 @@
         format!("{line}\n")
     }
 
-    /// These are written. False once nobody is left to hear it.
+    /// Acknowledges written notices. Returns false if the dispatcher has ended.
     async fn taken(&self, ids: Vec<u64>) -> bool {
         self.done.send((self.sink, ids)).await.is_ok()
     }
@@ -64,13 +64,13 @@
 /// What all sinks need to know.
 pub struct Told {
     pub application: Option<String>,
-    /// Where the platform is.
+    /// The platform's address; None for a sidecar without discovery.
     pub platform: Option<watched::Listener<SocketAddr>>,
-    /// Whether a line in a file must outlast the loss of power.
+    /// Whether a line in a file must be durable against a loss of power.
     pub sync: bool,
 }
 
-/// Tells every sink of every notice, and the core once all of them have it.
+/// Passes every notice to every sink, and tells the core which notices all sinks have received.
 pub async fn run<H: Host>(
     host: H,
     sinks: Vec<Sink>,
@@ -78,7 +78,7 @@
     mut queue: mpsc::UnboundedReceiver<Notice>,
     core: mpsc::Sender<Input>,
 ) {
-    // As many reports wait as there are sinks: each says one thing at a time.
+    // One entry per sink is enough: each sink sends one acknowledgement at a time.
     let (done, mut reports) = mpsc::channel(sinks.len().max(1));
     let application: Option<Rc<str>> = told.application.map(Into::into);
     let mut queues = Vec::new();
--- a/crates/serve/nickelshed/src/notices/owed.rs
+++ b/crates/serve/nickelshed/src/notices/owed.rs
@@ -1,7 +1,7 @@
-//! Which sinks still owe which notices. No I/O.
+//! Tracks which sinks have not yet received which notices. It does no I/O.
 use std::collections::HashMap;
 
-/// Sinks are numbered from 0; there are 64 at most, and two so far.
+/// Sinks are numbered from 0. At most 64 are supported, one bit each; the configuration allows two.
 pub struct Owed {
     all: u64,
     left: HashMap<u64, u64>,
@@ -12,12 +12,12 @@
         Owed { all: 1u64.checked_shl(sinks as u32).map_or(u64::MAX, |bit| bit - 1), left: HashMap::new() }
     }
 
-    /// A notice that every sink owes.
+    /// Adds a notice that no sink has received yet.
     pub fn add(&mut self, id: u64) {
         self.left.insert(id, self.all);
     }
 
-    /// A sink has written these. Those that every sink has now.
+    /// Records that a sink has received these notices. Returns those that every sink has received now.
     pub fn taken(&mut self, sink: usize, ids: Vec<u64>) -> Vec<u64> {
         let mut over = ids;
         over.retain(|id| {
@@ -36,7 +36,7 @@
 mod tests {
     use super::*;
 
-    /// In whatever order sinks report, a notice is over at the report of the last one, and once.
+    /// In any order of acknowledgements, a notice is finished with the last sink's one, and only once.
     #[test]
     fn a_notice_is_over_once_every_sink_has_it() {
         let mut rng = fastrand::Rng::with_seed(3);
--- a/crates/serve/nickelshed/src/pulse.rs
+++ b/crates/serve/nickelshed/src/pulse.rs
@@ -1,6 +1,6 @@
-//! Whether the process has stood still: stopped, or kept in one operation by a disk that hangs. What it knows is then as old
-//! as that, and what it has been told meanwhile (a drain, a wait) lies unread on its sockets. Nothing new is begun before
-//! that has been read.
+//! Detects that the process has been stalled, by a signal that stopped it or by a disk operation that hung.
+//! After a stall its knowledge is outdated, and a drain or a retry-after that arrived meanwhile is still
+//! unread on its sockets. No call may be started before that has been read.
 use nickelshed_host::Host;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,15 +8,16 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
-/// From one beat to the next, and how old the last one may be: less than what is let through after a wait was told.
+/// The interval of heartbeats, and the age of the last one at which the process counts as stalled. The
+/// threshold must stay below the 100 ms for which calls are still tolerated after a retry-after was sent.
 const BEAT: Duration = Duration::from_millis(40);
 const LATE: Duration = Duration::from_millis(90);
-/// What lies unread on the sockets after a standstill is read and decided on within this.
+/// Time in which the data that arrived during a stall is read and processed.
 const SETTLE: Duration = Duration::from_millis(20);
 
 pub struct Pulse<H: Host> {
     host: H,
-    /// When the process was last known to run, and to have read what had come.
+    /// When the process was last known to run, with all data read that had arrived by then.
     last: Cell<Instant>,
     beaten: Notify,
 }
@@ -31,7 +32,7 @@
         self.host.monotonic().saturating_duration_since(self.last.get()) > LATE
     }
 
-    /// Beats as long as the process lives.
+    /// Sends heartbeats until the process ends.
     pub async fn keep(self: Rc<Self>) {
         loop {
             sleep(BEAT).await;
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Comes back at once while the process runs; after a standstill, when what came meanwhile has been read.
+    /// Returns immediately if the process is not stalled, and otherwise once the data that arrived during the
+    /// stall has been read.
     pub async fn caught_up(&self) {
         loop {
             let beaten = self.beaten.notified();
--- a/crates/serve/nickelshed/src/server.rs
+++ b/crates/serve/nickelshed/src/server.rs
@@ -1,4 +1,4 @@
-//! Clients in: takes requests, checks their form, and hands them to the core.
+//! The HTTP server for clients: accepts connections, validates requests and submits messages to the core.
 use crate::inbox::{Input, Reply};
 use crate::watched;
 use crate::wire::{Io, Socket, MAX_HEAD, MAX_HEADERS};
@@ -24,21 +24,23 @@
 use tokio::sync::{mpsc, oneshot, Notify};
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
-/// How long a request may take to come in, head and body together; on a new connection from its start.
+/// Time limit to receive a request, head and body together. For the first request it counts from when the
+/// connection was accepted.
 const PATIENCE: Duration = Duration::from_millis(2_500);
-/// How long a connection may stand idle: always; where another needs its place; and there without a first
-/// request, which a client that means to ask sends at once.
+/// How long a connection may be idle: in general, when a new connection needs its slot, and when a new
+/// connection needs its slot and no first request has been sent. A client that has a request sends it right
+/// after connecting.
 const IDLE: Duration = Duration::from_secs(30);
 const IDLE_AT_BOUND: Duration = Duration::from_secs(2);
 const SILENT_AT_BOUND: Duration = Duration::from_millis(500);
-/// What is still read from a connection that closes, so that its last answer arrives.
+/// Limits of what is read and discarded from a closing connection, so that its last answer arrives.
 const DRAIN: Duration = Duration::from_millis(300);
 const DRAIN_BYTES: usize = 1 << 20;
-/// How long the request of a client that is turned away is waited for.
+/// How long a rejected client's request is awaited.
 const TURN_AWAY: Duration = Duration::from_millis(100);
 const MAX_NAME: usize = 256;
 
-/// What the sender needs of a class to take a message on.
+/// What the server needs to know of a class to accept a message.
 pub struct Class {
     pub effect: Effect,
     pub deadline: Duration,
@@ -50,22 +52,23 @@
     pub around: Around,
     pub classes: Vec<Class>,
     pub budget: Budget,
-    /// Most connections that are served.
+    /// Limit of the connections that are served.
     pub most: usize,
-    /// Connections over that bound that are told to come again; what comes beyond them is closed.
+    /// Limit of the connections beyond `max_served` that are answered 503. Further ones are closed
+    /// immediately.
     pub turned_away: usize,
     pub open: Cell<usize>,
-    /// Those that are served, in order of acceptance.
+    /// The connections that are served, in the order of acceptance.
     pub guests: RefCell<BTreeMap<u64, Rc<Guest<H::Stream>>>>,
 }
 
-/// A connection that is served.
+/// A client connection that is served.
 pub struct Guest<S> {
     socket: Rc<Socket<S>>,
-    /// When its last request was answered, or when it came.
+    /// When its last request was answered, or when it was accepted.
     since: Cell<Instant>,
     has_asked: Cell<bool>,
-    /// A request's head has come, and its answer is not known yet.
+    /// The head of a request has arrived and its answer is not known yet.
     busy: Cell<bool>,
     leave: Notify,
 }
@@ -75,7 +78,7 @@
         !self.busy.get() && self.socket.heard().is_none()
     }
 
-    /// When the request that is coming must be here, or the idle connection has stood long enough.
+    /// When the request that is being received must be complete, or when the idle connection is closed.
     fn deadline(&self) -> Instant {
         match self.socket.heard() {
             Some(heard) if self.has_asked.get() => heard + PATIENCE,
@@ -86,7 +89,7 @@
 }
 
 impl<H: Host> Server<H> {
-    /// Accepts until `closing` says so; the connections then end between requests.
+    /// Accepts connections until `stop` becomes true. The open ones then close between two requests.
     pub async fn accept(self: Rc<Self>, listener: H::Listener, closing: watched::Listener<bool>) {
         let mut until = closing.clone();
         let mut failing = false;
@@ -97,9 +100,10 @@
                 accepted = listener.accept() => match accepted {
                     Ok(stream) => stream,
                     Err(error) => {
-                        // Out of descriptors, say: the sender goes on with those that it has.
+                        // For example out of file descriptors: the sender goes on with the connections it
+                        // has.
                         if !std::mem::replace(&mut failing, true) {
-                            tracing::warn!(%error, "cannot accept");
+                            tracing::warn!(%error, "cannot accept a connection");
                         }
                         sleep(Duration::from_millis(20)).await;
                         continue;
@@ -107,7 +111,8 @@
                 },
             };
             failing = false;
-            // Never left waiting: a client that is not accepted can't be told anything.
+            // Connections beyond the limit are accepted as well: without that, the client could not be told
+            // to retry.
             let full = self.guests.borrow().len() >= self.most && !self.make_place();
             if full && self.open.get() >= self.most + self.turned_away {
                 continue;
@@ -115,7 +120,8 @@
             self.open.set(self.open.get() + 1);
             let (server, closing) = (self.clone(), closing.clone());
             let socket = Socket::new(stream);
-            // Entered at once: many may be accepted before the first of their tasks runs.
+            // Registered here and not in the task, because many connections may be accepted before the first
+            // task runs.
             let guest = (!full).then(|| self.enter(number, &socket));
             tokio::task::spawn_local(async move {
                 match guest {
@@ -142,7 +148,8 @@
         guest
     }
 
-    /// Closes the connection that has been without a request longest: some clients ask once and stay for good.
+    /// Closes the connection that has been idle longest, since some clients send one request and stay
+    /// connected. Returns whether one was closed.
     fn make_place(&self) -> bool {
         let mut guests = self.guests.borrow_mut();
         let stands = |g: &Guest<H::Stream>| {
@@ -166,8 +173,8 @@
             async move {
                 guest.busy.set(true);
                 let mut response = self.answer(request, guest.deadline()).await;
-                // Clients that come with a new connection for each message would fill all places with idle ones
-                // that are too young to be closed.
+                // Clients that open a new connection for each message would otherwise fill all slots with
+                // idle connections that are too young to be closed.
                 if self.guests.borrow().len() > self.most * 3 / 4 {
                     response = closing(response);
                 }
@@ -190,10 +197,10 @@
                         ending = true;
                         connection.as_mut().graceful_shutdown();
                     }
-                    // A request may have come since it was told to leave: that one is answered.
+                    // A request that arrived after the connection was chosen for closing is still answered.
                     () = guest.leave.notified() => if guest.is_idle() && !socket.has_news() { break },
                     () = socket.news.notified() => {}
-                    // While it is busy the request's own bound holds.
+                    // While a request is being answered, its own time limit applies.
                     () = sleep_until(guest.deadline()), if !guest.busy.get() => {
                         if Instant::now() >= guest.deadline() && !(guest.is_idle() && socket.has_news()) {
                             break;
@@ -205,15 +212,15 @@
         let _ = timeout(DRAIN, socket.close(DRAIN_BYTES)).await;
     }
 
-    /// `by`: when the whole request must be here.
+    /// Handles one request; all of it must have arrived by `receive_by`.
     async fn answer(&self, request: Request<Incoming>, by: Instant) -> Response<Full<Bytes>> {
         let (head, body) = request.into_parts();
         let path = head.uri.path();
         if path == "/healthz" && matches!(head.method, Method::GET | Method::HEAD) && body.is_end_stream() {
             return plain(StatusCode::OK, "");
         }
-        // The library keeps one of two lengths and hides the other, so a request with both can't be told from
-        // one that is in chunks throughout: a length is asked for, as RFC 9112 (6.3) allows.
+        // Given both lengths, the HTTP library keeps one and hides the other, so such a request cannot be
+        // told from a chunked one. A Content-Length is therefore required, as RFC 9112 (6.3) allows.
         if head.headers.contains_key(TRANSFER_ENCODING) {
             return bad(StatusCode::LENGTH_REQUIRED, "a Content-Length is needed");
         }
@@ -235,14 +242,15 @@
             Ok(read) => read,
             Err(why) => return bad(StatusCode::BAD_REQUEST, why),
         };
-        // Held until the message's end, or until it is turned away.
+        // Reserves memory for the body until the message is finished or rejected.
         let Some(share) = self.budget.claim(length as usize) else { return closing(refused(None)) };
         taken.share = Some(share);
         let end = Instant::now() + left;
         taken.since = self.host.wall_ms();
         taken.end = taken.since + left.as_millis() as i64;
         taken.body = match timeout_at(by, Limited::new(body, MAX_BODY).collect()).await {
-            // Copied: the library's own buffer, of which this is a part, is far larger than most messages.
+            // Copied because the library's buffer, of which this is a slice, is far larger than most
+            // messages.
             Ok(Ok(body)) => Bytes::copy_from_slice(&body.to_bytes()),
             Ok(Err(e)) if e.is::<LengthLimitError>() => {
                 return bad(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB")
@@ -264,7 +272,8 @@
         }
     }
 
-    /// What a message's headers say, with its body still to come.
+    /// Parses the headers of a message whose body has not been read yet. Also returns the time until its
+    /// deadline.
     fn read_head(&self, headers: &HeaderMap, class: usize) -> Result<(Taken, Duration), &'static str> {
         let text = |name: &str| {
             headers.get(name).map(|v| v.to_str().map(str::trim).ok().filter(|t| t.len() <= MAX_NAME))
@@ -284,7 +293,8 @@
         };
         let left = text("x-expires-in-ms").flatten().and_then(|t| t.parse::<u32>().ok());
         let left = left.ok_or("X-Expires-In-Ms is missing or malformed")?;
-        // No message has longer than its class: core, journal and module agree on its end, over restarts too.
+        // Limited to the deadline of the class, so that the core, the journal and the policy agree on the
+        // deadline, also after a restart.
         let left = Duration::from_millis(left.into()).min(self.classes[class].deadline);
         let dest = text("x-consignee").flatten().and_then(|t| {
             t.split([',', ';']).find_map(|p| p.trim().strip_prefix("dest=")?.trim().parse::<u64>().ok())
@@ -295,7 +305,7 @@
             Some(Some(key)) if !key.is_empty() => Some(key.to_string()),
             Some(_) => return Err("Idempotency-Key is malformed"),
         };
-        // Without it a repeat would take effect twice.
+        // Without a key, a repeated attempt would take effect twice.
         if key.is_none() && self.classes[class].effect == Effect::Keyed {
             return Err("Idempotency-Key is missing");
         }
@@ -316,7 +326,7 @@
     }
 }
 
-/// The library with its bounds on heads.
+/// An HTTP server with the limits on message heads.
 fn http() -> Builder {
     let mut builder = Builder::new();
     builder.max_buf_size(MAX_HEAD).max_headers(MAX_HEADERS);
@@ -329,7 +339,8 @@
     response
 }
 
-/// An answer to what is refused with its body unread, or can't be trusted to end where it says.
+/// An error response that closes the connection, because the request body was not read or its length cannot
+/// be trusted.
 fn bad(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     closing(plain(status, text))
 }
@@ -354,7 +365,7 @@
     response
 }
 
-/// Tells a client that there is no place for its connection now, whatever it asks.
+/// Answers any request on a connection beyond the limit with a 503.
 async fn turn_away<S: Stream>(socket: Rc<Socket<S>>) {
     let service = service_fn(|_| async { Ok::<_, Infallible>(closing(refused(None))) });
     let connection = http().serve_connection(TokioIo::new(Io(socket.clone())), service);
--- a/crates/serve/nickelshed/src/watched.rs
+++ b/crates/serve/nickelshed/src/watched.rs
@@ -1,6 +1,6 @@
-//! A value that is replaced now and then, and those who wait for it. Like Tokio's `watch`, but for one thread, and it
-//! wakes those who wait in the order in which they came: `watch` draws that order at random, and it is seen outside when
-//! many connections close.
+//! A single-threaded watch channel: a value that changes now and then, and the tasks that wait for changes.
+//! Unlike `tokio::sync::watch`, it wakes waiting tasks in the order in which they started to wait. Tokio
+//! wakes them in random order, which is visible to the peers when many connections close at once.
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
@@ -20,7 +20,7 @@
     seen: u64,
 }
 
-/// The teller has gone, and the value stays as it is.
+/// The sender was dropped; the value will not change any more.
 #[derive(Debug)]
 pub struct Gone;
 
@@ -32,7 +32,7 @@
 }
 
 impl<T: Copy + PartialEq> Teller<T> {
-    /// Nobody is woken by a value that is the same.
+    /// Wakes the receivers, unless the value is unchanged.
     pub fn send(&self, value: T) {
         if self.0.value.replace(value) != value {
             self.0.version.set(self.0.version.get() + 1);
@@ -54,10 +54,10 @@
         self.inner.value.get()
     }
 
-    /// Comes back once there is a value that this one has not seen.
+    /// Waits for a value that this receiver has not seen.
     ///
     /// # Errors
-    /// If there will be none.
+    /// Returns [`Closed`] if the sender was dropped.
     pub async fn changed(&mut self) -> Result<(), Gone> {
         loop {
             let news = self.inner.news.notified();
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Comes back once the value is this one; never if it can't come any more.
+    /// Waits until the value equals `wanted`; never returns if the sender was dropped before that.
     pub async fn is(&mut self, wanted: T) {
         while self.latest() != wanted {
             if self.changed().await.is_err() {
--- a/crates/serve/nickelshed/src/wire.rs
+++ b/crates/serve/nickelshed/src/wire.rs
@@ -1,4 +1,5 @@
-//! A TCP socket under the HTTP library, shared with its owner: it tells what the library does not.
+//! A TCP socket shared between the HTTP library and its owner, who needs to know more than the library
+//! reports: bytes written, the time of the first byte, and unread data.
 use nickelshed_host::Stream;
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -10,20 +11,21 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Longest head, in either direction; the least that the library allows is half of it.
+/// Maximum size in bytes of a message head in either direction; twice the smallest that the HTTP library
+/// allows.
 pub const MAX_HEAD: usize = 16 << 10;
-/// Most lines of a head.
+/// Maximum number of header lines in a head.
 pub const MAX_HEADERS: usize = 64;
 
 pub struct Socket<S> {
     stream: S,
     written: Cell<u64>,
-    /// When the first byte came since the last `rest`.
+    /// When the first byte of the current exchange arrived.
     heard: Cell<Option<Instant>>,
     pub news: Notify,
-    /// What has come since `listen`, as far as a head may go.
+    /// What has been received since `begin_exchange`, up to `MAX_HEAD` bytes.
     head: RefCell<Option<Vec<u8>>>,
-    /// Set while nothing may come: what does is no answer to what is written next.
+    /// Set until the first byte of a request is written: unread data at that time cannot be the answer to it.
     quiet: Cell<bool>,
 }
 
@@ -47,36 +49,38 @@
         self.heard.get()
     }
 
-    /// An exchange is over.
+    /// Ends the exchange: forgets what has been received.
     pub fn rest(&self) {
         self.heard.set(None);
         self.head.replace(None);
     }
 
-    /// What has come so far was not what is waited for.
+    /// Restarts the wait for a first byte, after what arrived turned out to be an interim response.
     pub fn hear_on(&self) {
         self.heard.set(None);
     }
 
-    /// Before a request: keeps what comes back, and lets its first byte out only if nothing has come yet.
+    /// Prepares for a request: records what is received, and fails the first write if unread data is waiting.
     pub fn listen(&self) {
         self.rest();
         self.head.replace(Some(Vec::new()));
         self.quiet.set(true);
     }
 
-    /// What has come since `listen`, if it is kept.
+    /// What has been received since `begin_exchange`; empty if no exchange is active.
     pub fn head(&self) -> Vec<u8> {
         self.head.borrow().clone().unwrap_or_default()
     }
 
-    /// Whether bytes wait in the socket, or its end: asked of the system, as the runtime may not know yet.
+    /// Whether unread data or the end of the stream is waiting. Asks the operating system, because the
+    /// runtime may not know yet.
     pub fn has_news(&self) -> bool {
         self.stream.has_news()
     }
 
-    /// Ends the sending, then reads and drops what comes until the other side has closed, up to a bound: closing
-    /// with bytes unread would reset the connection, and an answer on its way could be lost.
+    /// Shuts down the sending side, then reads and discards data until the other side closes, up to
+    /// `max_bytes`. Closing with unread data would reset the connection, and an answer on its way could be
+    /// lost.
     pub async fn close(&self, most: usize) {
         if self.stream.end_sending().is_err() {
             return;
@@ -92,7 +96,7 @@
     }
 }
 
-/// The library's end of it.
+/// The side of the socket that the HTTP library uses.
 pub struct Io<S>(pub Rc<Socket<S>>);
 
 impl<S: Stream> AsyncRead for Io<S> {
@@ -116,9 +120,12 @@
     fn write(&self, cx: &mut Context<'_>, parts: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
         let socket = &self.0;
         if socket.quiet.replace(false) && socket.has_news() {
-            // The end of the connection, or bytes behind the answer before: they would be read as the answer
-            // to this request.
-            return Poll::Ready(Err(io::Error::new(io::ErrorKind::ConnectionAborted, "not idle any more")));
+            // The other side closed, or data follows the previous answer. Sending now would let that data
+            // pass for the answer to this request.
+            return Poll::Ready(Err(io::Error::new(
+                io::ErrorKind::ConnectionAborted,
+                "connection no longer idle",
+            )));
         }
         let n = ready!(socket.stream.poll_write(cx, parts))?;
         socket.written.set(socket.written.get() + n as u64);
@@ -139,7 +146,7 @@
         self.write(cx, bufs)
     }
 
-    /// So that the library need not copy bodies into a buffer of its own, which every connection would keep.
+    /// Lets the library write bodies without copying them into a buffer that each connection would keep.
     fn is_write_vectored(&self) -> bool {
         true
     }
