--- a/crates/proof/nickelshed-crashtest/src/main.rs
+++ b/crates/proof/nickelshed-crashtest/src/main.rs
@@ -8,7 +8,7 @@
 //! `STALL=file`: while that file is there, a write stands still, and goes on once it is gone.
 //!
 //! `CAPACITY=file`: while that file is there, it holds the number of bytes that the folder's files may take together.
-use nickelshed::{Form, Operator};
+use nickelshed::{ConfigSource, Operator};
 use nickelshed_journal::{Folder, Storage};
 use std::cell::Cell;
 use std::io;
@@ -162,7 +162,7 @@
 
 fn main() -> ExitCode {
     tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).init();
-    match nickelshed::run(&Form::Platform(Operator::default()), Halting::new) {
+    match nickelshed::run(&ConfigSource::Platform(Operator::default()), Halting::new) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!(%error, "cannot go on");
--- a/crates/proof/nickelshed-lab/src/play.rs
+++ b/crates/proof/nickelshed-lab/src/play.rs
@@ -8,7 +8,7 @@
 use crate::rude;
 use crate::stands::{agent, agent_address, listen, notes_address, open_endpoint, sender_address, Clients};
 use crate::world::{Place, World};
-use nickelshed::Told;
+use nickelshed::EnvironmentVariables;
 use nickelshed_config::sidecar::{Effect, Scope};
 use nickelshed_config::units::{Percent, Period};
 use nickelshed_judge::{
@@ -406,12 +406,12 @@
     let mut processes = Vec::new();
     for sender in 0..scenario.senders as usize {
         spawn_local(agent(world.clone(), sender, 0));
-        let told = Rc::new(RefCell::new(Told {
+        let told = Rc::new(RefCell::new(EnvironmentVariables {
             listen: Some(sender_address(sender).to_string()),
             discovery: None,
             state: Some("state".into()),
             config: config(&scenario, lie, sender, 0, seed),
-            name: "config.json".into(),
+            config_path: "config.json".into(),
         }));
         let (control, told_process) = mpsc::unbounded_channel();
         let up = Rc::new(Cell::new(false));
--- a/crates/proof/nickelshed-lab/src/process.rs
+++ b/crates/proof/nickelshed-lab/src/process.rs
@@ -3,7 +3,7 @@
 use crate::lie::Lie;
 use crate::stands::sender_address;
 use crate::world::World;
-use nickelshed::{serve, Form, Operator, Signals, Told};
+use nickelshed::{serve, ConfigSource, EnvironmentVariables, Operator, Signals};
 use nickelshed_host::Host;
 use nickelshed_journal::Storage;
 use nickelshed_judge::{Us, What};
@@ -35,7 +35,7 @@
 /// A sender's process, as the day's troubles reach it.
 pub struct Process {
     pub control: mpsc::UnboundedSender<Control>,
-    pub told: Rc<RefCell<Told>>,
+    pub told: Rc<RefCell<EnvironmentVariables>>,
     pub up: Rc<Cell<bool>>,
 }
 
@@ -43,7 +43,7 @@
 pub async fn machine(
     world: Rc<World>,
     sender: usize,
-    told: Rc<RefCell<Told>>,
+    told: Rc<RefCell<EnvironmentVariables>>,
     up: Rc<Cell<bool>>,
     mut control: mpsc::UnboundedReceiver<Control>,
 ) {
@@ -62,18 +62,20 @@
         let (hangup, hangups) = mpsc::channel(1);
         let end = Cell::new(Some(end));
         let signals = Signals {
-            end: Box::pin(async move {
+            shutdown: Box::pin(async move {
                 if ended.await.is_err() {
                     std::future::pending::<()>().await;
                 }
             }),
-            hangups,
+            reloads: hangups,
         };
         know(&told, world.known(sender));
         let host = world.net.host(Some(life.clone()));
         let host = if world.lie == Some(Lie::LeavesCallsOpen) { host.leaking() } else { host };
-        let (form, folder) =
-            (Form::Told(Operator::default(), told.clone()), Folder::new(disk.clone(), life.clone()));
+        let (form, folder) = (
+            ConfigSource::InMemory(Operator::default(), told.clone()),
+            Folder::new(disk.clone(), life.clone()),
+        );
         let mut process: Pin<Box<dyn Future<Output = Result<(), String>>>> = Box::pin(async move {
             // Dropped with the process, and all its tasks with it.
             let tasks = LocalSet::new();
@@ -142,7 +144,7 @@
 }
 
 /// Writes the list that a process knows at its start into its configuration.
-fn know(told: &RefCell<Told>, known: Value) {
+fn know(told: &RefCell<EnvironmentVariables>, known: Value) {
     let config = &mut told.borrow_mut().config;
     let mut value: Value = serde_json::from_str(config).expect("a configuration is JSON");
     value["known"] = known;
--- a/crates/serve/nickelshed/src/config/mod.rs
+++ b/crates/serve/nickelshed/src/config/mod.rs
@@ -3,7 +3,7 @@
 mod platform;
 mod sidecar;
 
-pub use platform::Told;
+pub use platform::EnvironmentVariables;
 
 use crate::list::List;
 use nickelshed_config::sidecar::Durability;
@@ -18,12 +18,12 @@
 
 /// Where a sender reads its configuration.
 #[derive(Clone, Debug)]
-pub enum Form {
+pub enum ConfigSource {
     /// The platform's environment variables and config.json, with the operator's own settings.
     Platform(Operator),
     /// Like `Platform`, for a sender that is not a process of its own. The variables may be changed before a
     /// reload.
-    Told(Operator, Rc<RefCell<Told>>),
+    InMemory(Operator, Rc<RefCell<EnvironmentVariables>>),
     /// One TOML file written by the operator.
     Sidecar(PathBuf),
 }
@@ -78,14 +78,14 @@
     pub list: Option<List>,
 }
 
-impl Form {
+impl ConfigSource {
     /// # Errors
     /// Returns every reason why the sender cannot start with this configuration.
     pub(crate) fn read(&self) -> Result<Config, String> {
         match self {
-            Form::Platform(operator) => Told::by_environment()?.read(operator),
-            Form::Told(operator, told) => told.borrow().read(operator),
-            Form::Sidecar(path) => sidecar::read(path),
+            ConfigSource::Platform(operator) => EnvironmentVariables::by_environment()?.read(operator),
+            ConfigSource::InMemory(operator, told) => told.borrow().read(operator),
+            ConfigSource::Sidecar(path) => sidecar::read(path),
         }
     }
 
@@ -96,9 +96,9 @@
     /// Returns what is wrong with the file; the caller then applies nothing of it.
     pub(crate) fn reread(&self) -> Result<Fresh, String> {
         match self {
-            Form::Platform(_) => Told::by_environment()?.reread(),
-            Form::Told(_, told) => told.borrow().reread(),
-            Form::Sidecar(path) => sidecar::reread(path),
+            ConfigSource::Platform(_) => EnvironmentVariables::by_environment()?.reread(),
+            ConfigSource::InMemory(_, told) => told.borrow().reread(),
+            ConfigSource::Sidecar(path) => sidecar::reread(path),
         }
     }
 }
--- a/crates/serve/nickelshed/src/config/platform.rs
+++ b/crates/serve/nickelshed/src/config/platform.rs
@@ -37,28 +37,29 @@
 
 /// What the platform sets for a process, taken from its environment or supplied by the caller.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct EnvironmentVariables {
     pub listen: Option<String>,
     pub discovery: Option<String>,
     pub state: Option<String>,
     /// The text of the configuration file, and the file's name for error messages.
     pub config: String,
-    pub name: String,
+    pub config_path: String,
 }
 
-impl Told {
+impl EnvironmentVariables {
     /// Reads the environment of this process, and the file that EDGE_CONFIG names.
-    pub(super) fn by_environment() -> Result<Told, String> {
+    pub(super) fn by_environment() -> Result<EnvironmentVariables, String> {
         let var = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
-        let name = var("EDGE_CONFIG")
+        let config_path = var("EDGE_CONFIG")
             .ok_or("EDGE_CONFIG is not set; to run without a platform give --config FILE")?;
-        let config = std::fs::read_to_string(&name).map_err(|e| format!("cannot read {name}: {e}"))?;
+        let config =
+            std::fs::read_to_string(&config_path).map_err(|e| format!("cannot read {config_path}: {e}"))?;
         let (listen, discovery) = (var("EDGE_LISTEN"), var("EDGE_DISCOVERY"));
-        Ok(Told { listen, discovery, state: var("EDGE_STATE"), config, name })
+        Ok(EnvironmentVariables { listen, discovery, state: var("EDGE_STATE"), config, config_path })
     }
 
     fn file(&self) -> Result<File, String> {
-        serde_json::from_str(&self.config).map_err(|e| format!("{}: {e}", self.name))
+        serde_json::from_str(&self.config).map_err(|e| format!("{}: {e}", self.config_path))
     }
 
     /// The address of discovery. The file takes precedence over the environment: the file can be replaced
@@ -76,7 +77,7 @@
     pub(super) fn read(&self, operator: &Operator) -> Result<Config, String> {
         let file = self.file()?;
         let settings = settings::read(&file.settings);
-        let (settings, around) = settings.map_err(|e| format!("{}: settings: {e}", self.name))?;
+        let (settings, around) = settings.map_err(|e| format!("{}: settings: {e}", self.config_path))?;
         let state: std::path::PathBuf = self.state.as_ref().ok_or("EDGE_STATE is not set")?.into();
         let number = file.seed.as_ref().map_or(0, seed);
         let member = |notes| {
--- a/crates/serve/nickelshed/src/lib.rs
+++ b/crates/serve/nickelshed/src/lib.rs
@@ -13,7 +13,7 @@
 mod watched;
 mod wire;
 
-pub use config::{Form, Told};
+pub use config::{ConfigSource, EnvironmentVariables};
 pub use nickelshed_config::Operator;
 
 use crate::config::{Config, Endpoints, Fresh};
@@ -50,12 +50,12 @@
 /// Applies a changed configuration file on SIGHUP. An invalid file is logged and ignored: it must neither end
 /// the process nor replace a configuration that works.
 async fn reload(
-    form: Form,
-    mut hangups: mpsc::Receiver<()>,
+    form: ConfigSource,
+    mut reloads: mpsc::Receiver<()>,
     discovery: Option<watched::Teller<SocketAddr>>,
     core: mpsc::Sender<Input>,
 ) {
-    while hangups.recv().await.is_some() {
+    while reloads.recv().await.is_some() {
         match (form.reread(), &discovery) {
             (Ok(Fresh { discovery: Some(address), .. }), Some(discovery)) => {
                 tracing::info!(%address, "the configuration was read again");
@@ -83,7 +83,10 @@
 ///
 /// # Errors
 /// Returns the reason if the sender cannot start, or if it ends by a failure.
-pub fn run<S: Storage + 'static>(form: &Form, storage: impl FnOnce(&Path) -> S) -> Result<(), String> {
+pub fn run<S: Storage + 'static>(
+    form: &ConfigSource,
+    storage: impl FnOnce(&Path) -> S,
+) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("cannot start the async runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
@@ -178,9 +181,9 @@
 /// Requests from outside to a running sender.
 pub struct Signals {
     /// Resolves when the sender should shut down.
-    pub end: Pin<Box<dyn Future<Output = ()>>>,
+    pub shutdown: Pin<Box<dyn Future<Output = ()>>>,
     /// Receives a message each time the configuration file has been replaced.
-    pub hangups: mpsc::Receiver<()>,
+    pub reloads: mpsc::Receiver<()>,
 }
 
 impl Signals {
@@ -190,15 +193,15 @@
         let (mut terminate, mut interrupt) =
             (listen(SignalKind::terminate())?, listen(SignalKind::interrupt())?);
         let mut hangup = listen(SignalKind::hangup())?;
-        let end = Box::pin(async move {
+        let shutdown = Box::pin(async move {
             tokio::select! {
                 _ = terminate.recv() => {}
                 _ = interrupt.recv() => {}
             }
         });
-        let (told, hangups) = mpsc::channel(1);
+        let (told, reloads) = mpsc::channel(1);
         spawn_local(async move { while hangup.recv().await.is_some() && told.send(()).await.is_ok() {} });
-        Ok(Signals { end, hangups })
+        Ok(Signals { shutdown, reloads })
     }
 }
 
@@ -208,7 +211,7 @@
 /// # Errors
 /// Returns the reason if the sender cannot start, or if it ends by a failure.
 pub async fn serve<S: Storage + 'static, H: Host>(
-    form: &Form,
+    form: &ConfigSource,
     host: H,
     mut signals: Signals,
     storage: impl FnOnce(&Path) -> S,
@@ -238,7 +241,7 @@
         Endpoints::Discovery(address) => Some(watched::channel(address)).unzip(),
         Endpoints::Listed => (None, None),
     };
-    spawn_local(reload(form.clone(), signals.hangups, place, core_in.clone()));
+    spawn_local(reload(form.clone(), signals.reloads, place, core_in.clone()));
     let mut asking = discovery::Asking::new(config.around.lister, settings.n_instances, config.seed);
     let held = (!config.known.instances.is_empty())
         .then(|| discovery::Held { generation: config.known.generation, ask_after: asking.first() });
@@ -300,7 +303,7 @@
 
     tokio::select! {
         biased;
-        () = &mut signals.end => {}
+        () = &mut signals.shutdown => {}
         // The core ends without a shutdown request only when it has failed. The next process recovers from
         // the journal.
         ended = core => return Err(format!("the event loop has failed: {ended:?}")),
--- a/crates/serve/nickelshed/src/main.rs
+++ b/crates/serve/nickelshed/src/main.rs
@@ -1,6 +1,6 @@
 //! The `nickelshed` executable: command line, logging, and one sender.
 use clap::Parser;
-use nickelshed::{Form, Operator};
+use nickelshed::{ConfigSource, Operator};
 use nickelshed_journal::Folder;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -28,11 +28,11 @@
     })
 }
 
-fn form(arguments: &Arguments) -> Result<Form, String> {
+fn form(arguments: &Arguments) -> Result<ConfigSource, String> {
     match (&arguments.config, &arguments.operator) {
-        (Some(config), _) => Ok(Form::Sidecar(config.clone())),
-        (None, Some(path)) => Ok(Form::Platform(operator(path)?)),
-        (None, None) => Ok(Form::Platform(Operator::default())),
+        (Some(config), _) => Ok(ConfigSource::Sidecar(config.clone())),
+        (None, Some(path)) => Ok(ConfigSource::Platform(operator(path)?)),
+        (None, None) => Ok(ConfigSource::Platform(Operator::default())),
     }
 }
 
--- a/crates/tools/nickelshed-quickstart/src/main.rs
+++ b/crates/tools/nickelshed-quickstart/src/main.rs
@@ -1,7 +1,7 @@
 //! The first two minutes: the example's sidecar beside stand-ins of its customer systems, a few alerts handed in, and
 //! what became of each.
 use clap::Parser;
-use nickelshed::Form;
+use nickelshed::ConfigSource;
 use nickelshed_config::sidecar::EndpointForm;
 use nickelshed_config::{load, write, Sidecar};
 use nickelshed_journal::Folder;
@@ -233,7 +233,7 @@
 /// The sidecar itself, as `nickelshed --config FILE` would be.
 fn be_sidecar(file: &Path) -> Result<(), Failed> {
     tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).init();
-    nickelshed::run(&Form::Sidecar(file.to_path_buf()), Folder::new).map_err(|error| {
+    nickelshed::run(&ConfigSource::Sidecar(file.to_path_buf()), Folder::new).map_err(|error| {
         tracing::error!("{error}");
         error.into()
     })
