--- a/crates/serve/nickelshed/src/calls.rs
+++ b/crates/serve/nickelshed/src/calls.rs
@@ -1,8 +1,8 @@
 //! Calls to endpoints: the checks before a request is written, and how each message of a call ended.
 use crate::connections::{request, Connection, Fault, Pool};
 use crate::inbox::Input;
-use crate::pulse::Pulse;
-use crate::wire::{Socket, MAX_HEADERS};
+use crate::socket::{Socket, MAX_HEADERS};
+use crate::stall_detector::Pulse;
 use base64::Engine;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
--- a/crates/serve/nickelshed/src/connections.rs
+++ b/crates/serve/nickelshed/src/connections.rs
@@ -1,6 +1,6 @@
 //! Connections to endpoints, discovery and the platform: the connection pool, its limits, and which endpoints
 //! may currently be written to.
-use crate::wire::{Io, Socket, MAX_HEAD, MAX_HEADERS};
+use crate::socket::{Io, Socket, MAX_HEAD, MAX_HEADERS};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
--- a/crates/serve/nickelshed/src/core.rs
+++ b/crates/serve/nickelshed/src/core.rs
@@ -2,8 +2,8 @@
 //! decide, writes the journal once and then acts. The core makes no decisions of its own.
 mod effects;
 mod outages;
-mod resume;
-mod untried;
+mod recovery;
+mod unattempted;
 
 use crate::calls::{self, Cancel, Client, Member};
 use crate::config::Config;
@@ -92,7 +92,7 @@
     next_id: u64,
     wind: Option<Instant>,
     keeper: outages::Keeper,
-    untried: untried::Untried,
+    untried: unattempted::Untried,
     write_failed: bool,
     /// Where the remaining headroom of limits, as endpoints report it, is recorded for the fleet's limit
     /// quota; None outside a fleet.
@@ -148,7 +148,7 @@
             timer: None,
             wind: None,
             keeper: outages::Keeper::default(),
-            untried: untried::Untried::default(),
+            untried: unattempted::Untried::default(),
             write_failed: false,
             room: None,
         }
@@ -517,8 +517,8 @@
 
 /// Logs the counts of the messages recovered unattempted, once the last of them has been attempted or
 /// finished.
-fn tell_untried(counts: Option<untried::Counts>) {
-    if let Some(untried::Counts { found, called, late, ran_out, turned_away }) = counts {
+fn tell_untried(counts: Option<unattempted::Counts>) {
+    if let Some(unattempted::Counts { found, called, late, ran_out, turned_away }) = counts {
         tracing::info!(
             found,
             called,
--- a/crates/serve/nickelshed/src/discovery.rs
+++ b/crates/serve/nickelshed/src/discovery.rs
@@ -1,14 +1,14 @@
 //! Follows the list of endpoints at discovery: a full list first, then a watch (long poll) that is repeated
 //! as soon as it is answered. `schedule` decides how long to pause after a failure.
-mod asking;
+mod schedule;
 
 use crate::connections::{self, Connection};
 use crate::inbox::Input;
 use crate::list::List;
-use crate::watched;
-pub use asking::Asking;
-use asking::Failure;
+use crate::watch;
 use nickelshed_host::Host;
+pub use schedule::Asking;
+use schedule::Failure;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -92,7 +92,7 @@
 /// the new one is first asked for a full list.
 pub async fn follow<H: Host>(
     host: H,
-    mut place: watched::Listener<SocketAddr>,
+    mut place: watch::Listener<SocketAddr>,
     held: Option<Held>,
     mut asking: Asking,
     core: mpsc::Sender<Input>,
--- a/crates/serve/nickelshed/src/fleet.rs
+++ b/crates/serve/nickelshed/src/fleet.rs
@@ -1,13 +1,13 @@
 //! The fleet member of this process: connects the membership state machine to its socket, its clock and its
 //! state file, and tells the core how many senders share each limit.
-mod book;
+mod peer_addresses;
 
 use crate::inbox::Input;
-use book::Book;
 use nickelshed_config::sidecar::Membership;
 use nickelshed_fleet::parts::Parts;
 use nickelshed_fleet::{Config, Facts, Fleet, Input as Told, Ns, Output, Seal, MOST};
 use nickelshed_host::{Datagrams, Host};
+use peer_addresses::Book;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/serve/nickelshed/src/lib.rs
+++ b/crates/serve/nickelshed/src/lib.rs
@@ -8,10 +8,10 @@
 mod inbox;
 mod list;
 mod notices;
-mod pulse;
 mod server;
-mod watched;
-mod wire;
+mod socket;
+mod stall_detector;
+mod watch;
 
 pub use config::{ConfigSource, EnvironmentVariables};
 pub use nickelshed_config::Operator;
@@ -52,7 +52,7 @@
 async fn reload(
     form: ConfigSource,
     mut reloads: mpsc::Receiver<()>,
-    discovery: Option<watched::Teller<SocketAddr>>,
+    discovery: Option<watch::Teller<SocketAddr>>,
     core: mpsc::Sender<Input>,
 ) {
     while reloads.recv().await.is_some() {
@@ -234,11 +234,11 @@
         sockets.calls,
     ));
     spawn_local(pool.clone().keep());
-    let pulse = Rc::new(pulse::Pulse::new(host.clone()));
+    let pulse = Rc::new(stall_detector::Pulse::new(host.clone()));
     spawn_local(pulse.clone().keep());
     let client = Rc::new(calls::Client { core: core_in.clone(), pool, pulse });
     let (place, discovery) = match config.endpoints {
-        Endpoints::Discovery(address) => Some(watched::channel(address)).unzip(),
+        Endpoints::Discovery(address) => Some(watch::channel(address)).unzip(),
         Endpoints::Listed => (None, None),
     };
     spawn_local(reload(form.clone(), signals.reloads, place, core_in.clone()));
@@ -287,7 +287,7 @@
     if let Some(application) = application {
         tracing::info!(application, %listen, "ready");
     }
-    let (close, closing) = watched::channel(false);
+    let (close, closing) = watch::channel(false);
     let server = Rc::new(server::Server {
         host,
         core: core_in.clone(),
--- a/crates/serve/nickelshed/src/notices/http.rs
+++ b/crates/serve/nickelshed/src/notices/http.rs
@@ -1,7 +1,7 @@
 //! A sink that posts notices over HTTP, to the platform or to a receiver of the operator's.
 use super::{Notice, Take};
 use crate::connections::{self, Connection};
-use crate::watched;
+use crate::watch;
 use nickelshed_host::Host;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 /// Where notices are posted, and which answers accept them.
 pub struct Receiver {
-    pub place: watched::Listener<SocketAddr>,
+    pub place: watch::Listener<SocketAddr>,
     pub path: String,
     /// Whether an answer with this status means that the receiver has the notices.
     pub takes: fn(u16) -> bool,
--- a/crates/serve/nickelshed/src/notices/mod.rs
+++ b/crates/serve/nickelshed/src/notices/mod.rs
@@ -2,14 +2,14 @@
 //! and stays pending until all of them have received it.
 mod file;
 mod http;
-mod owed;
+mod pending;
 
 use crate::config::Sink;
 use crate::inbox::Input;
-use crate::watched;
+use crate::watch;
 use nickelshed_host::Host;
 use nickelshed_journal::Ending;
-use owed::Owed;
+use pending::Owed;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -65,7 +65,7 @@
 pub struct Told {
     pub application: Option<String>,
     /// The platform's address; None for a sidecar without discovery.
-    pub platform: Option<watched::Listener<SocketAddr>>,
+    pub platform: Option<watch::Listener<SocketAddr>>,
     /// Whether a line in a file must be durable against a loss of power.
     pub sync: bool,
 }
@@ -94,7 +94,7 @@
             (Sink::Platform, None) => continue,
             (Sink::Http { address, path }, _) => {
                 let takes = |status| (200..300).contains(&status);
-                let receiver = http::Receiver { place: watched::channel(address).1, path, takes };
+                let receiver = http::Receiver { place: watch::channel(address).1, path, takes };
                 spawn_local(http::run(host.clone(), receiver, notices, take));
             }
             (Sink::File(path), _) => _ = spawn_local(file::run(path, told.sync, notices, take)),
--- a/crates/serve/nickelshed/src/server.rs
+++ b/crates/serve/nickelshed/src/server.rs
@@ -1,7 +1,7 @@
 //! The HTTP server for clients: accepts connections, validates requests and submits messages to the core.
 use crate::inbox::{Input, Reply};
-use crate::watched;
-use crate::wire::{Io, Socket, MAX_HEAD, MAX_HEADERS};
+use crate::socket::{Io, Socket, MAX_HEAD, MAX_HEADERS};
+use crate::watch;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -90,7 +90,7 @@
 
 impl<H: Host> Server<H> {
     /// Accepts connections until `stop` becomes true. The open ones then close between two requests.
-    pub async fn accept(self: Rc<Self>, listener: H::Listener, closing: watched::Listener<bool>) {
+    pub async fn accept(self: Rc<Self>, listener: H::Listener, closing: watch::Listener<bool>) {
         let mut until = closing.clone();
         let mut failing = false;
         for number in 0.. {
@@ -166,7 +166,7 @@
         true
     }
 
-    async fn serve(&self, guest: Rc<Guest<H::Stream>>, mut ended: watched::Listener<bool>) {
+    async fn serve(&self, guest: Rc<Guest<H::Stream>>, mut ended: watch::Listener<bool>) {
         let socket = guest.socket.clone();
         let service = service_fn(|request| {
             let guest = guest.clone();
