--- a/crates/serve/nickelshed/src/calls.rs
+++ b/crates/serve/nickelshed/src/calls.rs
@@ -2,7 +2,7 @@
 use crate::connections::{request, Connection, Fault, Pool};
 use crate::inbox::Input;
 use crate::socket::{Socket, MAX_HEADERS};
-use crate::stall_detector::Pulse;
+use crate::stall_detector::StallDetector;
 use base64::Engine;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -25,40 +25,40 @@
 /// Time limits for the head of an answer, counted from its first byte, and for the body of a batch answer,
 /// which must be read to the end. Some endpoints never finish an answer, and without a limit such a call
 /// would hold its slot until the messages expire.
-const HEAD: Duration = Duration::from_millis(500);
-const WHOLE: Duration = Duration::from_secs(1);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(500);
+const BATCH_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Upper bound, in seconds, of a `Retry-After` value; no message lives as long.
-const LONGEST_WAIT: f64 = 1e6;
+const MAX_RETRY_AFTER_S: f64 = 1e6;
 
 /// Cancels a call when the policy cancels an attempt in it.
 #[derive(Default)]
-pub struct Cancel {
-    set: Cell<bool>,
+pub struct CancelToken {
+    is_cancelled: Cell<bool>,
     notify: Notify,
 }
 
-impl Cancel {
-    pub fn set(&self) {
-        self.set.set(true);
+impl CancelToken {
+    pub fn cancel(&self) {
+        self.is_cancelled.set(true);
         self.notify.notify_one();
     }
-    async fn wait(&self) {
-        while !self.set.get() {
+    async fn cancelled(&self) {
+        while !self.is_cancelled.get() {
             self.notify.notified().await;
         }
     }
 }
 
 /// One message in a call.
-pub struct Member {
+pub struct CallEntry {
     pub attempt: u32,
-    pub taken: Rc<Taken>,
+    pub message: Rc<Taken>,
     /// When the message expires.
-    pub end: Instant,
+    pub deadline: Instant,
     /// When this attempt times out; not later than `deadline`.
-    pub limit: Instant,
+    pub attempt_deadline: Instant,
     /// The first byte of the request must be written before this time.
-    pub by: Instant,
+    pub send_by: Instant,
 }
 
 /// The head of an answer, and its body as far as it has been read.
@@ -67,37 +67,46 @@
     headers: HeaderMap,
     /// For a batch call answered 200 the complete body is in `batch_body`; otherwise `remaining` is the
     /// unread body.
-    ends: Option<Bytes>,
-    rest: Option<Incoming>,
+    batch_body: Option<Bytes>,
+    remaining: Option<Incoming>,
 }
 
-pub struct Client<H: Host> {
+pub struct CallExecutor<H: Host> {
     pub core: mpsc::Sender<Input>,
     pub pool: Rc<Pool<H>>,
-    pub pulse: Rc<Pulse<H>>,
+    pub stall_detector: Rc<StallDetector<H>>,
 }
 
-impl<H: Host> Client<H> {
+impl<H: Host> CallExecutor<H> {
     /// Makes one call of the policy and reports to the core how each of its messages ended.
-    pub async fn call(self: Rc<Self>, endpoint: EndpointId, members: Vec<Member>, cancel: Rc<Cancel>) {
-        let started = Instant::now();
+    pub async fn call(
+        self: Rc<Self>,
+        endpoint: EndpointId,
+        entries: Vec<CallEntry>,
+        cancel: Rc<CancelToken>,
+    ) {
+        let started_at = Instant::now();
         // A batch may be larger than one request body can be; it is then split, and the chunks are sent one
         // after the other.
-        let mut waiting: VecDeque<Vec<Member>> = parts(members).into();
-        while let Some(part) = waiting.pop_front() {
-            let mut exchange = pin!(self.exchange(endpoint, part, &cancel, started));
+        let mut pending: VecDeque<Vec<CallEntry>> = split_by_size(entries).into();
+        while let Some(chunk) = pending.pop_front() {
+            let mut exchange = pin!(self.exchange(endpoint, chunk, &cancel, started_at));
             loop {
-                let next = waiting.iter().flatten().map(|m| m.end).min();
+                let earliest = pending.iter().flatten().map(|m| m.deadline).min();
                 tokio::select! {
                     biased;
                     () = &mut exchange => break,
-                    () = sleep_until(next.unwrap_or(started)), if next.is_some() => {}
+                    () = sleep_until(earliest.unwrap_or(started_at)), if earliest.is_some() => {}
                 }
                 // The current chunk may take longer than the messages in the next ones have left, so expired
                 // ones are reported on time.
-                let late: Vec<_> = waiting.iter_mut().flat_map(|part| leavers(part, None)).collect();
-                waiting.retain(|part| !part.is_empty());
-                self.report(late.iter().map(|m| end(m, endpoint, Outcome::NotSent, started)).collect()).await;
+                let expired: Vec<_> =
+                    pending.iter_mut().flat_map(|chunk| take_expired(chunk, None)).collect();
+                pending.retain(|chunk| !chunk.is_empty());
+                self.report(
+                    expired.iter().map(|m| attempt_end(m, endpoint, Outcome::NotSent, started_at)).collect(),
+                )
+                .await;
             }
         }
     }
@@ -105,250 +114,270 @@
     async fn exchange(
         &self,
         endpoint: EndpointId,
-        mut members: Vec<Member>,
-        cancel: &Cancel,
-        started: Instant,
+        mut entries: Vec<CallEntry>,
+        cancel: &CancelToken,
+        started_at: Instant,
     ) {
-        let tell = |outcome| move |m: &Member| end(m, endpoint, outcome, started);
+        let attempt_end_of = |outcome| move |m: &CallEntry| attempt_end(m, endpoint, outcome, started_at);
         // The message with the latest deadline comes first in the request, so that the first one never leaves
         // the call early by itself: where it did, the platform was observed to ignore what the answer said
         // about the others.
-        members.sort_by_key(|m| std::cmp::Reverse(m.end));
+        entries.sort_by_key(|m| std::cmp::Reverse(m.deadline));
         // An attempt that times out while its message may still be retried must not stay open on the
         // connection, or the retry would be a second copy of the message. The whole call is closed at that
         // time. A message that expires can leave the call by itself, because it is not retried.
-        let again = members.iter().filter(|m| m.limit < m.end).map(|m| m.limit).min();
-        let close_at = again.or(members.iter().map(|m| m.end).max()).unwrap_or(started);
-        let (mut link, answer) = loop {
-            let found = {
-                let mut made = pin!(self.pool.connect(endpoint));
+        let earliest_retry =
+            entries.iter().filter(|m| m.attempt_deadline < m.deadline).map(|m| m.attempt_deadline).min();
+        let close_at = earliest_retry.or(entries.iter().map(|m| m.deadline).max()).unwrap_or(started_at);
+        let (mut connection, answer) = loop {
+            let connected = {
+                let mut connecting = pin!(self.pool.connect(endpoint));
                 loop {
                     tokio::select! {
                         biased;
-                        () = cancel.wait() => break Err(Outcome::NotSent),
-                        link = &mut made => break link,
-                        () = sleep_until(next_end(&members, close_at)) => {}
+                        () = cancel.cancelled() => break Err(Outcome::NotSent),
+                        connection = &mut connecting => break connection,
+                        () = sleep_until(next_deadline(&entries, close_at)) => {}
                     }
                     // Connecting may take longer than a message has left, so expired ones are reported on
                     // time.
-                    let late = leavers(&mut members, Some(close_at));
-                    self.report(late.iter().map(tell(Outcome::NoConnection)).collect()).await;
-                    if members.is_empty() {
+                    let expired = take_expired(&mut entries, Some(close_at));
+                    self.report(expired.iter().map(attempt_end_of(Outcome::NoConnection)).collect()).await;
+                    if entries.is_empty() {
                         return;
                     }
                 }
             };
-            let mut link = match found {
-                Ok(link) => link,
-                Err(outcome) => return self.report(members.iter().map(tell(outcome)).collect()).await,
+            let mut connection = match connected {
+                Ok(connection) => connection,
+                Err(outcome) => {
+                    return self.report(entries.iter().map(attempt_end_of(outcome)).collect()).await
+                }
             };
             // A drain, a retry-after or the end of a send window may have arrived while the connection was
             // made or while the process was stalled.
-            self.pulse.caught_up().await;
+            self.stall_detector.caught_up().await;
             let now = Instant::now();
-            let may = self.pool.may_write(endpoint);
-            let (go, stay): (Vec<_>, Vec<_>) =
-                members.into_iter().partition(|m| may && now < m.by && now < m.end.min(close_at));
-            members = go;
-            self.report(stay.iter().map(tell(Outcome::NotSent)).collect()).await;
-            if members.is_empty() {
-                return self.pool.give_back(endpoint, link);
+            let may_write = self.pool.may_write(endpoint);
+            let (sendable, unsendable): (Vec<_>, Vec<_>) = entries
+                .into_iter()
+                .partition(|m| may_write && now < m.send_by && now < m.deadline.min(close_at));
+            entries = sendable;
+            self.report(unsendable.iter().map(attempt_end_of(Outcome::NotSent)).collect()).await;
+            if entries.is_empty() {
+                return self.pool.release(endpoint, connection);
             }
-            let request = build(&members, link.at, close_at - now);
-            let several = members.len() > 1;
-            let idle = link.idle();
+            let request = build_request(&entries, connection.address, close_at - now);
+            let is_batch = entries.len() > 1;
+            let idle = connection.idle_time();
             // For a single message, a status line with 200 is proof of success whatever follows it. For a
             // batch, the complete answer is needed.
-            let served = |link: &Connection<H>| !several && says_200(&link.socket.head());
+            let served =
+                |connection: &Connection<H>| !is_batch && is_status_200(&connection.socket.received_head());
             let answer = {
-                let mut answer = pin!(self.answer(&mut link, request, endpoint, several));
+                let mut answer = pin!(self.answer(&mut connection, request, endpoint, is_batch));
                 loop {
                     tokio::select! {
                         biased;
                         answer = &mut answer => break Ok(answer),
-                        () = cancel.wait() => break Err((std::mem::take(&mut members), Outcome::CalledOff)),
-                        () = sleep_until(next_end(&members, close_at)) => {}
+                        () = cancel.cancelled() => {
+                            break Err((std::mem::take(&mut entries), Outcome::CalledOff))
+                        }
+                        () = sleep_until(next_deadline(&entries, close_at)) => {}
                     }
-                    let late = leavers(&mut members, Some(close_at));
-                    if members.is_empty() {
-                        break Err((late, Outcome::NoAnswer));
+                    let expired = take_expired(&mut entries, Some(close_at));
+                    if entries.is_empty() {
+                        break Err((expired, Outcome::NoAnswer));
                     }
-                    self.report(late.iter().map(tell(Outcome::NoAnswer)).collect()).await;
+                    self.report(expired.iter().map(attempt_end_of(Outcome::NoAnswer)).collect()).await;
                 }
             };
             let answer = match answer {
                 Ok(answer) => answer,
-                Err((left, outcome)) => {
-                    let outcome = if served(&link) { Outcome::Served } else { outcome };
+                Err((unfinished, outcome)) => {
+                    let outcome = if served(&connection) { Outcome::Served } else { outcome };
                     // The connection is closed before the result is reported. Otherwise the next attempt
                     // could start while this request is still open on the connection, as a second copy of the
                     // message, and the call would still occupy its slot.
-                    link.close().await;
-                    return self.report(left.iter().map(tell(outcome)).collect()).await;
+                    connection.close().await;
+                    return self.report(unfinished.iter().map(attempt_end_of(outcome)).collect()).await;
                 }
             };
             match answer {
                 // The reused connection was already closed and nothing was written, so the request can be
                 // sent on another one.
-                Err(Fault::Unsent) => drop(link),
+                Err(Fault::ClosedBeforeWrite) => drop(connection),
                 Err(fault) => {
-                    let served = served(&link);
-                    let kept = idle.filter(|_| link.socket.head().is_empty());
-                    link.close().await;
+                    let served = served(&connection);
+                    let reused_idle = idle.filter(|_| connection.socket.received_head().is_empty());
+                    connection.close().await;
                     tracing::debug!(%fault, served, "no readable answer");
                     let outcome = match fault {
                         _ if served => Outcome::Served,
-                        Fault::Broken(_) => Outcome::ConnectionLost,
+                        Fault::Interrupted(_) => Outcome::ConnectionLost,
                         _ => Outcome::NoConnection,
                     };
-                    if let Some(idle) = kept.filter(|_| outcome == Outcome::ConnectionLost) {
-                        self.pool.distrust(endpoint, idle);
+                    if let Some(idle) = reused_idle.filter(|_| outcome == Outcome::ConnectionLost) {
+                        self.pool.limit_idle_time(endpoint, idle);
                     }
-                    let lost = |m| AttemptEnd { kept: kept.is_some(), ..end(m, endpoint, outcome, started) };
-                    return self.report(members.iter().map(lost).collect()).await;
+                    let to_lost_end = |m| AttemptEnd {
+                        kept: reused_idle.is_some(),
+                        ..attempt_end(m, endpoint, outcome, started_at)
+                    };
+                    return self.report(entries.iter().map(to_lost_end).collect()).await;
                 }
-                Ok(answer) => break (link, answer),
+                Ok(answer) => break (connection, answer),
             }
         };
-        let ends = read_ends(&members, &answer, endpoint, started);
-        let closes =
+        let ends = attempt_ends(&entries, &answer, endpoint, started_at);
+        let closes_connection =
             answer.headers.get(CONNECTION).is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
-        if link.finish(answer.rest).await && !closes {
-            self.pool.give_back(endpoint, link);
+        if connection.drain_answer(answer.remaining).await && !closes_connection {
+            self.pool.release(endpoint, connection);
         } else {
-            link.close().await;
+            connection.close().await;
         }
         self.report(ends).await;
     }
 
     async fn answer(
         &self,
-        link: &mut Connection<H>,
+        connection: &mut Connection<H>,
         request: Request<Full<Bytes>>,
         endpoint: EndpointId,
-        several: bool,
+        is_batch: bool,
     ) -> Result<Answer, Fault> {
-        let socket = link.socket.clone();
+        let socket = connection.socket.clone();
         let (head, body) = tokio::select! {
             biased;
-            answer = link.send(request) => answer?.into_parts(),
-            () = head_is_late(&socket) => return Err(Fault::Broken("the response head did not end in time".into())),
+            answer = connection.send(request) => answer?.into_parts(),
+            () = head_overdue(&socket) => {
+                return Err(Fault::Interrupted("the response head did not end in time".into()))
+            }
         };
-        socket.rest();
+        socket.end_exchange();
         // Recorded before the body is read, because calls to other endpoints of the destination may be about
         // to be written.
-        if let Some(wait) = wait_told(&head.headers) {
-            self.pool.heed_wait(endpoint, wait);
+        if let Some(wait) = retry_after(&head.headers) {
+            self.pool.apply_retry_after(endpoint, wait);
         }
         let (status, headers) = (head.status.as_u16(), head.headers);
-        if status == 200 && several {
-            let whole = timeout(WHOLE, Limited::new(body, MAX_BODY).collect()).await;
-            let whole = whole.map_err(|_| Fault::Broken("the response body did not end in time".into()))?;
-            let whole = whole.map_err(|e| Fault::Broken(format!("cannot read the response body: {e}")))?;
-            return Ok(Answer { status, headers, ends: Some(whole.to_bytes()), rest: None });
+        if status == 200 && is_batch {
+            let collected = timeout(BATCH_ANSWER_TIMEOUT, Limited::new(body, MAX_BODY).collect()).await;
+            let collected =
+                collected.map_err(|_| Fault::Interrupted("the response body did not end in time".into()))?;
+            let collected =
+                collected.map_err(|e| Fault::Interrupted(format!("cannot read the response body: {e}")))?;
+            return Ok(Answer { status, headers, batch_body: Some(collected.to_bytes()), remaining: None });
         }
-        Ok(Answer { status, headers, ends: None, rest: Some(body) })
+        Ok(Answer { status, headers, batch_body: None, remaining: Some(body) })
     }
 
     async fn report(&self, ends: Vec<AttemptEnd>) {
         if !ends.is_empty() {
-            let _ = self.core.send(Input::Ended(ends)).await;
+            let _ = self.core.send(Input::AttemptsEnded(ends)).await;
         }
     }
 
     pub async fn probe(self: Rc<Self>, endpoint: EndpointId) {
-        let Ok(mut link) = self.pool.connect(endpoint).await else {
-            return self.probed(endpoint, Outcome::NoConnection, None).await;
+        let Ok(mut connection) = self.pool.connect(endpoint).await else {
+            return self.report_probe(endpoint, Outcome::NoConnection, None).await;
         };
-        self.pulse.caught_up().await;
+        self.stall_detector.caught_up().await;
         if !self.pool.may_write(endpoint) {
-            return self.probed(endpoint, Outcome::NotSent, None).await;
+            return self.report_probe(endpoint, Outcome::NotSent, None).await;
         }
-        let asked = request("GET", "/healthz", link.at, &[], Bytes::new());
-        let (outcome, report) = match timeout(self.pool.dial, link.exchange(asked, MAX_BODY)).await {
-            Ok(Ok((status, headers, _))) => {
-                let (outcome, ..) = outcome(status, &headers);
-                self.pool.give_back(endpoint, link);
-                (outcome, load_report(&headers))
-            }
-            Ok(Err(Fault::Broken(_))) => (Outcome::ConnectionLost, None),
-            Ok(Err(_)) => (Outcome::NoConnection, None),
-            Err(_) => (Outcome::NoAnswer, None),
-        };
-        self.probed(endpoint, outcome, report).await;
+        let health_check = request("GET", "/healthz", connection.address, &[], Bytes::new());
+        let (outcome, report) =
+            match timeout(self.pool.dial_timeout, connection.exchange(health_check, MAX_BODY)).await {
+                Ok(Ok((status, headers, _))) => {
+                    let (outcome, ..) = outcome_of_status(status, &headers);
+                    self.pool.release(endpoint, connection);
+                    (outcome, load_report(&headers))
+                }
+                Ok(Err(Fault::Interrupted(_))) => (Outcome::ConnectionLost, None),
+                Ok(Err(_)) => (Outcome::NoConnection, None),
+                Err(_) => (Outcome::NoAnswer, None),
+            };
+        self.report_probe(endpoint, outcome, report).await;
     }
 
-    async fn probed(&self, endpoint: EndpointId, outcome: Outcome, report: Option<Report>) {
+    async fn report_probe(&self, endpoint: EndpointId, outcome: Outcome, report: Option<Report>) {
         let _ = self.core.send(Input::Probed { endpoint, outcome, report }).await;
     }
 }
 
 /// Returns when the next message leaves the call, at the latest when the call is closed.
-fn next_end(members: &[Member], close_at: Instant) -> Instant {
-    members.iter().map(|m| m.end).fold(close_at, Instant::min)
+fn next_deadline(entries: &[CallEntry], close_at: Instant) -> Instant {
+    entries.iter().map(|m| m.deadline).fold(close_at, Instant::min)
 }
 
 /// Removes and returns the expired messages, or all of them once the call is due to be closed.
-fn leavers(members: &mut Vec<Member>, close_at: Option<Instant>) -> Vec<Member> {
+fn take_expired(entries: &mut Vec<CallEntry>, close_at: Option<Instant>) -> Vec<CallEntry> {
     let now = Instant::now();
-    let closes = close_at.is_some_and(|at| now >= at);
-    members.extract_if(.., |m| closes || now >= m.end).collect()
+    let is_closing = close_at.is_some_and(|at| now >= at);
+    entries.extract_if(.., |m| is_closing || now >= m.deadline).collect()
 }
 
-fn parts(members: Vec<Member>) -> Vec<Vec<Member>> {
-    let mut parts: Vec<Vec<Member>> = Vec::new();
-    let mut size = 0;
-    for member in members {
-        let t = &member.taken;
-        let texts = t.trace.len() + t.key.as_ref().map_or(0, String::len);
-        let own = t.body.len().div_ceil(3) * 4 + 2 * texts + 40;
-        match parts.last_mut().filter(|_| size + own < MAX_BODY) {
-            Some(part) => part.push(member),
+fn split_by_size(entries: Vec<CallEntry>) -> Vec<Vec<CallEntry>> {
+    let mut chunks: Vec<Vec<CallEntry>> = Vec::new();
+    let mut chunk_size = 0;
+    for entry in entries {
+        let message = &entry.message;
+        let text_len = message.trace.len() + message.key.as_ref().map_or(0, String::len);
+        let entry_size = message.body.len().div_ceil(3) * 4 + 2 * text_len + 40;
+        match chunks.last_mut().filter(|_| chunk_size + entry_size < MAX_BODY) {
+            Some(chunk) => chunk.push(entry),
             None => {
-                parts.push(vec![member]);
-                size = 2;
+                chunks.push(vec![entry]);
+                chunk_size = 2;
             }
         }
-        size += own;
+        chunk_size += entry_size;
     }
-    parts
+    chunks
 }
 
-fn build(members: &[Member], to: SocketAddr, wait: Duration) -> Request<Full<Bytes>> {
-    let wait = wait.as_millis().max(1).to_string();
-    let mut headers = vec![("x-expires-in-ms", wait.as_str())];
-    let [only] = members else {
-        let list: Vec<Value> = members
+fn build_request(entries: &[CallEntry], to: SocketAddr, time_left: Duration) -> Request<Full<Bytes>> {
+    let time_left = time_left.as_millis().max(1).to_string();
+    let mut headers = vec![("x-expires-in-ms", time_left.as_str())];
+    let [only] = entries else {
+        let messages: Vec<Value> = entries
             .iter()
             .map(|m| {
-                let body = base64::engine::general_purpose::STANDARD.encode(&m.taken.body);
-                match &m.taken.key {
-                    Some(key) => json!({"id": m.taken.trace, "key": key, "body": body}),
-                    None => json!({"id": m.taken.trace, "body": body}),
+                let body = base64::engine::general_purpose::STANDARD.encode(&m.message.body);
+                match &m.message.key {
+                    Some(key) => json!({"id": m.message.trace, "key": key, "body": body}),
+                    None => json!({"id": m.message.trace, "body": body}),
                 }
             })
             .collect();
         headers.push(("content-type", "application/json"));
-        return request("POST", "/v1/messages:batch", to, &headers, Value::from(list).to_string().into());
+        return request("POST", "/v1/messages:batch", to, &headers, Value::from(messages).to_string().into());
     };
-    let taken = &only.taken;
-    headers.push(("x-trace-id", &taken.trace));
-    if let Some(key) = &taken.key {
+    let message = &only.message;
+    headers.push(("x-trace-id", &message.trace));
+    if let Some(key) = &message.key {
         headers.push(("idempotency-key", key));
     }
-    request("POST", "/v1/messages", to, &headers, taken.body.clone())
+    request("POST", "/v1/messages", to, &headers, message.body.clone())
 }
 
-pub fn end(m: &Member, endpoint: EndpointId, outcome: Outcome, started: Instant) -> AttemptEnd {
+pub fn attempt_end(
+    entry: &CallEntry,
+    endpoint: EndpointId,
+    outcome: Outcome,
+    started_at: Instant,
+) -> AttemptEnd {
     let done = outcome == Outcome::Served;
-    let took = started.elapsed().as_nanos() as Ns;
-    let (id, attempt) = (m.taken.id, m.attempt);
+    let took = started_at.elapsed().as_nanos() as Ns;
+    let (id, attempt) = (entry.message.id, entry.attempt);
     AttemptEnd { id, attempt, endpoint, outcome, took, done, wait: 0, report: None, kept: false }
 }
 
 /// Maps a response to the outcome of the attempt and whether the message is finished, as the protocol defines
 /// it. After a status that the protocol does not define, the attempt may have run.
-fn outcome(status: u16, headers: &HeaderMap) -> (Outcome, bool) {
+fn outcome_of_status(status: u16, headers: &HeaderMap) -> (Outcome, bool) {
     match status {
         200 => (Outcome::Served, true),
         429 => (Outcome::TurnedAway, false),
@@ -360,17 +389,22 @@
     }
 }
 
-fn read_ends(members: &[Member], answer: &Answer, endpoint: EndpointId, started: Instant) -> Vec<AttemptEnd> {
-    let wait = wait_told(&answer.headers).map_or(0, |w| w.as_nanos() as Ns);
+fn attempt_ends(
+    entries: &[CallEntry],
+    answer: &Answer,
+    endpoint: EndpointId,
+    started_at: Instant,
+) -> Vec<AttemptEnd> {
+    let wait = retry_after(&answer.headers).map_or(0, |w| w.as_nanos() as Ns);
     let report = load_report(&answer.headers);
-    let list: Option<Vec<Value>> =
-        answer.ends.as_ref().map(|b| serde_json::from_slice(b).unwrap_or_default());
+    let results: Option<Vec<Value>> =
+        answer.batch_body.as_ref().map(|b| serde_json::from_slice(b).unwrap_or_default());
     let text = |v: &Value, key: &str| v.get(key).and_then(Value::as_str).map(str::to_string);
     let states: Option<HashMap<String, String>> =
-        list.map(|l| l.iter().filter_map(|v| Some((text(v, "id")?, text(v, "state")?))).collect());
-    let state = |m: &Member| {
-        let Some(states) = &states else { return outcome(answer.status, &answer.headers) };
-        match states.get(&m.taken.trace).map(String::as_str) {
+        results.map(|l| l.iter().filter_map(|v| Some((text(v, "id")?, text(v, "state")?))).collect());
+    let state = |m: &CallEntry| {
+        let Some(states) = &states else { return outcome_of_status(answer.status, &answer.headers) };
+        match states.get(&m.message.trace).map(String::as_str) {
             Some("done") => (Outcome::Served, true),
             Some("busy") => (Outcome::TurnedAway, false),
             Some("void") => (Outcome::NotSent, true),
@@ -379,11 +413,11 @@
             _ => (Outcome::ServerError, false),
         }
     };
-    let tell = |m: &Member| {
+    let to_end = |m: &CallEntry| {
         let (outcome, done) = state(m);
-        AttemptEnd { done, wait, report, ..end(m, endpoint, outcome, started) }
+        AttemptEnd { done, wait, report, ..attempt_end(m, endpoint, outcome, started_at) }
     };
-    members.iter().map(tell).collect()
+    entries.iter().map(to_end).collect()
 }
 
 /// Skips interim (1xx) responses and returns the received bytes after them.
@@ -399,7 +433,7 @@
 }
 
 /// Returns whether a complete status line with code 200 has been received.
-fn says_200(bytes: &[u8]) -> bool {
+fn is_status_200(bytes: &[u8]) -> bool {
     let head = final_head(bytes);
     let line = head.split(|&b| b == b'\n').next().filter(|line| line.len() < head.len());
     let mut words = line.unwrap_or_default().trim_ascii_end().splitn(3, |&b| b == b' ');
@@ -407,25 +441,25 @@
 }
 
 /// Returns when a final (not interim) response head has started but not ended within `HEAD_TIMEOUT`.
-async fn head_is_late<S: Stream>(socket: &Socket<S>) {
+async fn head_overdue<S: Stream>(socket: &Socket<S>) {
     loop {
-        match socket.heard() {
-            None => socket.news.notified().await,
-            Some(heard) => {
-                sleep_until(heard + HEAD).await;
-                if !final_head(&socket.head()).is_empty() {
+        match socket.first_byte_at() {
+            None => socket.readable.notified().await,
+            Some(first_byte_at) => {
+                sleep_until(first_byte_at + HEAD_TIMEOUT).await;
+                if !final_head(&socket.received_head()).is_empty() {
                     return;
                 }
-                socket.hear_on();
+                socket.clear_first_byte();
             }
         }
     }
 }
 
 /// Parses `Retry-After` in seconds, with or without a decimal fraction.
-fn wait_told(headers: &HeaderMap) -> Option<Duration> {
+fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
-    (seconds > 0.0 && seconds.is_finite()).then(|| Duration::from_secs_f64(seconds.min(LONGEST_WAIT)))
+    (seconds > 0.0 && seconds.is_finite()).then(|| Duration::from_secs_f64(seconds.min(MAX_RETRY_AFTER_S)))
 }
 
 /// Parses `Endpoint-Load-Metrics: TEXT x0=0.4, x1=25`. A header with a missing or invalid value is ignored as
--- a/crates/serve/nickelshed/src/config/mod.rs
+++ b/crates/serve/nickelshed/src/config/mod.rs
@@ -5,7 +5,7 @@
 
 pub use platform::EnvironmentVariables;
 
-use crate::list::List;
+use crate::list::EndpointList;
 use nickelshed_config::sidecar::Durability;
 use nickelshed_config::Operator;
 use nickelshed_policy::api::Settings;
@@ -37,10 +37,10 @@
 
 /// Where the list of endpoints comes from.
 #[derive(Clone, Copy, Debug)]
-pub enum Endpoints {
+pub enum EndpointSource {
     Discovery(SocketAddr),
     /// The configuration file lists the endpoints.
-    Listed,
+    Static,
 }
 
 /// A receiver of notices: how accepted messages ended that were not delivered.
@@ -59,23 +59,23 @@
     /// The application that this sidecar serves; None on the platform.
     pub application: Option<String>,
     pub listen: SocketAddr,
-    pub endpoints: Endpoints,
+    pub endpoint_source: EndpointSource,
     pub notices: Vec<Sink>,
     pub state: PathBuf,
     pub seed: u64,
     pub limits: Limits,
     pub durability: Durability,
-    pub known: List,
+    pub initial_list: EndpointList,
     pub settings: Settings,
-    pub around: Around,
+    pub context: Around,
     /// None if the sender is not a member of a fleet.
-    pub fleet: Option<crate::fleet::Fellowship>,
+    pub fleet: Option<crate::fleet::FleetConfig>,
 }
 
 /// The part of a configuration that takes effect without a restart.
-pub struct Fresh {
+pub struct ReloadableConfig {
     pub discovery: Option<SocketAddr>,
-    pub list: Option<List>,
+    pub list: Option<EndpointList>,
 }
 
 impl ConfigSource {
@@ -83,8 +83,8 @@
     /// Returns every reason why the sender cannot start with this configuration.
     pub(crate) fn read(&self) -> Result<Config, String> {
         match self {
-            ConfigSource::Platform(operator) => EnvironmentVariables::by_environment()?.read(operator),
-            ConfigSource::InMemory(operator, told) => told.borrow().read(operator),
+            ConfigSource::Platform(operator) => EnvironmentVariables::from_environment()?.read(operator),
+            ConfigSource::InMemory(operator, variables) => variables.borrow().read(operator),
             ConfigSource::Sidecar(path) => sidecar::read(path),
         }
     }
@@ -94,11 +94,11 @@
     ///
     /// # Errors
     /// Returns what is wrong with the file; the caller then applies nothing of it.
-    pub(crate) fn reread(&self) -> Result<Fresh, String> {
+    pub(crate) fn read_reloadable(&self) -> Result<ReloadableConfig, String> {
         match self {
-            ConfigSource::Platform(_) => EnvironmentVariables::by_environment()?.reread(),
-            ConfigSource::InMemory(_, told) => told.borrow().reread(),
-            ConfigSource::Sidecar(path) => sidecar::reread(path),
+            ConfigSource::Platform(_) => EnvironmentVariables::from_environment()?.read_reloadable(),
+            ConfigSource::InMemory(_, variables) => variables.borrow().read_reloadable(),
+            ConfigSource::Sidecar(path) => sidecar::read_reloadable(path),
         }
     }
 }
--- a/crates/serve/nickelshed/src/config/platform.rs
+++ b/crates/serve/nickelshed/src/config/platform.rs
@@ -1,8 +1,8 @@
 //! The platform's configuration: environment variables and config.json, read at startup; on SIGHUP only the
 //! file is read again.
-use super::{Config, Endpoints, Fresh, Limits, Sink};
-use crate::fleet::{Fellowship, Notes};
-use crate::list::List;
+use super::{Config, EndpointSource, Limits, ReloadableConfig, Sink};
+use crate::fleet::{FleetConfig, PlatformPeers};
+use crate::list::EndpointList;
 use nickelshed_config::Operator;
 use nickelshed_settings as settings;
 use serde::Deserialize;
@@ -10,14 +10,14 @@
 use std::net::SocketAddr;
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
     seed: Option<Value>,
     limits: Limits,
     #[serde(default)]
-    known: List,
+    known: EndpointList,
     settings: Value,
     /// The addresses of the other senders and the one to listen on for their datagrams. They are kept as raw
     /// JSON so that an unexpected form does not prevent the start; the sender then runs without a fleet.
@@ -27,11 +27,11 @@
     peer_listen: Value,
 }
 
-impl File {
-    fn notes(&self) -> Option<Notes> {
+impl ConfigFile {
+    fn platform_peers(&self) -> Option<PlatformPeers> {
         let address = |v: &Value| v.as_str()?.parse::<SocketAddr>().ok();
-        let peers = self.peers.as_array()?.iter().map(address).collect::<Option<Vec<_>>>()?;
-        Some(Notes { peers, listen: address(&self.peer_listen)? })
+        let addresses = self.peers.as_array()?.iter().map(address).collect::<Option<Vec<_>>>()?;
+        Some(PlatformPeers { addresses, listen: address(&self.peer_listen)? })
     }
 }
 
@@ -48,7 +48,7 @@
 
 impl EnvironmentVariables {
     /// Reads the environment of this process, and the file that EDGE_CONFIG names.
-    pub(super) fn by_environment() -> Result<EnvironmentVariables, String> {
+    pub(super) fn from_environment() -> Result<EnvironmentVariables, String> {
         let var = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
         let config_path = var("EDGE_CONFIG")
             .ok_or("EDGE_CONFIG is not set; to run without a platform give --config FILE")?;
@@ -58,7 +58,7 @@
         Ok(EnvironmentVariables { listen, discovery, state: var("EDGE_STATE"), config, config_path })
     }
 
-    fn file(&self) -> Result<File, String> {
+    fn parse_file(&self) -> Result<ConfigFile, String> {
         serde_json::from_str(&self.config).map_err(|e| format!("{}: {e}", self.config_path))
     }
 
@@ -70,36 +70,36 @@
     }
 
     /// Returns the address of discovery in the current file. Changes to all other keys need a restart.
-    pub(super) fn reread(&self) -> Result<Fresh, String> {
-        Ok(Fresh { discovery: Some(self.discovery(self.file()?.discovery)?), list: None })
+    pub(super) fn read_reloadable(&self) -> Result<ReloadableConfig, String> {
+        Ok(ReloadableConfig { discovery: Some(self.discovery(self.parse_file()?.discovery)?), list: None })
     }
 
     pub(super) fn read(&self, operator: &Operator) -> Result<Config, String> {
-        let file = self.file()?;
+        let file = self.parse_file()?;
         let settings = settings::read(&file.settings);
-        let (settings, around) = settings.map_err(|e| format!("{}: settings: {e}", self.config_path))?;
+        let (settings, context) = settings.map_err(|e| format!("{}: settings: {e}", self.config_path))?;
         let state: std::path::PathBuf = self.state.as_ref().ok_or("EDGE_STATE is not set")?.into();
-        let number = file.seed.as_ref().map_or(0, seed);
-        let member = |notes| {
-            let site = around.zones.get(settings.zone).map_or("", String::as_str);
-            let digest = crc32fast::hash(file.settings.to_string().as_bytes());
+        let seed = file.seed.as_ref().map_or(0, parse_seed);
+        let fleet_config = |peers| {
+            let site = context.zones.get(settings.zone).map_or("", String::as_str);
+            let settings_digest = crc32fast::hash(file.settings.to_string().as_bytes());
             let name = file.name.as_deref()?;
-            Fellowship::on_platform(name, site, notes, number, settings.n_instances, digest)
+            FleetConfig::from_platform(name, site, peers, seed, settings.n_instances, settings_digest)
         };
-        let fleet = file.notes().filter(|_| around.notes).and_then(member);
+        let fleet = file.platform_peers().filter(|_| context.notes).and_then(fleet_config);
         Ok(Config {
             fleet,
             application: None,
             listen: address("EDGE_LISTEN", self.listen.clone(), file.listen)?,
-            endpoints: Endpoints::Discovery(self.discovery(file.discovery)?),
+            endpoint_source: EndpointSource::Discovery(self.discovery(file.discovery)?),
             notices: vec![Sink::Platform],
             state,
-            seed: number,
+            seed,
             limits: file.limits,
             durability: operator.journal.durability,
-            known: file.known,
+            initial_list: file.known,
             settings,
-            around,
+            context,
         })
     }
 }
@@ -112,7 +112,7 @@
 
 /// Reads the seed, a hexadecimal string. A value in any other form is hashed, so that different values still
 /// give different seeds.
-fn seed(value: &Value) -> u64 {
+fn parse_seed(value: &Value) -> u64 {
     let text = value.as_str().map_or_else(|| value.to_string(), str::to_string);
     u64::from_str_radix(&text, 16).unwrap_or_else(|_| crc32fast::hash(text.as_bytes()).into())
 }
--- a/crates/serve/nickelshed/src/config/sidecar.rs
+++ b/crates/serve/nickelshed/src/config/sidecar.rs
@@ -1,6 +1,6 @@
 //! The sidecar's configuration: one TOML file, in which paths are relative to the folder of the file.
-use super::{Config, Endpoints, Fresh, Limits, Sink};
-use crate::list::{Instance, List};
+use super::{Config, EndpointSource, Limits, ReloadableConfig, Sink};
+use crate::list::{EndpointList, Instance};
 use nickelshed_config::sidecar::{Sidecar, MAX_FILE};
 use nickelshed_config::{compile, url, Finding};
 use std::hash::{BuildHasher, Hasher};
@@ -21,7 +21,7 @@
     })
 }
 
-fn list(sidecar: &Sidecar) -> List {
+fn list(sidecar: &Sidecar) -> EndpointList {
     let instance = |listed: compile::Listed| Instance {
         name: listed.name,
         address: listed.address,
@@ -31,23 +31,23 @@
         lifecycle: if listed.draining { "Terminating" } else { "Ready" }.to_string(),
         weight: listed.rate,
     };
-    List::whole(compile::listed(sidecar).into_iter().map(instance).collect())
+    EndpointList::full(compile::listed(sidecar).into_iter().map(instance).collect())
 }
 
 /// Returns the part of the file that takes effect without a restart: the endpoints, or the address of
 /// discovery.
-pub(super) fn reread(path: &Path) -> Result<Fresh, String> {
+pub(super) fn read_reloadable(path: &Path) -> Result<ReloadableConfig, String> {
     let sidecar = load(path)?;
     Ok(match sidecar.discovery {
-        Some(discovery) => Fresh { discovery: Some(discovery.address), list: None },
-        None => Fresh { discovery: None, list: Some(list(&sidecar)) },
+        Some(discovery) => ReloadableConfig { discovery: Some(discovery.address), list: None },
+        None => ReloadableConfig { discovery: None, list: Some(list(&sidecar)) },
     })
 }
 
 pub(super) fn read(path: &Path) -> Result<Config, String> {
     let sidecar = load(path)?;
     let folder = path.parent().unwrap_or(Path::new(""));
-    let (settings, around) = compile::settings(&sidecar);
+    let (settings, context) = compile::settings(&sidecar);
     let state = folder.join(&sidecar.state);
     std::fs::create_dir_all(&state)
         .map_err(|e| format!("cannot create the state folder {}: {e}", state.display()))?;
@@ -61,17 +61,27 @@
     let http = http.map(|url| Sink::Http { address: url.address, path: url.path });
     let file = sidecar.notices.file.as_ref().map(|file| Sink::File(folder.join(file)));
     let seed = std::collections::hash_map::RandomState::new().build_hasher().finish();
-    let digest = crc32fast::hash(format!("{settings:?}").as_bytes());
-    let member = |m| {
-        let (application, planned) = (&sidecar.application, settings.n_instances);
-        crate::fleet::Fellowship::read(m, application, folder, seed, planned, digest)
+    let settings_digest = crc32fast::hash(format!("{settings:?}").as_bytes());
+    let fleet_config = |membership| {
+        let (application, configured_senders) = (&sidecar.application, settings.n_instances);
+        crate::fleet::FleetConfig::from_sidecar(
+            membership,
+            application,
+            folder,
+            seed,
+            configured_senders,
+            settings_digest,
+        )
     };
-    let fleet = sidecar.fleet.as_ref().map(member).transpose()?;
+    let fleet = sidecar.fleet.as_ref().map(fleet_config).transpose()?;
     Ok(Config {
         fleet,
         application: Some(sidecar.application.clone()),
         listen: sidecar.listen,
-        endpoints: sidecar.discovery.as_ref().map_or(Endpoints::Listed, |d| Endpoints::Discovery(d.address)),
+        endpoint_source: sidecar
+            .discovery
+            .as_ref()
+            .map_or(EndpointSource::Static, |d| EndpointSource::Discovery(d.address)),
         notices: http.into_iter().chain(file).collect(),
         state,
         seed,
@@ -81,8 +91,8 @@
             disk_mb: sidecar.limits.disk.0 as f64 / 1e6,
         },
         durability: sidecar.journal.durability,
-        known: list(&sidecar),
+        initial_list: list(&sidecar),
         settings,
-        around,
+        context,
     })
 }
--- a/crates/serve/nickelshed/src/connections.rs
+++ b/crates/serve/nickelshed/src/connections.rs
@@ -1,6 +1,6 @@
 //! Connections to endpoints, discovery and the platform: the connection pool, its limits, and which endpoints
 //! may currently be written to.
-use crate::socket::{Io, Socket, MAX_HEAD, MAX_HEADERS};
+use crate::socket::{Socket, SocketIo, MAX_HEAD, MAX_HEADERS};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -21,37 +21,37 @@
 use tokio::time::{timeout, Instant};
 
 /// How long to wait for the rest of an answer whose outcome is already known before its connection is closed.
-const TAIL: Duration = Duration::from_millis(100);
+const TAIL_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Why a request got no answer.
 pub enum Fault {
     /// The reused connection had already been closed; the HTTP library returned the request unwritten.
-    Unsent,
+    ClosedBeforeWrite,
     /// Nothing was written on a new connection.
-    NeverRan(String),
+    NotWritten(String),
     /// The endpoint may have read the request.
-    Broken(String),
+    Interrupted(String),
 }
 
 impl std::fmt::Display for Fault {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Fault::Unsent => write!(f, "the connection was already closed"),
-            Fault::NeverRan(why) | Fault::Broken(why) => write!(f, "{why}"),
+            Fault::ClosedBeforeWrite => write!(f, "the connection was already closed"),
+            Fault::NotWritten(why) | Fault::Interrupted(why) => write!(f, "{why}"),
         }
     }
 }
 
 /// One HTTP/1.1 connection. Dropping it closes the socket immediately, also in the middle of an exchange.
 pub struct Connection<H: Host> {
-    pub at: SocketAddr,
-    sender: SendRequest<Full<Bytes>>,
+    pub address: SocketAddr,
+    request_sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
     pub socket: Rc<Socket<H::Stream>>,
     idle_since: Instant,
     /// Whether it has carried an exchange.
-    used: bool,
-    _counted: Option<Counted>,
+    was_used: bool,
+    _open_guard: Option<OpenGuard>,
 }
 
 impl<H: Host> Drop for Connection<H> {
@@ -61,35 +61,46 @@
 }
 
 impl<H: Host> Connection<H> {
-    pub async fn open(host: &H, at: SocketAddr, dial: Duration) -> io::Result<Connection<H>> {
-        let socket = Socket::new(timeout(dial, host.connect(at)).await??);
-        let made = http1::Builder::new()
+    pub async fn open(host: &H, address: SocketAddr, dial_timeout: Duration) -> io::Result<Connection<H>> {
+        let socket = Socket::new(timeout(dial_timeout, host.connect(address)).await??);
+        let handshake_result = http1::Builder::new()
             .title_case_headers(true)
             .max_buf_size(MAX_HEAD)
             .max_headers(MAX_HEADERS)
-            .handshake(TokioIo::new(Io(socket.clone())))
+            .handshake(TokioIo::new(SocketIo(socket.clone())))
             .await;
-        let (sender, connection) = made.map_err(io::Error::other)?;
+        let (request_sender, connection) = handshake_result.map_err(io::Error::other)?;
         let task = tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
                 tracing::debug!(%error, "a connection failed");
             }
         });
         let idle_since = Instant::now();
-        Ok(Connection { at, sender, task, socket, idle_since, used: false, _counted: None })
+        Ok(Connection {
+            address,
+            request_sender,
+            task,
+            socket,
+            idle_since,
+            was_used: false,
+            _open_guard: None,
+        })
     }
 
     /// Reuses the connection of the previous exchange if it is still open and leads to `address`, or else
     /// opens a new one.
-    pub async fn kept_or_new(
-        kept: &mut Option<Connection<H>>,
+    pub async fn reuse_or_open(
+        idle_connection: &mut Option<Connection<H>>,
         host: &H,
-        at: SocketAddr,
-        dial: Duration,
+        address: SocketAddr,
+        dial_timeout: Duration,
     ) -> io::Result<Connection<H>> {
-        match kept.take().filter(|link| link.at == at && link.is_open()) {
-            Some(link) => Ok(link),
-            None => Connection::open(host, at, dial).await,
+        match idle_connection
+            .take()
+            .filter(|connection| connection.address == address && connection.is_open())
+        {
+            Some(connection) => Ok(connection),
+            None => Connection::open(host, address, dial_timeout).await,
         }
     }
 
@@ -100,27 +111,29 @@
     }
 
     /// How long it has been idle; None if it has not carried an exchange yet.
-    pub fn idle(&self) -> Option<Duration> {
-        self.used.then(|| self.idle_since.elapsed())
+    pub fn idle_time(&self) -> Option<Duration> {
+        self.was_used.then(|| self.idle_since.elapsed())
     }
 
     /// Whether a request may be written to it. False if unread bytes are waiting, since they belong to no
     /// request.
     pub fn is_open(&self) -> bool {
-        self.sender.is_ready() && !self.task.is_finished() && !self.socket.has_news()
+        self.request_sender.is_ready() && !self.task.is_finished() && !self.socket.has_unread_data()
     }
 
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Fault> {
-        let before = self.socket.written();
-        let used = std::mem::replace(&mut self.used, true);
-        self.socket.listen();
-        self.sender.try_send_request(request).await.map_err(|mut e| match e.take_message() {
-            None if self.socket.written() > before => Fault::Broken(e.into_error().to_string()),
-            _ if used => Fault::Unsent,
+        let bytes_before = self.socket.bytes_written();
+        let was_used = std::mem::replace(&mut self.was_used, true);
+        self.socket.begin_exchange();
+        self.request_sender.try_send_request(request).await.map_err(|mut e| match e.take_message() {
+            None if self.socket.bytes_written() > bytes_before => {
+                Fault::Interrupted(e.into_error().to_string())
+            }
+            _ if was_used => Fault::ClosedBeforeWrite,
             // A new connection that is closed at once is not retried here; the retries could go on until the
             // call times out.
-            Some(_) => Fault::NeverRan("closed as soon as it was opened".into()),
-            None => Fault::NeverRan(e.into_error().to_string()),
+            Some(_) => Fault::NotWritten("closed as soon as it was opened".into()),
+            None => Fault::NotWritten(e.into_error().to_string()),
         })
     }
 
@@ -128,28 +141,29 @@
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
-        most: usize,
+        max_body: usize,
     ) -> Result<(u16, HeaderMap, Bytes), Fault> {
         let (head, body) = self.send(request).await?.into_parts();
-        self.socket.rest();
-        let body = Limited::new(body, most).collect().await.map_err(|e| Fault::Broken(e.to_string()))?;
+        self.socket.end_exchange();
+        let body =
+            Limited::new(body, max_body).collect().await.map_err(|e| Fault::Interrupted(e.to_string()))?;
         // Without this wait, the next request could find the connection still busy with the end of this
         // answer.
-        let _ = timeout(TAIL, self.sender.ready()).await;
+        let _ = timeout(TAIL_TIMEOUT, self.request_sender.ready()).await;
         Ok((head.status.as_u16(), head.headers, body.to_bytes()))
     }
 
     /// Reads the remaining body of an answer whose outcome is known. Returns whether the connection can be
     /// reused.
-    pub async fn finish(&mut self, rest: Option<Incoming>) -> bool {
+    pub async fn drain_answer(&mut self, remaining: Option<Incoming>) -> bool {
         let read = async {
-            let whole = match rest {
-                Some(rest) => Limited::new(rest, MAX_BODY).collect().await.is_ok(),
+            let complete = match remaining {
+                Some(remaining) => Limited::new(remaining, MAX_BODY).collect().await.is_ok(),
                 None => true,
             };
-            whole && self.sender.ready().await.is_ok()
+            complete && self.request_sender.ready().await.is_ok()
         };
-        matches!(timeout(TAIL, read).await, Ok(true))
+        matches!(timeout(TAIL_TIMEOUT, read).await, Ok(true))
     }
 }
 
@@ -174,167 +188,182 @@
     request
 }
 
-struct Place {
+struct EndpointState {
     address: SocketAddr,
     route: (DestId, Option<EndpointId>),
-    usable: bool,
+    is_usable: bool,
     /// Connections idle for at least this time are not reused there, until the given instant.
-    brief: Option<(Duration, Instant)>,
+    short_idle: Option<(Duration, Instant)>,
 }
 
 /// Some endpoints close idle connections earlier than configured, which shows as a reset of the next request.
 /// `SHORT_IDLE_RETENTION` is how long an observed shorter idle time is applied. A reset after less than
 /// `MIN_SHORT_IDLE` of idling is not taken as a sign of it.
-const DISTRUST: Duration = Duration::from_secs(30);
-const LEAST_IDLE: Duration = Duration::from_millis(50);
+const SHORT_IDLE_RETENTION: Duration = Duration::from_secs(30);
+const MIN_SHORT_IDLE: Duration = Duration::from_millis(50);
 
 pub struct Pool<H: Host> {
     host: H,
-    pub dial: Duration,
-    idle: Duration,
+    pub dial_timeout: Duration,
+    idle_timeout: Duration,
     /// Limit of open connections to endpoints.
-    most: usize,
-    open: Rc<Cell<usize>>,
+    max_open: usize,
+    open_count: Rc<Cell<usize>>,
     /// Ordered, so that connections closed together close in the same order in every run. The endpoints can
     /// see the order.
-    links: RefCell<BTreeMap<EndpointId, Vec<Connection<H>>>>,
-    places: RefCell<HashMap<EndpointId, Place>>,
-    waits: RefCell<HashMap<(DestId, Option<EndpointId>), Instant>>,
+    idle_connections: RefCell<BTreeMap<EndpointId, Vec<Connection<H>>>>,
+    endpoints: RefCell<HashMap<EndpointId, EndpointState>>,
+    retry_after_until: RefCell<HashMap<(DestId, Option<EndpointId>), Instant>>,
 }
 
 impl<H: Host> Pool<H> {
-    pub fn new(host: H, dial: Ns, idle: Ns, most: usize) -> Pool<H> {
+    pub fn new(host: H, dial_timeout: Ns, idle_timeout: Ns, max_open: usize) -> Pool<H> {
         // Kept shorter than the endpoint's own idle timeout, because a request written on a connection that
         // the endpoint has closed is reset.
-        let idle = Duration::from_nanos((idle.max(0) as f64 * 0.9) as u64);
+        let idle_timeout = Duration::from_nanos((idle_timeout.max(0) as f64 * 0.9) as u64);
         Pool {
             host,
-            dial: Duration::from_nanos(dial.max(MS) as u64),
-            idle,
-            most,
-            open: Rc::default(),
-            links: RefCell::default(),
-            places: RefCell::default(),
-            waits: RefCell::default(),
+            dial_timeout: Duration::from_nanos(dial_timeout.max(MS) as u64),
+            idle_timeout,
+            max_open,
+            open_count: Rc::default(),
+            idle_connections: RefCell::default(),
+            endpoints: RefCell::default(),
+            retry_after_until: RefCell::default(),
         }
     }
 
     /// Applies an entry of the endpoint list. An endpoint that is not ready gets no further requests.
-    pub fn place(
+    pub fn update_endpoint(
         &self,
         endpoint: EndpointId,
         address: SocketAddr,
         dest: DestId,
-        separate: bool,
-        usable: bool,
+        separate_routes: bool,
+        is_usable: bool,
     ) {
-        let mut places = self.places.borrow_mut();
-        let brief = places.get(&endpoint).filter(|p| p.address == address).and_then(|p| p.brief);
-        let place = Place { address, route: (dest, separate.then_some(endpoint)), usable, brief };
-        let old = places.insert(endpoint, place);
-        if !usable || old.is_some_and(|old| old.address != address) {
+        let mut endpoints = self.endpoints.borrow_mut();
+        let short_idle = endpoints.get(&endpoint).filter(|e| e.address == address).and_then(|e| e.short_idle);
+        let state = EndpointState {
+            address,
+            route: (dest, separate_routes.then_some(endpoint)),
+            is_usable,
+            short_idle,
+        };
+        let previous = endpoints.insert(endpoint, state);
+        if !is_usable || previous.is_some_and(|previous| previous.address != address) {
             self.close_idle(endpoint);
         }
     }
 
     /// Called before a full list is applied: an endpoint missing from it is unavailable.
-    pub fn withdraw_all(&self) {
-        self.places.borrow_mut().values_mut().for_each(|p| p.usable = false);
+    pub fn mark_all_unavailable(&self) {
+        self.endpoints.borrow_mut().values_mut().for_each(|e| e.is_usable = false);
     }
 
     /// Whether nothing more may be written to an endpoint and no retry-after is stored under its id.
-    pub fn is_done_with(&self, endpoint: EndpointId) -> bool {
-        let places = self.places.borrow();
-        let Some(place) = places.get(&endpoint) else { return true };
-        !place.usable && (place.route.1.is_none() || !self.waits.borrow().contains_key(&place.route))
+    pub fn can_forget(&self, endpoint: EndpointId) -> bool {
+        let endpoints = self.endpoints.borrow();
+        let Some(state) = endpoints.get(&endpoint) else { return true };
+        !state.is_usable
+            && (state.route.1.is_none() || !self.retry_after_until.borrow().contains_key(&state.route))
     }
 
     /// Removes an endpoint that has not been listed for so long that its id is no longer in use.
     pub fn forget(&self, endpoint: EndpointId) {
-        self.places.borrow_mut().remove(&endpoint);
+        self.endpoints.borrow_mut().remove(&endpoint);
         self.close_idle(endpoint);
     }
 
     pub fn close_idle(&self, endpoint: EndpointId) {
-        self.links.borrow_mut().remove(&endpoint);
+        self.idle_connections.borrow_mut().remove(&endpoint);
     }
 
     /// Closes connections that were idle too long or closed by the endpoint, and drops expired retry-after
     /// times.
-    pub async fn keep(self: Rc<Self>) {
-        let mut every = tokio::time::interval(Duration::from_millis(100));
+    pub async fn run_maintenance(self: Rc<Self>) {
+        let mut ticker = tokio::time::interval(Duration::from_millis(100));
         loop {
-            every.tick().await;
+            ticker.tick().await;
             let now = Instant::now();
-            self.links.borrow_mut().retain(|_, links| {
-                links.retain(|l| l.is_open() && now - l.idle_since < self.idle);
-                !links.is_empty()
+            self.idle_connections.borrow_mut().retain(|_, connections| {
+                connections.retain(|c| c.is_open() && now - c.idle_since < self.idle_timeout);
+                !connections.is_empty()
             });
-            self.waits.borrow_mut().retain(|_, until| *until > now);
+            self.retry_after_until.borrow_mut().retain(|_, until| *until > now);
         }
     }
 
     pub fn may_write(&self, endpoint: EndpointId) -> bool {
-        let places = self.places.borrow();
-        let Some(place) = places.get(&endpoint).filter(|p| p.usable) else { return false };
-        self.waits.borrow().get(&place.route).is_none_or(|&until| until <= Instant::now())
+        let endpoints = self.endpoints.borrow();
+        let Some(state) = endpoints.get(&endpoint).filter(|e| e.is_usable) else { return false };
+        self.retry_after_until.borrow().get(&state.route).is_none_or(|&until| until <= Instant::now())
     }
 
-    pub fn heed_wait(&self, endpoint: EndpointId, wait: Duration) {
-        let places = self.places.borrow();
-        let Some(place) = places.get(&endpoint) else { return };
+    pub fn apply_retry_after(&self, endpoint: EndpointId, wait: Duration) {
+        let endpoints = self.endpoints.borrow();
+        let Some(state) = endpoints.get(&endpoint) else { return };
         let until = Instant::now() + wait;
-        let mut waits = self.waits.borrow_mut();
-        let held = waits.entry(place.route).or_insert(until);
-        *held = until.max(*held);
+        let mut retry_after_until = self.retry_after_until.borrow_mut();
+        let current = retry_after_until.entry(state.route).or_insert(until);
+        *current = until.max(*current);
     }
 
     /// A reused connection was reset on a request after this idle time; connections idle for longer are not
     /// trusted either.
-    pub fn distrust(&self, endpoint: EndpointId, idle: Duration) {
+    pub fn limit_idle_time(&self, endpoint: EndpointId, idle: Duration) {
         self.close_idle(endpoint);
-        if let Some(place) = self.places.borrow_mut().get_mut(&endpoint).filter(|_| idle >= LEAST_IDLE) {
-            place.brief = Some(((idle * 3 / 4).max(LEAST_IDLE), Instant::now() + DISTRUST));
+        if let Some(state) = self.endpoints.borrow_mut().get_mut(&endpoint).filter(|_| idle >= MIN_SHORT_IDLE)
+        {
+            state.short_idle =
+                Some(((idle * 3 / 4).max(MIN_SHORT_IDLE), Instant::now() + SHORT_IDLE_RETENTION));
         }
     }
 
     fn take_idle(&self, endpoint: EndpointId) -> Option<Connection<H>> {
         let now = Instant::now();
-        let brief =
-            self.places.borrow().get(&endpoint).and_then(|p| p.brief).filter(|(_, until)| now < *until);
-        let most = brief.map_or(self.idle, |(idle, _)| idle.min(self.idle));
-        let mut pool = self.links.borrow_mut();
-        let links = pool.get_mut(&endpoint)?;
-        std::iter::from_fn(|| links.pop()).find(|l| l.is_open() && now - l.idle_since < most)
+        let short_idle = self
+            .endpoints
+            .borrow()
+            .get(&endpoint)
+            .and_then(|e| e.short_idle)
+            .filter(|(_, until)| now < *until);
+        let max_idle = short_idle.map_or(self.idle_timeout, |(idle, _)| idle.min(self.idle_timeout));
+        let mut idle_connections = self.idle_connections.borrow_mut();
+        let connections = idle_connections.get_mut(&endpoint)?;
+        std::iter::from_fn(|| connections.pop()).find(|c| c.is_open() && now - c.idle_since < max_idle)
     }
 
     /// If the limit is reached, closes the connection that has been idle longest. Returns whether a new one
     /// may be opened.
-    fn make_place(&self) -> bool {
-        if self.open.get() < self.most {
+    fn ensure_capacity(&self) -> bool {
+        if self.open_count.get() < self.max_open {
             return true;
         }
-        let mut pool = self.links.borrow_mut();
-        let oldest = pool.iter().filter_map(|(&e, links)| Some((links.first()?.idle_since, e))).min();
+        let mut idle_connections = self.idle_connections.borrow_mut();
+        let oldest = idle_connections
+            .iter()
+            .filter_map(|(&e, connections)| Some((connections.first()?.idle_since, e)))
+            .min();
         let Some((_, endpoint)) = oldest else { return false };
-        pool.get_mut(&endpoint).map(|links| links.remove(0)).is_some()
+        idle_connections.get_mut(&endpoint).map(|connections| connections.remove(0)).is_some()
     }
 
     pub async fn connect(&self, endpoint: EndpointId) -> Result<Connection<H>, Outcome> {
-        if let Some(link) = self.take_idle(endpoint) {
-            return Ok(link);
+        if let Some(connection) = self.take_idle(endpoint) {
+            return Ok(connection);
         }
-        let address = self.places.borrow().get(&endpoint).filter(|p| p.usable).map(|p| p.address);
-        let Some(address) = address.filter(|_| self.make_place()) else {
+        let address = self.endpoints.borrow().get(&endpoint).filter(|e| e.is_usable).map(|e| e.address);
+        let Some(address) = address.filter(|_| self.ensure_capacity()) else {
             return Err(Outcome::NotSent);
         };
         // Counted before it is established, so that many concurrent connection attempts also stay within the
         // limit.
-        let counted = Counted::new(&self.open);
-        match Connection::open(&self.host, address, self.dial).await {
-            Ok(mut link) => {
-                link._counted = Some(counted);
-                Ok(link)
+        let open_guard = OpenGuard::new(&self.open_count);
+        match Connection::open(&self.host, address, self.dial_timeout).await {
+            Ok(mut connection) => {
+                connection._open_guard = Some(open_guard);
+                Ok(connection)
             }
             Err(error) => {
                 tracing::debug!(%address, %error, "cannot connect to the endpoint");
@@ -344,25 +373,30 @@
     }
 
     /// Returns an idle connection to the pool.
-    pub fn give_back(&self, endpoint: EndpointId, mut link: Connection<H>) {
-        if self.places.borrow().get(&endpoint).is_some_and(|p| p.usable && p.address == link.at) {
-            link.idle_since = Instant::now();
-            self.links.borrow_mut().entry(endpoint).or_default().push(link);
+    pub fn release(&self, endpoint: EndpointId, mut connection: Connection<H>) {
+        if self
+            .endpoints
+            .borrow()
+            .get(&endpoint)
+            .is_some_and(|e| e.is_usable && e.address == connection.address)
+        {
+            connection.idle_since = Instant::now();
+            self.idle_connections.borrow_mut().entry(endpoint).or_default().push(connection);
         }
     }
 }
 
 /// Counts one connection to an endpoint, from the connection attempt until it is closed.
-struct Counted(Rc<Cell<usize>>);
+struct OpenGuard(Rc<Cell<usize>>);
 
-impl Counted {
-    fn new(open: &Rc<Cell<usize>>) -> Counted {
-        open.set(open.get() + 1);
-        Counted(open.clone())
+impl OpenGuard {
+    fn new(open_count: &Rc<Cell<usize>>) -> OpenGuard {
+        open_count.set(open_count.get() + 1);
+        OpenGuard(open_count.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/serve/nickelshed/src/core/outages/tests.rs
+++ b/crates/serve/nickelshed/src/core/outages/tests.rs
@@ -1,43 +1,43 @@
 use super::*;
 
 /// Capacity on the smallest disk allowed, and on a disk of 3 MB.
-const LEAST_ROOM: usize = 2_032;
-const ROOM: usize = 46_576;
+const MIN_CAPACITY: usize = 2_032;
+const CAPACITY_3_MB: usize = 46_576;
 
 #[test]
-fn as_many_as_are_kept_find_room_and_what_cannot_be_read_is_nothing() {
-    let longest = Kept {
+fn newest_outages_fit_the_capacity_and_damaged_data_reads_as_none() {
+    let longest = PersistedOutage {
         dest: u64::MAX,
         endpoint: Some("e".repeat(nickelshed_journal::MAX_NAME)),
-        doubt: true,
-        last_failure: i64::MIN,
-        proved: u32::MAX,
+        suspect: true,
+        last_failure_ds: i64::MIN,
+        proved_per_10s: u32::MAX,
     };
-    let all = that_fit(vec![longest.clone(); 1_000], LEAST_ROOM);
-    let bytes = written(&all);
-    assert!(all.len() > 15 && bytes.len() <= LEAST_ROOM, "{}", bytes.len());
-    assert_eq!(read(&bytes), all);
-    let newer = Kept { last_failure: 7, endpoint: None, ..longest.clone() };
+    let all = newest_that_fit(vec![longest.clone(); 1_000], MIN_CAPACITY);
+    let bytes = encode(&all);
+    assert!(all.len() > 15 && bytes.len() <= MIN_CAPACITY, "{}", bytes.len());
+    assert_eq!(decode(&bytes), all);
+    let newer = PersistedOutage { last_failure_ds: 7, endpoint: None, ..longest.clone() };
     let mut many = vec![longest; 1_000];
     many.push(newer.clone());
-    assert_eq!(that_fit(many, LEAST_ROOM)[0], newer, "the newest failures first");
+    assert_eq!(newest_that_fit(many, MIN_CAPACITY)[0], newer, "the newest failures first");
     for cut in 0..bytes.len() {
-        assert_eq!(read(&bytes[..cut]), []);
+        assert_eq!(decode(&bytes[..cut]), []);
     }
-    assert_eq!(read(&[0xff; 64]), []);
+    assert_eq!(decode(&[0xff; 64]), []);
 }
 
 /// With names as platforms give them, each endpoint a route of its own, and all routes unavailable.
 #[test]
-fn a_thousand_routes_that_are_out_are_all_kept() {
-    let out = |i: u64| Kept {
+fn a_thousand_unavailable_routes_are_all_persisted() {
+    let outage = |i: u64| PersistedOutage {
         dest: i,
         endpoint: Some(format!("s-{i:08x}.region-3")),
-        doubt: i.is_multiple_of(2),
-        last_failure: 17_900_000_000 + i as i64,
-        proved: 400,
+        suspect: i.is_multiple_of(2),
+        last_failure_ds: 17_900_000_000 + i as i64,
+        proved_per_10s: 400,
     };
-    let all = that_fit((0..1_024).map(out).collect(), ROOM);
+    let all = newest_that_fit((0..1_024).map(outage).collect(), CAPACITY_3_MB);
     assert_eq!(all.len(), 1_024);
-    assert_eq!(read(&written(&all)), all);
+    assert_eq!(decode(&encode(&all)), all);
 }
--- a/crates/serve/nickelshed/src/core/recovery.rs
+++ b/crates/serve/nickelshed/src/core/recovery.rs
@@ -4,31 +4,31 @@
 impl<S: Storage, H: Host> Core<S, H> {
     /// Recovers all messages from the journal. `initial_list` may be outdated, so an update is awaited for up
     /// to `startup_wait`.
-    pub async fn resume(&mut self, known: List, news_within: Duration) {
-        let mut events = vec![self.list(known, true)];
-        let first = match news_within {
+    pub async fn recover(&mut self, initial_list: EndpointList, startup_wait: Duration) {
+        let mut events = vec![self.apply_list(initial_list, true)];
+        let first = match startup_wait {
             Duration::ZERO => None,
             wait => timeout(wait, self.inbox.recv()).await.ok().flatten(),
         };
-        if let Some(Input::List(list)) = first {
-            let whole = list.reset;
-            events.push(self.list(list, whole));
+        if let Some(Input::EndpointList(list)) = first {
+            let is_full = list.reset;
+            events.push(self.apply_list(list, is_full));
         }
-        let (now, wall) = (self.clock(Instant::now()), self.host.wall_ms());
-        events.extend(self.recalled(now, wall));
-        let (mut lost, mut resumed) = (Vec::new(), Vec::new());
+        let (now, wall_ms) = (self.to_ns(Instant::now()), self.host.wall_ms());
+        events.extend(self.recovered_outages(now, wall_ms));
+        let (mut finished, mut recovered) = (Vec::new(), Vec::new());
         for (&id, live) in self.journal.live() {
-            let taken = live.taken.clone();
+            let accepted = live.taken.clone();
             if let Some(ending) = live.ending {
-                lost.push((id, taken, ending, false));
+                finished.push((id, accepted, ending, false));
                 continue;
             }
             let mut past: Vec<PastAttempt> = live
                 .attempts
                 .iter()
                 .map(|a| PastAttempt {
-                    endpoint: self.names.get(&a.endpoint).copied(),
-                    sent: now - (wall - a.at).max(0).saturating_mul(MS).min(CLOCK_START),
+                    endpoint: self.endpoint_ids.get(&a.endpoint).copied(),
+                    sent: now - (wall_ms - a.at).max(0).saturating_mul(MS).min(CLOCK_ORIGIN),
                     may_have_run: !a.never_ran,
                 })
                 .collect();
@@ -38,43 +38,43 @@
             let gap = PastAttempt { endpoint: None, sent: now, may_have_run: false };
             past.resize(past.len().max(live.next_number() as usize), gap);
             let attempts = past.len() as u32;
-            let Some(class) = position(&self.around.classes, &taken.class) else {
+            let Some(class) = position(&self.context.classes, &accepted.class) else {
                 // The settings no longer contain the message's class, so the policy cannot decide on it.
-                let ran = past.iter().any(|p| p.may_have_run);
-                let ending = if ran { Ending::GivenUp } else { Ending::HandedBack(None) };
-                lost.push((id, taken, ending, true));
+                let may_have_run = past.iter().any(|p| p.may_have_run);
+                let ending = if may_have_run { Ending::GivenUp } else { Ending::HandedBack(None) };
+                finished.push((id, accepted, ending, true));
                 continue;
             };
-            let left = (taken.end - wall).saturating_mul(MS);
-            resumed.push((taken, class, left, attempts, past));
+            let time_left = (accepted.end - wall_ms).saturating_mul(MS);
+            recovered.push((accepted, class, time_left, attempts, past));
         }
-        for (taken, class, left, attempts, past) in resumed {
+        for (accepted, class, time_left, attempts, past) in recovered {
             if past.is_empty() {
-                self.untried.found(taken.id, left <= 0);
+                self.unattempted.add(accepted.id, time_left <= 0);
             }
-            let message = self.hold(taken, class, left, now + left, attempts);
+            let message = self.register_message(accepted, class, time_left, now + time_left, attempts);
             events.push(Event::Resumed { message, past });
         }
         if !self.journal.live().is_empty() {
             tracing::info!(
-                messages = self.held.len(),
-                untried = self.untried.waiting(),
-                notices = lost.len(),
+                messages = self.open_messages.len(),
+                untried = self.unattempted.pending(),
+                notices = finished.len(),
                 "resumed from the journal"
             );
         }
         let mut records = Vec::new();
         let mut effects = Effects::default();
-        for (id, taken, ending, decide) in lost {
-            if decide {
+        for (id, accepted, ending, needs_record) in finished {
+            if needs_record {
                 records.push(Record::Decided(id, ending));
             }
-            effects.notices.push(self.notice(&taken, ending));
+            effects.notices.push(self.make_notice(&accepted, ending));
         }
         // If this write fails, the next process run finds the message expired and finishes it in the same
         // way.
-        self.write_owed(&records);
-        self.once_kept(effects);
-        self.round(Vec::new(), events);
+        self.append_reserved(&records);
+        self.run_once_durable(effects);
+        self.run_iteration(Vec::new(), events);
     }
 }
--- a/crates/serve/nickelshed/src/core/unattempted.rs
+++ b/crates/serve/nickelshed/src/core/unattempted.rs
@@ -5,54 +5,54 @@
 /// How many messages were recovered unattempted, and how many of them ended in each way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    pub found: usize,
-    pub called: usize,
+    pub recovered: usize,
+    pub attempted: usize,
     /// They had expired before the process started.
-    pub late: usize,
+    pub expired_at_start: usize,
     /// They expired after the start.
-    pub ran_out: usize,
-    /// They were returned while they still had time left, or their destination is no longer known.
-    pub turned_away: usize,
+    pub expired: usize,
+    /// They were returned while they still had time left, or this process no longer knows them.
+    pub returned: usize,
 }
 
 #[derive(Default)]
-pub struct Untried {
+pub struct UnattemptedMessages {
     /// The messages not attempted yet, and whether each had expired at startup.
-    waiting: BTreeMap<u64, bool>,
+    pending: BTreeMap<u64, bool>,
     counts: Counts,
 }
 
-impl Untried {
-    pub fn found(&mut self, id: u64, is_late: bool) {
-        self.waiting.insert(id, is_late);
-        self.counts.found += 1;
+impl UnattemptedMessages {
+    pub fn add(&mut self, id: u64, is_expired: bool) {
+        self.pending.insert(id, is_expired);
+        self.counts.recovered += 1;
     }
 
     /// Counts a message as attempted. Returns the final counts if it was the last pending one.
-    pub fn called(&mut self, id: u64) -> Option<Counts> {
-        self.waiting.remove(&id)?;
-        self.counts.called += 1;
-        self.told()
+    pub fn attempted(&mut self, id: u64) -> Option<Counts> {
+        self.pending.remove(&id)?;
+        self.counts.attempted += 1;
+        self.final_counts()
     }
 
     /// Counts a message as finished without an attempt; `has_time` says whether an attempt could still have
     /// been in time. Returns the final counts if it was the last pending one.
-    pub fn ended(&mut self, id: u64, has_time: bool) -> Option<Counts> {
-        let is_late = self.waiting.remove(&id)?;
-        match (is_late, has_time) {
-            (true, _) => self.counts.late += 1,
-            (false, true) => self.counts.turned_away += 1,
-            (false, false) => self.counts.ran_out += 1,
+    pub fn finished(&mut self, id: u64, has_time: bool) -> Option<Counts> {
+        let is_expired = self.pending.remove(&id)?;
+        match (is_expired, has_time) {
+            (true, _) => self.counts.expired_at_start += 1,
+            (false, true) => self.counts.returned += 1,
+            (false, false) => self.counts.expired += 1,
         }
-        self.told()
+        self.final_counts()
     }
 
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    pub fn pending(&self) -> usize {
+        self.pending.len()
     }
 
-    fn told(&self) -> Option<Counts> {
-        self.waiting.is_empty().then_some(self.counts)
+    fn final_counts(&self) -> Option<Counts> {
+        self.pending.is_empty().then_some(self.counts)
     }
 }
 
@@ -61,21 +61,25 @@
     use super::*;
 
     #[test]
-    fn each_is_counted_once_and_told_with_the_last() {
-        let mut untried = Untried::default();
-        (0..5).for_each(|id| untried.found(id, id == 4));
-        assert_eq!(untried.called(0), None);
+    fn each_message_is_counted_once_and_the_last_one_returns_the_counts() {
+        let mut unattempted = UnattemptedMessages::default();
+        (0..5).for_each(|id| unattempted.add(id, id == 4));
+        assert_eq!(unattempted.attempted(0), None);
         assert_eq!(
-            (untried.called(0), untried.called(9)),
+            (unattempted.attempted(0), unattempted.attempted(9)),
             (None, None),
-            "a further call, and one that is none of them"
+            "a second attempt, and an unknown id"
+        );
+        assert_eq!(unattempted.finished(1, true), None);
+        assert_eq!(unattempted.finished(1, true), None);
+        assert_eq!(unattempted.finished(2, false), None);
+        assert_eq!(unattempted.finished(4, false), None);
+        let counts = Counts { recovered: 5, attempted: 2, expired_at_start: 1, expired: 1, returned: 1 };
+        assert_eq!(unattempted.attempted(3), Some(counts));
+        assert_eq!(
+            (unattempted.attempted(3), unattempted.finished(3, true)),
+            (None, None),
+            "the counts are returned once"
         );
-        assert_eq!(untried.ended(1, true), None);
-        assert_eq!(untried.ended(1, true), None);
-        assert_eq!(untried.ended(2, false), None);
-        assert_eq!(untried.ended(4, false), None);
-        let counts = Counts { found: 5, called: 2, late: 1, ran_out: 1, turned_away: 1 };
-        assert_eq!(untried.called(3), Some(counts));
-        assert_eq!((untried.called(3), untried.ended(3, true)), (None, None), "told once");
     }
 }
--- a/crates/serve/nickelshed/src/discovery.rs
+++ b/crates/serve/nickelshed/src/discovery.rs
@@ -4,83 +4,88 @@
 
 use crate::connections::{self, Connection};
 use crate::inbox::Input;
-use crate::list::List;
+use crate::list::EndpointList;
 use crate::watch;
 use nickelshed_host::Host;
-pub use schedule::Asking;
 use schedule::Failure;
+pub use schedule::RequestSchedule;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout, Instant};
 
 /// The longest time for which discovery may delay the start.
-const LONGEST_START: Duration = Duration::from_millis(300);
+const MAX_STARTUP_WAIT: Duration = Duration::from_millis(300);
 /// Discovery answers within this time if it already has what is asked for.
-const AT_ONCE: Duration = Duration::from_millis(50);
-const MAX_LIST: usize = 1 << 20;
+const IMMEDIATE_ANSWER_TIME: Duration = Duration::from_millis(50);
+const MAX_LIST_BYTES: usize = 1 << 20;
 
 /// Why a request to discovery did not return a list.
 #[derive(Debug)]
-enum AskError {
+enum RequestError {
     Status(u16),
-    NotAList(serde_json::Error),
-    Unreached(String),
-    Silent,
+    InvalidList(serde_json::Error),
+    Unreachable(String),
+    TimedOut,
 }
 
-impl std::fmt::Display for AskError {
+impl std::fmt::Display for RequestError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            AskError::Status(status) => write!(f, "answered with status {status}"),
-            AskError::NotAList(error) => write!(f, "the answer is not a valid list: {error}"),
-            AskError::Unreached(error) => f.write_str(error),
-            AskError::Silent => f.write_str("no answer in time"),
+            RequestError::Status(status) => write!(f, "answered with status {status}"),
+            RequestError::InvalidList(error) => write!(f, "the answer is not a valid list: {error}"),
+            RequestError::Unreachable(error) => f.write_str(error),
+            RequestError::TimedOut => f.write_str("no answer in time"),
         }
     }
 }
 
-impl AskError {
+impl RequestError {
     fn failure(&self) -> Failure {
         match self {
-            AskError::Status(_) => Failure::TurnedAway,
-            AskError::NotAList(_) | AskError::Unreached(_) | AskError::Silent => Failure::Unreached,
+            RequestError::Status(_) => Failure::Rejected,
+            RequestError::InvalidList(_) | RequestError::Unreachable(_) | RequestError::TimedOut => {
+                Failure::Unavailable
+            }
         }
     }
 }
 
-async fn get<H: Host>(
-    connection: &mut Option<Connection<H>>,
+async fn request_list<H: Host>(
+    idle_connection: &mut Option<Connection<H>>,
     host: &H,
-    at: SocketAddr,
+    address: SocketAddr,
     path: &str,
-) -> Result<List, AskError> {
-    let kept = Connection::kept_or_new(connection, host, at, Duration::from_secs(1)).await;
-    let mut link = kept.map_err(|e| AskError::Unreached(e.to_string()))?;
-    let request = connections::request("GET", path, at, &[], Default::default());
-    let (status, headers, body) =
-        link.exchange(request, MAX_LIST).await.map_err(|e| AskError::Unreached(e.to_string()))?;
+) -> Result<EndpointList, RequestError> {
+    let opened = Connection::reuse_or_open(idle_connection, host, address, Duration::from_secs(1)).await;
+    let mut connection = opened.map_err(|e| RequestError::Unreachable(e.to_string()))?;
+    let request = connections::request("GET", path, address, &[], Default::default());
+    let (status, headers, body) = connection
+        .exchange(request, MAX_LIST_BYTES)
+        .await
+        .map_err(|e| RequestError::Unreachable(e.to_string()))?;
     tracing::debug!(path, status, ?headers, bytes = body.len(), "discovery answered");
     if status != 200 {
-        return Err(AskError::Status(status));
+        return Err(RequestError::Status(status));
     }
-    let list = serde_json::from_slice(&body).map_err(AskError::NotAList)?;
-    *connection = Some(link);
+    let list = serde_json::from_slice(&body).map_err(RequestError::InvalidList)?;
+    *idle_connection = Some(connection);
     Ok(list)
 }
 
 /// The generation of the list that the sender has at startup, and when changes since then are first asked
 /// for.
-pub struct Held {
+pub struct CachedList {
     pub generation: u64,
-    pub ask_after: Duration,
+    pub poll_after: Duration,
 }
 
 /// How long the start waits for an update of the cached list, which discovery sends at once if there is one,
 /// or for the first list if none is cached. Zero if the update would arrive too late to wait for.
-pub fn news_within(held: Option<&Held>) -> Duration {
-    let wait = held.map_or(LONGEST_START, |held| held.ask_after + AT_ONCE);
-    if wait > LONGEST_START {
+pub fn startup_wait(cached_list: Option<&CachedList>) -> Duration {
+    let wait =
+        cached_list.map_or(MAX_STARTUP_WAIT, |cached_list| cached_list.poll_after + IMMEDIATE_ANSWER_TIME);
+    if wait > MAX_STARTUP_WAIT {
         Duration::ZERO
     } else {
         wait
@@ -92,70 +97,72 @@
 /// the new one is first asked for a full list.
 pub async fn follow<H: Host>(
     host: H,
-    mut place: watch::Listener<SocketAddr>,
-    held: Option<Held>,
-    mut asking: Asking,
+    mut address_rx: watch::Receiver<SocketAddr>,
+    cached_list: Option<CachedList>,
+    mut schedule: RequestSchedule,
     core: mpsc::Sender<Input>,
 ) {
     let mut connection = None;
-    let mut known = held.as_ref().map(|held| held.generation);
-    let mut failing = false;
-    let mut left_alone = held.map_or(Duration::ZERO, |held| held.ask_after);
+    let mut generation = cached_list.as_ref().map(|cached_list| cached_list.generation);
+    let mut is_failing = false;
+    let mut next_pause = cached_list.map_or(Duration::ZERO, |cached_list| cached_list.poll_after);
     loop {
-        let pause = std::mem::take(&mut left_alone);
+        let pause = std::mem::take(&mut next_pause);
         if !pause.is_zero() {
             tokio::select! {
                 biased;
                 // The pause was due to the old address, so the new one is asked at once.
-                Ok(()) = place.changed() => (connection, known) = (None, None),
+                Ok(()) = address_rx.changed() => (connection, generation) = (None, None),
                 () = sleep(pause) => {}
             }
         }
-        let at = place.latest();
-        let watch = known.is_some();
-        let wait = if watch { asking.wait() } else { Duration::ZERO };
-        let path = known.map_or("/v1/servers".to_string(), |generation| {
-            format!("/v1/servers?index={generation}&wait={}", wait.as_millis())
+        let address = address_rx.latest();
+        let is_watch = generation.is_some();
+        let watch_wait = if is_watch { schedule.watch_wait() } else { Duration::ZERO };
+        let path = generation.map_or("/v1/servers".to_string(), |generation| {
+            format!("/v1/servers?index={generation}&wait={}", watch_wait.as_millis())
         });
-        let allowed = asking.grace(watch) + wait;
-        let mut silent = false;
-        let began = Instant::now();
-        let asked = tokio::select! {
+        let request_timeout = schedule.answer_timeout(is_watch) + watch_wait;
+        let mut watch_timed_out = false;
+        let started_at = Instant::now();
+        let result = tokio::select! {
             biased;
-            Ok(()) = place.changed() => None,
-            asked = timeout(allowed, get(&mut connection, &host, at, &path)) => {
+            Ok(()) = address_rx.changed() => None,
+            result = timeout(request_timeout, request_list(&mut connection, &host, address, &path)) => {
                 // A watch that timed out is treated differently from a rejected request.
-                silent = watch && asked.is_err();
-                Some(asked.unwrap_or(Err(AskError::Silent)))
+                watch_timed_out = is_watch && result.is_err();
+                Some(result.unwrap_or(Err(RequestError::TimedOut)))
             }
         };
-        match asked {
-            None => (connection, known) = (None, None),
+        match result {
+            None => (connection, generation) = (None, None),
             Some(Ok(list)) => {
-                if std::mem::take(&mut failing) {
+                if std::mem::take(&mut is_failing) {
                     tracing::info!("discovery answers again");
                 }
-                asking.answered();
+                schedule.succeeded();
                 // Changes apply to a list that is known, so the first answer must be a full list.
-                if list.reset || known.is_some() {
-                    let nothing = !list.reset && list.instances.is_empty() && known == Some(list.generation);
-                    if nothing && began.elapsed() < wait / 2 {
-                        left_alone = asking.early();
+                if list.reset || generation.is_some() {
+                    let is_unchanged =
+                        !list.reset && list.instances.is_empty() && generation == Some(list.generation);
+                    if is_unchanged && started_at.elapsed() < watch_wait / 2 {
+                        next_pause = schedule.premature_return();
                     }
-                    known = Some(list.generation);
-                    let news = list.reset || !list.instances.is_empty();
-                    if news && core.send(Input::List(list)).await.is_err() {
+                    generation = Some(list.generation);
+                    let has_changes = list.reset || !list.instances.is_empty();
+                    if has_changes && core.send(Input::EndpointList(list)).await.is_err() {
                         return;
                     }
                 } else {
-                    left_alone = asking.failed(Failure::Unreached);
+                    next_pause = schedule.failed(Failure::Unavailable);
                 }
             }
             Some(Err(error)) => {
-                if !std::mem::replace(&mut failing, true) {
+                if !std::mem::replace(&mut is_failing, true) {
                     tracing::warn!(%error, "discovery fails; going on with the list held");
                 }
-                left_alone = if silent { asking.lost() } else { asking.failed(error.failure()) };
+                next_pause =
+                    if watch_timed_out { schedule.watch_lost() } else { schedule.failed(error.failure()) };
             }
         }
     }
--- a/crates/serve/nickelshed/src/discovery/schedule.rs
+++ b/crates/serve/nickelshed/src/discovery/schedule.rs
@@ -20,131 +20,136 @@
 use std::time::Duration;
 
 /// The time that each sender adds to a polling cycle, in which the whole fleet asks a shared discovery once.
-const EACH: Duration = Duration::from_millis(50);
-const LONGEST_ROUND: Duration = Duration::from_secs(20);
+const CYCLE_TIME_PER_SENDER: Duration = Duration::from_millis(50);
+const MAX_POLLING_CYCLE: Duration = Duration::from_secs(20);
 /// The lowest backoff ceiling, and the highest in each mode. Updates are expected to be known within seconds.
-const LEAST: Duration = Duration::from_millis(100);
-const MOST_SHARED: Duration = Duration::from_millis(2_800);
-const MOST_AGENT: Duration = Duration::from_millis(400);
+const MIN_BACKOFF_CEILING: Duration = Duration::from_millis(100);
+const MAX_BACKOFF_SHARED: Duration = Duration::from_millis(2_800);
+const MAX_BACKOFF_AGENT: Duration = Duration::from_millis(400);
 /// The backoff ceiling after a shared discovery rejected this sender, if a polling cycle takes longer than
 /// `MAX_BACKOFF_SHARED`: this many cycles, but at most `MAX_BACKOFF_OVERLOADED`.
-const CROWDED_ROUNDS: u32 = 2;
-const MOST_CROWDED: Duration = Duration::from_secs(40);
+const OVERLOADED_CYCLES: u32 = 2;
+const MAX_BACKOFF_OVERLOADED: Duration = Duration::from_secs(40);
 /// How long an answer may take in addition to the requested wait. An agent answers at once; a shared
 /// discovery holds requests for up to two seconds before it rejects them.
-const GRACE: Duration = Duration::from_millis(3_000);
-const GRACE_AGENT: Duration = Duration::from_millis(1_000);
+const ANSWER_TIMEOUT_SHARED: Duration = Duration::from_millis(3_000);
+const ANSWER_TIMEOUT_AGENT: Duration = Duration::from_millis(1_000);
 
 /// Answer timeout for a retried request to an agent. The sender is expected to know the agent's updates as
 /// soon as the agent recovers, but a request that was sent during the outage may never be answered.
-const GRACE_SILENT: Duration = Duration::from_millis(500);
+const RETRY_ANSWER_TIMEOUT_AGENT: Duration = Duration::from_millis(500);
 /// Answer timeout of a watch retried at a shared discovery, and how long that watch waits for changes.
-const GRACE_AGAIN: Duration = Duration::from_millis(2_000);
-const WAIT_AGAIN: Duration = Duration::from_millis(1_000);
+const RETRY_ANSWER_TIMEOUT_SHARED: Duration = Duration::from_millis(2_000);
+const RETRY_WATCH_WAIT_SHARED: Duration = Duration::from_millis(1_000);
 /// How long a watch waits for changes. It is short because a watch that is open when discovery fails may
 /// never be answered.
-const WAIT: Duration = Duration::from_secs(5);
+const WATCH_WAIT: Duration = Duration::from_secs(5);
 /// The longest pause after a shared discovery answered a watch prematurely and without changes.
-const EARLY: Duration = Duration::from_secs(5);
+const MAX_PREMATURE_PAUSE: Duration = Duration::from_secs(5);
 
 /// Why a request did not return a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Discovery was reached, but its answer was not a list.
-    TurnedAway,
-    /// Discovery did not answer or could not be reached.
-    Unreached,
+    /// Discovery answered with a status other than 200.
+    Rejected,
+    /// Discovery did not answer, could not be reached, or did not send a valid list.
+    Unavailable,
 }
 
 /// The timing of one sender's requests, from the results of its last ones.
 #[derive(Debug)]
-pub struct Asking {
-    lister: Lister,
+pub struct RequestSchedule {
+    mode: Lister,
     /// The time in which the whole fleet asks discovery once; zero for an agent.
-    round: Duration,
+    polling_cycle: Duration,
     /// Consecutive failures.
     failures: u32,
     random: fastrand::Rng,
 }
 
-impl Asking {
-    pub fn new(lister: Lister, senders: usize, seed: u64) -> Asking {
+impl RequestSchedule {
+    pub fn new(mode: Lister, senders: usize, seed: u64) -> RequestSchedule {
         let others = u32::try_from(senders.saturating_sub(1)).unwrap_or(u32::MAX);
-        let round = match lister {
+        let polling_cycle = match mode {
             Lister::Agent => Duration::ZERO,
-            Lister::Shared => EACH.saturating_mul(others).min(LONGEST_ROUND),
+            Lister::Shared => CYCLE_TIME_PER_SENDER.saturating_mul(others).min(MAX_POLLING_CYCLE),
         };
-        Asking { lister, round, failures: 0, random: fastrand::Rng::with_seed(seed) }
+        RequestSchedule { mode, polling_cycle, failures: 0, random: fastrand::Rng::with_seed(seed) }
     }
 
     /// The delay after startup until a sender with a cached list first asks for changes.
-    pub fn first(&mut self) -> Duration {
-        self.round.mul_f64(self.random.f64())
+    pub fn initial_delay(&mut self) -> Duration {
+        self.polling_cycle.mul_f64(self.random.f64())
     }
 
     /// How long an answer may take in addition to the requested wait before the request has failed. A first
     /// watch without an answer at the end of its wait has failed in either mode: it had been admitted, so it
     /// is not one that an overloaded discovery rejects. The sender is expected to know what that watch missed
     /// two seconds later.
-    pub fn grace(&self, watch: bool) -> Duration {
-        match self.lister {
-            Lister::Agent if watch && self.failures > 0 => GRACE_SILENT,
-            Lister::Shared if watch && self.failures > 0 => GRACE_AGAIN,
-            Lister::Shared if !watch => GRACE,
-            _ => GRACE_AGENT,
+    pub fn answer_timeout(&self, is_watch: bool) -> Duration {
+        match self.mode {
+            Lister::Agent if is_watch && self.failures > 0 => RETRY_ANSWER_TIMEOUT_AGENT,
+            Lister::Shared if is_watch && self.failures > 0 => RETRY_ANSWER_TIMEOUT_SHARED,
+            Lister::Shared if !is_watch => ANSWER_TIMEOUT_SHARED,
+            _ => ANSWER_TIMEOUT_AGENT,
         }
     }
 
     /// How long the next watch waits for changes. After a failure, an agent is asked not to wait: it returns
     /// what it has at once and at no cost, or is still unavailable. A shared discovery is asked for a short
     /// watch, which continues normally once it is answered.
-    pub fn wait(&self) -> Duration {
-        match self.lister {
+    pub fn watch_wait(&self) -> Duration {
+        match self.mode {
             Lister::Agent if self.failures > 0 => Duration::ZERO,
-            Lister::Shared if self.failures > 0 => WAIT_AGAIN,
-            _ => WAIT,
+            Lister::Shared if self.failures > 0 => RETRY_WATCH_WAIT_SHARED,
+            _ => WATCH_WAIT,
         }
     }
 
     /// The pause after a watch timed out. It is short enough to open a new watch before the sender is
     /// expected to know what the lost one missed. If the new one fails too, discovery is overloaded or down,
     /// and the pause is that of any failed request.
-    pub fn lost(&mut self) -> Duration {
+    pub fn watch_lost(&mut self) -> Duration {
         if self.failures > 0 {
-            return self.failed(Failure::Unreached);
+            return self.failed(Failure::Unavailable);
         }
         self.failures = 1;
-        LEAST / 2 + self.round.clamp(LEAST, MOST_AGENT).mul_f64(self.random.f64())
+        MIN_BACKOFF_CEILING / 2
+            + self.polling_cycle.clamp(MIN_BACKOFF_CEILING, MAX_BACKOFF_AGENT).mul_f64(self.random.f64())
     }
 
     /// The pause after a watch returned without changes long before the end of its wait. Without a pause,
     /// requests would follow one another as fast as discovery can answer them. After the pause at an agent
     /// (less than 200 ms) the next request still counts as the same watch. At a shared discovery it is a new
     /// watch, whose answer includes what changed in between.
-    pub fn early(&mut self) -> Duration {
-        match self.lister {
-            Lister::Agent => LEAST,
-            Lister::Shared => LEAST + self.round.min(EARLY).mul_f64(self.random.f64()),
+    pub fn premature_return(&mut self) -> Duration {
+        match self.mode {
+            Lister::Agent => MIN_BACKOFF_CEILING,
+            Lister::Shared => {
+                MIN_BACKOFF_CEILING + self.polling_cycle.min(MAX_PREMATURE_PAUSE).mul_f64(self.random.f64())
+            }
         }
     }
 
-    pub fn answered(&mut self) {
+    pub fn succeeded(&mut self) {
         self.failures = 0;
     }
 
     /// The pause after a failed request.
     pub fn failed(&mut self, failure: Failure) -> Duration {
-        let doubled = self.round.max(LEAST).saturating_mul(1 << self.failures.min(16));
-        let crowded = failure == Failure::TurnedAway && self.round > MOST_SHARED;
-        let ceiling = match self.lister {
-            Lister::Agent => doubled.min(MOST_AGENT),
-            Lister::Shared if crowded => (CROWDED_ROUNDS * self.round).min(MOST_CROWDED),
-            Lister::Shared => doubled.min(MOST_SHARED),
+        let doubled = self.polling_cycle.max(MIN_BACKOFF_CEILING).saturating_mul(1 << self.failures.min(16));
+        let is_overloaded = failure == Failure::Rejected && self.polling_cycle > MAX_BACKOFF_SHARED;
+        let ceiling = match self.mode {
+            Lister::Agent => doubled.min(MAX_BACKOFF_AGENT),
+            Lister::Shared if is_overloaded => {
+                (OVERLOADED_CYCLES * self.polling_cycle).min(MAX_BACKOFF_OVERLOADED)
+            }
+            Lister::Shared => doubled.min(MAX_BACKOFF_SHARED),
         };
         self.failures = self.failures.saturating_add(1);
         // Never zero: a request that fails immediately would otherwise be repeated as fast as the process
         // can.
-        LEAST / 2 + ceiling.mul_f64(self.random.f64())
+        MIN_BACKOFF_CEILING / 2 + ceiling.mul_f64(self.random.f64())
     }
 }
 
--- a/crates/serve/nickelshed/src/discovery/schedule/tests.rs
+++ b/crates/serve/nickelshed/src/discovery/schedule/tests.rs
@@ -6,46 +6,58 @@
 
 /// A queueing model of discovery. Requests are answered one at a time, each in `SERVICE_TIME`. A request that
 /// has waited for `MAX_QUEUE_TIME` is rejected, although its place in the queue still costs the work.
-const SERVICE: u64 = 50 * MS;
-const PATIENCE: u64 = 2_000 * MS;
+const SERVICE_TIME: u64 = 50 * MS;
+const MAX_QUEUE_TIME: u64 = 2_000 * MS;
 
 /// Simulates senders that start together. Returns when the last one got its answer, or None if that takes
 /// more than two minutes, and how many requests were rejected. Times are in microseconds.
-fn all_answered(senders: u64, first: impl Fn(u64) -> u64, failed: impl Fn(u64) -> u64) -> (Option<u64>, u32) {
-    let mut asks: BTreeSet<(u64, u64)> = (0..senders).map(|s| (first(s), s)).collect();
-    let (mut free_at, mut last, mut turned_away) = (0u64, 0, 0);
-    while let Some((at, sender)) = asks.pop_first() {
+fn simulate_queue(
+    senders: u64,
+    initial_delay: impl Fn(u64) -> u64,
+    pause_after_failure: impl Fn(u64) -> u64,
+) -> (Option<u64>, u32) {
+    let mut requests: BTreeSet<(u64, u64)> = (0..senders).map(|s| (initial_delay(s), s)).collect();
+    let (mut free_at, mut last_answer, mut rejected) = (0u64, 0, 0);
+    while let Some((at, sender)) = requests.pop_first() {
         if at > 120_000 * MS {
-            return (None, turned_away);
+            return (None, rejected);
         }
-        free_at = free_at.max(at) + SERVICE;
-        if free_at - at > PATIENCE {
-            turned_away += 1;
-            asks.insert((at + PATIENCE + failed(sender), sender));
+        free_at = free_at.max(at) + SERVICE_TIME;
+        if free_at - at > MAX_QUEUE_TIME {
+            rejected += 1;
+            requests.insert((at + MAX_QUEUE_TIME + pause_after_failure(sender), sender));
         } else {
-            last = last.max(free_at);
+            last_answer = last_answer.max(free_at);
         }
     }
-    (Some(last), turned_away)
+    (Some(last_answer), rejected)
 }
 
-fn fleet(senders: u64, seed: u64) -> (Option<u64>, u32) {
-    let each = (0..senders).map(|s| Asking::new(Lister::Shared, senders as usize, seed * 1_000 + s));
-    let each: Vec<_> = each.map(std::cell::RefCell::new).collect();
+fn simulate_fleet_start(senders: u64, seed: u64) -> (Option<u64>, u32) {
+    let schedules =
+        (0..senders).map(|s| RequestSchedule::new(Lister::Shared, senders as usize, seed * 1_000 + s));
+    let schedules: Vec<_> = schedules.map(std::cell::RefCell::new).collect();
     let micros = |d: Duration| d.as_micros() as u64;
-    let asking = |s: u64| each[s as usize].borrow_mut();
-    all_answered(senders, |s| micros(asking(s).first()), |s| micros(asking(s).failed(Failure::TurnedAway)))
+    let schedule = |s: u64| schedules[s as usize].borrow_mut();
+    simulate_queue(
+        senders,
+        |s| micros(schedule(s).initial_delay()),
+        |s| micros(schedule(s).failed(Failure::Rejected)),
+    )
 }
 
 #[test]
-fn a_fleet_that_starts_together_does_not_keep_discovery_down() {
+fn simultaneous_start_does_not_overload_discovery() {
     for seed in 1..=20 {
         for senders in [2, 10, 30, 100, 300, 350] {
-            let (last, turned_away) = fleet(senders, seed);
-            let last = last.expect("all are answered in the end");
+            let (last, rejected) = simulate_fleet_start(senders, seed);
+            let last = last.expect("all senders get an answer");
             // One polling cycle for all, and as long again for those that were rejected.
-            assert!(last < 2 * senders.max(4) * SERVICE + PATIENCE, "{senders} senders: {last} us");
-            assert!(u64::from(turned_away) < senders, "{senders} senders: {turned_away} turned away");
+            assert!(
+                last < 2 * senders.max(4) * SERVICE_TIME + MAX_QUEUE_TIME,
+                "{senders} senders: {last} us"
+            );
+            assert!(u64::from(rejected) < senders, "{senders} senders: {rejected} rejected");
         }
     }
 }
@@ -53,20 +65,20 @@
 /// Guards against senders that overload discovery after an outage: it recovers all at once, and every sender
 /// asks within its first pause.
 #[test]
-fn a_fleet_whose_discovery_comes_back_gets_its_answers() {
+fn fleet_gets_its_answers_after_discovery_recovers() {
     for senders in [2, 30, 60, 100, 350] {
-        let each = (0..senders).map(|s| Asking::new(Lister::Shared, senders as usize, s));
-        let each: Vec<_> = each.map(std::cell::RefCell::new).collect();
-        let pause = |s: u64, failure| each[s as usize].borrow_mut().failed(failure).as_micros() as u64;
+        let schedules = (0..senders).map(|s| RequestSchedule::new(Lister::Shared, senders as usize, s));
+        let schedules: Vec<_> = schedules.map(std::cell::RefCell::new).collect();
+        let pause = |s: u64, failure| schedules[s as usize].borrow_mut().failed(failure).as_micros() as u64;
         let first = |s| {
             for _ in 0..3 {
-                pause(s, Failure::Unreached);
+                pause(s, Failure::Unavailable);
             }
-            pause(s, Failure::Unreached)
+            pause(s, Failure::Unavailable)
         };
-        let (last, turned_away) = all_answered(senders, first, |s| pause(s, Failure::TurnedAway));
-        let last = last.expect("all are answered in the end");
-        println!("{senders} senders: the last after {} ms, {turned_away} turned away", last / MS);
+        let (last, rejected) = simulate_queue(senders, first, |s| pause(s, Failure::Rejected));
+        let last = last.expect("all senders get an answer");
+        println!("{senders} senders: the last after {} ms, {rejected} rejected", last / MS);
         // As many senders as discovery can answer in six seconds are answered in six seconds.
         assert!(senders > 60 || last < 6_000 * MS, "{senders} senders: {last} us");
         assert!(last < 90_000 * MS, "{senders} senders: {last} us");
@@ -74,159 +86,188 @@
 }
 
 #[test]
-fn asking_again_at_once_or_within_three_seconds_for_ever_would_keep_it_down() {
-    assert_eq!(all_answered(100, |_| 0, |_| 100 * MS).0, None);
+fn retrying_at_once_or_always_within_three_seconds_would_keep_discovery_overloaded() {
+    assert_eq!(simulate_queue(100, |_| 0, |_| 100 * MS).0, None);
     let mut random = fastrand::Rng::with_seed(7);
-    let mut within = || (random.f64() * 2_800.0) as u64 * MS;
-    let starts: Vec<u64> = (0..350).map(|_| within()).collect();
-    let within = std::cell::RefCell::new(within);
-    assert_eq!(all_answered(350, |s| starts[s as usize], |_| within.borrow_mut()()).0, None);
+    let mut next_pause = || (random.f64() * 2_800.0) as u64 * MS;
+    let starts: Vec<u64> = (0..350).map(|_| next_pause()).collect();
+    let next_pause = std::cell::RefCell::new(next_pause);
+    assert_eq!(simulate_queue(350, |s| starts[s as usize], |_| next_pause.borrow_mut()()).0, None);
 }
 
 /// The longest time in which an update may arrive, once discovery has it and can be reached.
-const NEWS: Duration = Duration::from_secs(6);
+const MAX_UPDATE_DELAY: Duration = Duration::from_secs(6);
 /// Time to connect and get an answer.
-const ANSWER: Duration = Duration::from_millis(100);
+const CONNECT_AND_ANSWER: Duration = Duration::from_millis(100);
 
 #[test]
-fn an_ask_that_is_lost_as_discovery_comes_back_is_made_again_in_time_whoever_is_asked() {
-    for lister in [Lister::Agent, Lister::Shared] {
+fn request_lost_during_recovery_is_repeated_in_time_in_both_modes() {
+    for mode in [Lister::Agent, Lister::Shared] {
         for senders in [1, 2, 30, 350, 100_000] {
             for seed in 0..100 {
-                let mut asking = Asking::new(lister, senders, seed);
+                let mut schedule = RequestSchedule::new(mode, senders, seed);
                 for failures in 0..12 {
-                    let lost = asking.grace(failures > 0)
-                        + if failures > 0 { asking.wait() } else { Duration::ZERO };
-                    let pause = asking.failed(Failure::Unreached);
+                    let lost = schedule.answer_timeout(failures > 0)
+                        + if failures > 0 { schedule.watch_wait() } else { Duration::ZERO };
+                    let pause = schedule.failed(Failure::Unavailable);
                     assert!(
-                        lost + pause + ANSWER < NEWS,
-                        "{lister:?}, {senders} senders: {lost:?} and {pause:?}"
+                        lost + pause + CONNECT_AND_ANSWER < MAX_UPDATE_DELAY,
+                        "{mode:?}, {senders} senders: {lost:?} and {pause:?}"
                     );
                 }
                 // An answer that is not a list is retried in time too, unless very many senders share
                 // discovery.
-                let pause = asking.failed(Failure::TurnedAway);
-                assert!(senders > 50 && lister == Lister::Shared || pause + ANSWER < NEWS);
+                let pause = schedule.failed(Failure::Rejected);
+                assert!(
+                    senders > 50 && mode == Lister::Shared || pause + CONNECT_AND_ANSWER < MAX_UPDATE_DELAY
+                );
             }
         }
     }
 }
 
 #[test]
-fn pauses_are_spread_over_a_ceiling_that_doubles_and_has_an_end() {
+fn pauses_are_spread_below_a_ceiling_that_doubles_up_to_a_maximum() {
     let ceilings = |senders: usize, failure: Failure, expected: &[u64]| {
-        let mut asking = Asking::new(Lister::Shared, senders, 1);
+        let mut schedule = RequestSchedule::new(Lister::Shared, senders, 1);
         for ceiling in expected {
-            let ceiling = LEAST / 2 + Duration::from_millis(*ceiling);
+            let ceiling = MIN_BACKOFF_CEILING / 2 + Duration::from_millis(*ceiling);
             let pauses: Vec<Duration> = (0..400)
                 .map(|seed| {
-                    let failures = asking.failures;
-                    Asking { failures, ..Asking::new(Lister::Shared, senders, seed) }.failed(failure)
+                    let failures = schedule.failures;
+                    RequestSchedule { failures, ..RequestSchedule::new(Lister::Shared, senders, seed) }
+                        .failed(failure)
                 })
                 .collect();
             assert!(
-                pauses.iter().all(|p| *p >= LEAST / 2 && *p <= ceiling),
+                pauses.iter().all(|p| *p >= MIN_BACKOFF_CEILING / 2 && *p <= ceiling),
                 "{senders} {failure:?} {ceiling:?}"
             );
             assert!(pauses.iter().any(|p| *p < ceiling / 8) && pauses.iter().any(|p| *p > ceiling * 7 / 8));
-            asking.failed(failure);
+            schedule.failed(failure);
         }
-        asking.answered();
-        assert!(asking.failed(failure) <= LEAST / 2 + Duration::from_millis(expected[0]));
+        schedule.succeeded();
+        assert!(schedule.failed(failure) <= MIN_BACKOFF_CEILING / 2 + Duration::from_millis(expected[0]));
     };
-    ceilings(11, Failure::Unreached, &[500, 1_000, 2_000, 2_800, 2_800, 2_800]);
-    ceilings(100, Failure::Unreached, &[2_800, 2_800, 2_800, 2_800]);
-    ceilings(11, Failure::TurnedAway, &[500, 1_000, 2_000, 2_800, 2_800]);
+    ceilings(11, Failure::Unavailable, &[500, 1_000, 2_000, 2_800, 2_800, 2_800]);
+    ceilings(100, Failure::Unavailable, &[2_800, 2_800, 2_800, 2_800]);
+    ceilings(11, Failure::Rejected, &[500, 1_000, 2_000, 2_800, 2_800]);
     // Two polling cycles: with that many senders, shorter pauses keep discovery overloaded.
-    ceilings(100, Failure::TurnedAway, &[9_900, 9_900, 9_900]);
-    ceilings(100_000, Failure::TurnedAway, &[40_000, 40_000]);
+    ceilings(100, Failure::Rejected, &[9_900, 9_900, 9_900]);
+    ceilings(100_000, Failure::Rejected, &[40_000, 40_000]);
 }
 
 #[test]
-fn any_number_of_senders_gives_waits_that_pass() {
+fn pauses_are_bounded_for_any_number_of_senders() {
     for senders in [0, 1, 2, 100_000, usize::MAX] {
-        let mut asking = Asking::new(Lister::Shared, senders, 7);
-        assert!(asking.first() <= LONGEST_ROUND);
-        let waits: Vec<Duration> = (0..100).map(|_| asking.failed(Failure::TurnedAway)).collect();
-        assert!(waits.iter().all(|w| *w >= LEAST / 2 && *w <= MOST_CROWDED + LEAST));
+        let mut schedule = RequestSchedule::new(Lister::Shared, senders, 7);
+        assert!(schedule.initial_delay() <= MAX_POLLING_CYCLE);
+        let pauses: Vec<Duration> = (0..100).map(|_| schedule.failed(Failure::Rejected)).collect();
+        assert!(pauses.iter().all(|pause| *pause >= MIN_BACKOFF_CEILING / 2
+            && *pause <= MAX_BACKOFF_OVERLOADED + MIN_BACKOFF_CEILING));
     }
-    let mut alone = Asking::new(Lister::Shared, 1, 7);
-    assert_eq!(alone.first(), Duration::ZERO, "who is alone waits for nobody");
+    let mut alone = RequestSchedule::new(Lister::Shared, 1, 7);
+    assert_eq!(alone.initial_delay(), Duration::ZERO, "a single sender does not wait");
 }
 
 /// At the latest this long after an agent was sent an update, the sender is expected to know it; with a watch
 /// open, this long after the end of the watch's wait. A drain is enforced one second later.
-const TOLD: Duration = Duration::from_secs(6);
-const TOLD_AFTER_WAIT: Duration = Duration::from_secs(2);
+const MAX_AGENT_UPDATE_DELAY: Duration = Duration::from_secs(6);
+const MAX_UPDATE_DELAY_AFTER_WATCH: Duration = Duration::from_secs(2);
 
 #[test]
-fn an_agent_is_asked_at_once_however_many_senders_there_are_and_again_before_its_news_count() {
+fn agent_is_asked_at_once_and_retried_in_time_for_any_number_of_senders() {
     for senders in [0, 1, 2, 100, 300, 100_000, usize::MAX] {
-        let mut asking = Asking::new(Lister::Agent, senders, 7);
-        assert_eq!(asking.first(), Duration::ZERO);
+        let mut schedule = RequestSchedule::new(Lister::Agent, senders, 7);
+        assert_eq!(schedule.initial_delay(), Duration::ZERO);
         for _ in 0..1_000 {
-            let pause = asking.failed(Failure::Unreached);
-            assert!(pause >= LEAST / 2 && pause < Duration::from_millis(500));
+            let pause = schedule.failed(Failure::Unavailable);
+            assert!(pause >= MIN_BACKOFF_CEILING / 2 && pause < Duration::from_millis(500));
             // A lost watch and the request after it.
-            assert!(asking.grace(true) + pause < TOLD_AFTER_WAIT);
+            assert!(schedule.answer_timeout(true) + pause < MAX_UPDATE_DELAY_AFTER_WATCH);
             // Two lost requests for a full list, and the third one.
-            assert!((asking.grace(false) + pause) * 3 < TOLD);
+            assert!((schedule.answer_timeout(false) + pause) * 3 < MAX_AGENT_UPDATE_DELAY);
         }
-        asking.answered();
+        schedule.succeeded();
         // Soon enough for changes in between to belong to the same watch.
-        assert!(asking.failed(Failure::Unreached) < Duration::from_millis(200));
+        assert!(schedule.failed(Failure::Unavailable) < Duration::from_millis(200));
     }
 }
 
 /// Guards against missing a drain: what an agent has when it recovers is expected to be known at once, and a
 /// drain is enforced one second later.
 #[test]
-fn an_agent_that_is_silent_is_asked_often_enough_to_hear_at_its_return_what_counts_then() {
+fn unavailable_agent_is_retried_often_enough_to_get_its_updates_on_recovery() {
     for seed in 0..200 {
-        let mut asking = Asking::new(Lister::Agent, 300, seed);
-        assert_eq!(asking.wait(), WAIT);
-        asking.lost();
+        let mut schedule = RequestSchedule::new(Lister::Agent, 300, seed);
+        assert_eq!(schedule.watch_wait(), WATCH_WAIT);
+        schedule.watch_lost();
         for _ in 0..50 {
-            assert_eq!(asking.wait(), Duration::ZERO);
-            assert!(asking.grace(true) + asking.failed(Failure::Unreached) < Duration::from_secs(1));
+            assert_eq!(schedule.watch_wait(), Duration::ZERO);
+            assert!(
+                schedule.answer_timeout(true) + schedule.failed(Failure::Unavailable)
+                    < Duration::from_secs(1)
+            );
         }
-        asking.answered();
-        assert_eq!((asking.wait(), asking.grace(true)), (WAIT, GRACE_AGENT));
+        schedule.succeeded();
+        assert_eq!(
+            (schedule.watch_wait(), schedule.answer_timeout(true)),
+            (WATCH_WAIT, ANSWER_TIMEOUT_AGENT)
+        );
     }
-    let mut shared = Asking::new(Lister::Shared, 300, 7);
-    shared.failed(Failure::Unreached);
-    assert_eq!(shared.wait(), WAIT_AGAIN, "a watch all the same, which goes on once it is let in");
+    let mut shared = RequestSchedule::new(Lister::Shared, 300, 7);
+    shared.failed(Failure::Unavailable);
+    assert_eq!(
+        shared.watch_wait(),
+        RETRY_WATCH_WAIT_SHARED,
+        "still a watch, which continues once it is admitted"
+    );
 }
 
 #[test]
-fn a_watch_that_is_answered_early_with_nothing_is_no_reason_to_ask_on_at_once() {
+fn watch_that_returns_prematurely_without_changes_is_not_repeated_at_once() {
     for senders in [0, 1, 30, 300, usize::MAX] {
-        let agent = Asking::new(Lister::Agent, senders, 7).early();
-        assert!(agent >= LEAST && agent < Duration::from_millis(200), "the watch goes on: {agent:?}");
-        let mut shared = Asking::new(Lister::Shared, senders, 7);
-        let waits: Vec<Duration> = (0..400).map(|_| shared.early()).collect();
-        assert!(waits.iter().all(|w| *w >= LEAST && *w <= LEAST + EARLY));
-        assert!(senders < 30 || waits.iter().max().unwrap() > &Duration::from_secs(1), "{senders} spread");
-        assert_eq!(shared.grace(true), GRACE_AGENT, "it has not failed");
+        let agent_pause = RequestSchedule::new(Lister::Agent, senders, 7).premature_return();
+        assert!(
+            agent_pause >= MIN_BACKOFF_CEILING && agent_pause < Duration::from_millis(200),
+            "the pause belongs to the same watch: {agent_pause:?}"
+        );
+        let mut shared = RequestSchedule::new(Lister::Shared, senders, 7);
+        let pauses: Vec<Duration> = (0..400).map(|_| shared.premature_return()).collect();
+        assert!(pauses.iter().all(
+            |pause| *pause >= MIN_BACKOFF_CEILING && *pause <= MIN_BACKOFF_CEILING + MAX_PREMATURE_PAUSE
+        ));
+        assert!(
+            senders < 30 || pauses.iter().max().unwrap() > &Duration::from_secs(1),
+            "{senders} senders: pauses are spread"
+        );
+        assert_eq!(shared.answer_timeout(true), ANSWER_TIMEOUT_AGENT, "not a failure");
     }
 }
 
 #[test]
-fn a_watch_that_fell_silent_is_opened_anew_before_what_it_missed_counts_whoever_is_asked() {
-    for lister in [Lister::Agent, Lister::Shared] {
+fn timed_out_watch_is_replaced_in_time_in_both_modes() {
+    for mode in [Lister::Agent, Lister::Shared] {
         for seed in 0..200 {
-            let mut asking = Asking::new(lister, 300, seed);
-            asking.answered();
-            assert!(asking.grace(true) + asking.lost() + LEAST < TOLD_AFTER_WAIT, "{lister:?}");
+            let mut schedule = RequestSchedule::new(mode, 300, seed);
+            schedule.succeeded();
+            assert!(
+                schedule.answer_timeout(true) + schedule.watch_lost() + MIN_BACKOFF_CEILING
+                    < MAX_UPDATE_DELAY_AFTER_WATCH,
+                "{mode:?}"
+            );
         }
     }
     // Discovery is down: it is asked by all senders within the ceiling, but not all at the same time.
-    let mut asking = Asking::new(Lister::Shared, 300, 7);
-    asking.lost();
-    assert_eq!(asking.grace(true), GRACE_AGAIN);
-    let pauses: Vec<Duration> = (0..20).map(|_| asking.lost()).collect();
+    let mut schedule = RequestSchedule::new(Lister::Shared, 300, 7);
+    schedule.watch_lost();
+    assert_eq!(schedule.answer_timeout(true), RETRY_ANSWER_TIMEOUT_SHARED);
+    let pauses: Vec<Duration> = (0..20).map(|_| schedule.watch_lost()).collect();
     assert!(pauses.iter().max().unwrap() > &Duration::from_secs(2));
-    assert!(pauses.iter().all(|p| *p <= LEAST / 2 + MOST_SHARED));
-    asking.answered();
-    assert_eq!((asking.grace(true), asking.grace(false)), (GRACE_AGENT, GRACE));
+    assert!(pauses.iter().all(|p| *p <= MIN_BACKOFF_CEILING / 2 + MAX_BACKOFF_SHARED));
+    schedule.succeeded();
+    assert_eq!(
+        (schedule.answer_timeout(true), schedule.answer_timeout(false)),
+        (ANSWER_TIMEOUT_AGENT, ANSWER_TIMEOUT_SHARED)
+    );
 }
--- a/crates/serve/nickelshed/src/fleet.rs
+++ b/crates/serve/nickelshed/src/fleet.rs
@@ -5,9 +5,9 @@
 use crate::inbox::Input;
 use nickelshed_config::sidecar::Membership;
 use nickelshed_fleet::parts::Parts;
-use nickelshed_fleet::{Config, Facts, Fleet, Input as Told, Ns, Output, Seal, MOST};
+use nickelshed_fleet::{Config, Facts, Fleet, Input as FleetInput, Ns, Output, Seal, MOST};
 use nickelshed_host::{Datagrams, Host};
-use peer_addresses::Book;
+use peer_addresses::PeerAddresses;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -17,20 +17,20 @@
 use tokio::time::{sleep_until, Instant};
 
 /// Limit of the bytes per second that a member sends.
-const RATE: u32 = 8_192;
+const MAX_SEND_BYTES_PER_S: u32 = 8_192;
 /// How often the limit quota is updated if the membership view does not change.
-const LOOK: Duration = Duration::from_secs(1);
+const QUOTA_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 /// The file in the state folder that holds the last start number.
-pub const START: &str = "fleet-start";
+pub const START_FILE: &str = "fleet-start";
 
 /// The lowest headroom of a limit that endpoints reported since the last call of `take`.
 #[derive(Default)]
-pub struct Room(Cell<Option<f64>>);
+pub struct Headroom(Cell<Option<f64>>);
 
-impl Room {
-    pub fn told(&self, left: f64) {
+impl Headroom {
+    pub fn record(&self, left: f64) {
         if left.is_finite() {
-            self.0.set(Some(self.0.get().map_or(left, |least| least.min(left))));
+            self.0.set(Some(self.0.get().map_or(left, |lowest| lowest.min(left))));
         }
     }
 
@@ -40,21 +40,21 @@
 }
 
 /// What a member needs to know of its fleet.
-pub struct Fellowship {
-    facts: Facts,
+pub struct FleetConfig {
+    member_info: Facts,
     seeds: Vec<SocketAddr>,
     listen: SocketAddr,
-    book: Book,
-    seal: Seal,
+    peer_addresses: PeerAddresses,
+    authenticator: Seal,
     seed: u64,
     /// The number of senders in the settings.
-    planned: usize,
+    configured_senders: usize,
 }
 
 /// Returns the start number that follows the persisted one. An unreadable file counts as no earlier start;
 /// members that remember a later start number report it.
-pub fn start_after(kept: Option<Vec<u8>>) -> u32 {
-    let text = kept.and_then(|bytes| String::from_utf8(bytes).ok());
+pub fn next_start(persisted: Option<Vec<u8>>) -> u32 {
+    let text = persisted.and_then(|bytes| String::from_utf8(bytes).ok());
     text.and_then(|t| t.trim().parse::<u32>().ok()).unwrap_or(0).saturating_add(1)
 }
 
@@ -63,18 +63,18 @@
     std::array::from_fn(|_| parts.next().unwrap_or(0))
 }
 
-impl Fellowship {
+impl FleetConfig {
     /// # Errors
     /// Returns an error if the key file cannot be read. Without its key the member would communicate with
     /// nobody, or with anybody.
-    pub fn read(
+    pub fn from_sidecar(
         membership: &Membership,
         application: &str,
         folder: &Path,
         seed: u64,
-        planned: usize,
-        settings: u32,
-    ) -> Result<Fellowship, String> {
+        configured_senders: usize,
+        settings_digest: u32,
+    ) -> Result<FleetConfig, String> {
         let key = match &membership.key_file {
             None => Vec::new(),
             Some(file) => {
@@ -83,177 +83,188 @@
                     .map_err(|e| format!("cannot read the fleet's key {}: {e}", path.display()))?
             }
         };
-        Ok(Fellowship {
-            facts: Facts {
+        Ok(FleetConfig {
+            member_info: Facts {
                 name: membership.member.clone().unwrap_or_else(|| application.to_string()),
                 address: membership.reached_at(),
                 site: membership.site.clone(),
                 version: version(),
-                settings,
+                settings: settings_digest,
             },
             seeds: membership.seeds.clone(),
             listen: membership.listen,
-            book: Book::Plain,
-            seal: Seal::new(&membership.name, &key),
+            peer_addresses: PeerAddresses::Direct,
+            authenticator: Seal::new(&membership.name, &key),
             seed,
-            planned,
+            configured_senders,
         })
     }
 
     /// Builds the configuration of a member on the platform. The number at the end of a sender's name is its
     /// index in the list of peers. Returns None if that list cannot describe this sender's fleet: it has no
     /// other member, or no entry at this sender's index.
-    pub fn on_platform(
+    pub fn from_platform(
         name: &str,
         site: &str,
-        notes: Notes,
+        peers: PlatformPeers,
         seed: u64,
-        planned: usize,
-        settings: u32,
-    ) -> Option<Fellowship> {
+        configured_senders: usize,
+        settings_digest: u32,
+    ) -> Option<FleetConfig> {
         let digits = name.trim_start_matches(|c: char| !c.is_ascii_digit());
-        let number: usize = digits.parse().ok()?;
-        if number >= notes.peers.len() || notes.peers.len() < 2 {
+        let index: usize = digits.parse().ok()?;
+        if index >= peers.addresses.len() || peers.addresses.len() < 2 {
             return None;
         }
-        let places = (0..notes.peers.len()).filter(|n| *n != number);
-        Some(Fellowship {
-            facts: Facts {
+        let other_indices = (0..peers.addresses.len()).filter(|n| *n != index);
+        Some(FleetConfig {
+            member_info: Facts {
                 name: name.to_string(),
-                address: Book::place(number)?,
+                address: PeerAddresses::placeholder(index)?,
                 site: site.to_string(),
                 version: version(),
-                settings,
+                settings: settings_digest,
             },
-            seeds: places.filter_map(Book::place).collect(),
-            listen: notes.listen,
-            book: Book::Led(notes.peers),
-            // Nobody else can reach that socket, so the authentication only has to detect corrupted
+            seeds: other_indices.filter_map(PeerAddresses::placeholder).collect(),
+            listen: peers.listen,
+            peer_addresses: PeerAddresses::Mapped(peers.addresses),
+            // No other process can reach that socket, so the authentication only has to detect corrupted
             // datagrams.
-            seal: Seal::new("platform", &[]),
+            authenticator: Seal::new("platform", &[]),
             seed,
-            planned,
+            configured_senders,
         })
     }
 }
 
 /// Where the other senders receive datagrams, and where this one does, as the platform sets it.
 #[derive(Clone, Debug)]
-pub struct Notes {
-    pub peers: Vec<SocketAddr>,
+pub struct PlatformPeers {
+    pub addresses: Vec<SocketAddr>,
     pub listen: SocketAddr,
 }
 
-struct Front<D> {
+struct FleetMember<D> {
     socket: D,
-    book: Book,
+    peer_addresses: PeerAddresses,
     fleet: Fleet,
-    parts: Parts,
+    quota: Parts,
     core: mpsc::Sender<Input>,
-    room: Rc<Room>,
-    began: Instant,
-    senders: usize,
+    headroom: Rc<Headroom>,
+    started_at: Instant,
+    sender_count: usize,
 }
 
 /// Runs the member until `end` fires, then announces that it leaves. `start` counts the process runs of this
 /// member.
 pub async fn run<H: Host>(
     host: H,
-    told: Fellowship,
+    fleet_config: FleetConfig,
     start: u32,
     core: mpsc::Sender<Input>,
-    room: Rc<Room>,
+    headroom: Rc<Headroom>,
     mut end: oneshot::Receiver<()>,
 ) {
-    let socket = match host.datagrams(told.listen).await {
+    let socket = match host.datagrams(fleet_config.listen).await {
         Ok(socket) => socket,
         // Without the fleet the sender uses its share by the settings, so it can still deliver.
         Err(error) => {
-            tracing::error!(listen = %told.listen, %error, "cannot take the fleet's datagrams; running alone");
+            tracing::error!(
+                listen = %fleet_config.listen, %error, "cannot take the fleet's datagrams; running alone"
+            );
             return;
         }
     };
     // The start number is handed to the core before any other member learns of it. If the process is killed
     // before the core has persisted it, the next process run uses the same number, and members that have seen
     // it already report that.
-    if core.send(Input::Start(start)).await.is_err() {
+    if core.send(Input::StartNumber(start)).await.is_err() {
         return;
     }
-    let member = told.facts.name.clone();
-    tracing::info!(member, start, listen = %told.listen, "a member of the fleet");
-    let config =
-        Config { facts: told.facts, start, seeds: told.seeds, seal: told.seal, rate: RATE, seed: told.seed };
-    let mut front = Front {
+    let member = fleet_config.member_info.name.clone();
+    tracing::info!(member, start, listen = %fleet_config.listen, "a member of the fleet");
+    let config = Config {
+        facts: fleet_config.member_info,
+        start,
+        seeds: fleet_config.seeds,
+        seal: fleet_config.authenticator,
+        rate: MAX_SEND_BYTES_PER_S,
+        seed: fleet_config.seed,
+    };
+    let mut fleet_member = FleetMember {
         socket,
         fleet: Fleet::new(config, 0),
-        parts: if matches!(told.book, Book::Led(_)) {
-            Parts::closed(told.planned, 0)
+        quota: if matches!(fleet_config.peer_addresses, PeerAddresses::Mapped(_)) {
+            Parts::closed(fleet_config.configured_senders, 0)
         } else {
-            Parts::new(told.planned, 0)
+            Parts::new(fleet_config.configured_senders, 0)
         },
-        book: told.book,
+        peer_addresses: fleet_config.peer_addresses,
         core,
-        room,
-        began: Instant::now(),
-        senders: told.planned,
+        headroom,
+        started_at: Instant::now(),
+        sender_count: fleet_config.configured_senders,
     };
-    front.look();
+    fleet_member.update_quota();
     let mut buffer = [0; MOST + 1];
-    let mut look = Instant::now() + LOOK;
+    let mut next_quota_update = Instant::now() + QUOTA_UPDATE_INTERVAL;
     loop {
-        let wake = front.instant(front.fleet.wake_at()).min(look);
-        let came = tokio::select! {
+        let wake = fleet_member.to_instant(fleet_member.fleet.wake_at()).min(next_quota_update);
+        let received = tokio::select! {
             biased;
             _ = &mut end => {
-                front.tell(Told::Leave);
+                fleet_member.handle_input(FleetInput::Leave);
                 return;
             }
             // Timers first: after a stall, the process must notice it before it reads the datagrams that
             // arrived meanwhile.
             () = sleep_until(wake) => None,
-            came = front.socket.receive(&mut buffer) => {
-                let Ok((length, from)) = came else { continue };
+            received = fleet_member.socket.receive(&mut buffer) => {
+                let Ok((length, from)) = received else { continue };
                 // Datagrams from addresses outside the fleet are dropped unread.
-                let Some(from) = front.book.from(from) else { continue };
+                let Some(from) = fleet_member.peer_addresses.member_at(from) else { continue };
                 Some((length, from))
             }
         };
-        match came {
-            Some((length, from)) => front.tell(Told::Datagram { from, bytes: &buffer[..length] }),
-            None => front.tell(Told::Timer),
+        match received {
+            Some((length, from)) => {
+                fleet_member.handle_input(FleetInput::Datagram { from, bytes: &buffer[..length] })
+            }
+            None => fleet_member.handle_input(FleetInput::Timer),
         }
-        if Instant::now() >= look {
-            look = Instant::now() + LOOK;
-            front.look();
+        if Instant::now() >= next_quota_update {
+            next_quota_update = Instant::now() + QUOTA_UPDATE_INTERVAL;
+            fleet_member.update_quota();
         }
     }
 }
 
-impl<D: Datagrams> Front<D> {
+impl<D: Datagrams> FleetMember<D> {
     fn now(&self) -> Ns {
-        self.began.elapsed().as_nanos() as Ns
+        self.started_at.elapsed().as_nanos() as Ns
     }
 
-    fn instant(&self, at: Ns) -> Instant {
-        // A member that has fallen silent has no next timer; its quota is still updated once a second.
-        self.began + Duration::from_nanos(at.clamp(0, self.now() + 1_000_000_000) as u64)
+    fn to_instant(&self, at: Ns) -> Instant {
+        // A member that has stopped taking part in the fleet has no next timer; its quota is still updated
+        // once a second.
+        self.started_at + Duration::from_nanos(at.clamp(0, self.now() + 1_000_000_000) as u64)
     }
 
-    fn tell(&mut self, input: Told<'_>) {
+    fn handle_input(&mut self, input: FleetInput<'_>) {
         let mut out = Vec::new();
         self.fleet.handle(self.now(), input, &mut out);
         let mut changed = false;
         for output in out {
             match output {
                 Output::Send { to, bytes } => {
-                    if let Some(to) = self.book.to(to) {
+                    if let Some(to) = self.peer_addresses.address_of(to) {
                         self.socket.send(&bytes, to);
                     }
                 }
                 Output::Keep { start } => {
                     // If the core's queue is full, the number is not persisted; the next process run learns
                     // it from the other members again.
-                    let _ = self.core.try_send(Input::Start(start));
+                    let _ = self.core.try_send(Input::StartNumber(start));
                 }
                 Output::Changed { name, change, .. } => {
                     let change = format!("{change:?}").to_lowercase();
@@ -275,32 +286,32 @@
                 Output::StoodStill { time } => {
                     tracing::warn!(
                         ms = time / 1_000_000,
-                        "stood still; its membership view is outdated, its share of each limit reduced for now"
+                        "stood still; its membership view is outdated, its limit share reduced for now"
                     );
                     changed = true;
                 }
             }
         }
         if changed {
-            self.look();
+            self.update_quota();
         }
     }
 
     /// Updates the limit quota, and tells the core the sender count by which limits are divided if it has
     /// changed.
-    fn look(&mut self) {
+    fn update_quota(&mut self) {
         let now = self.now();
-        if let Some(left) = self.room.take() {
-            self.parts.room(now, left);
+        if let Some(left) = self.headroom.take() {
+            self.quota.room(now, left);
         }
         let seen = self.fleet.seen();
-        self.parts.see(now, &seen);
+        self.quota.see(now, &seen);
         // Rounded up, so that the share is never larger than the quota allows.
-        let senders = (self.parts.senders() - 1e-9).ceil().max(1.0) as usize;
+        let senders = (self.quota.senders() - 1e-9).ceil().max(1.0) as usize;
         // Not awaited: a member that waits for the core would answer other members late. The next update
         // tries again.
-        if senders != self.senders && self.core.try_send(Input::Senders(senders)).is_ok() {
-            self.senders = senders;
+        if senders != self.sender_count && self.core.try_send(Input::SenderCount(senders)).is_ok() {
+            self.sender_count = senders;
             tracing::info!(senders, present = self.fleet.present(), "each limit is shared among");
         }
     }
@@ -311,9 +322,9 @@
     use super::*;
 
     #[test]
-    fn each_start_is_later_than_the_one_before_and_a_spoilt_file_is_a_first_one() {
-        let kept = |text: &[u8]| start_after(Some(text.to_vec()));
-        assert_eq!((start_after(None), kept(b"1\n"), kept(b"41")), (1, 2, 42));
-        assert_eq!((kept(b"4\0x"), kept(b"\xff"), kept(b"4294967295")), (1, 1, u32::MAX));
+    fn each_start_number_is_higher_and_a_corrupted_file_counts_as_none() {
+        let persisted = |text: &[u8]| next_start(Some(text.to_vec()));
+        assert_eq!((next_start(None), persisted(b"1\n"), persisted(b"41")), (1, 2, 42));
+        assert_eq!((persisted(b"4\0x"), persisted(b"\xff"), persisted(b"4294967295")), (1, 1, u32::MAX));
     }
 }
--- a/crates/serve/nickelshed/src/inbox.rs
+++ b/crates/serve/nickelshed/src/inbox.rs
@@ -1,5 +1,5 @@
 //! Inputs to the core from the other parts of the sender, and the core's replies to clients.
-use crate::list::List;
+use crate::list::EndpointList;
 use nickelshed_journal::{Synced, Taken};
 use nickelshed_policy::api::{AttemptEnd, EndpointId, Outcome, Report};
 use std::time::Duration;
@@ -9,38 +9,38 @@
 /// The reply to a submitted message.
 #[derive(Clone, Copy, Debug)]
 pub enum Reply {
-    TakenOn,
+    Accepted,
     /// Submitting it again is harmless, after the given time if it is known.
-    Refused(Option<Duration>),
+    Rejected(Option<Duration>),
     Failed,
     /// No endpoint list has named the destination.
-    NoDestination,
+    UnknownDestination,
     /// An open message with different content has the same id.
     Conflict,
 }
 
 pub enum Input {
     /// A submitted message; the core assigns `message.id`.
-    Offer {
-        taken: Taken,
-        end: Instant,
+    Submit {
+        message: Taken,
+        deadline: Instant,
         reply: oneshot::Sender<Reply>,
     },
-    List(List),
-    Ended(Vec<AttemptEnd>),
+    EndpointList(EndpointList),
+    AttemptsEnded(Vec<AttemptEnd>),
     Probed {
         endpoint: EndpointId,
         outcome: Outcome,
         report: Option<Report>,
     },
     /// Every sink has received these notices.
-    Noticed(Vec<u64>),
+    NoticesDelivered(Vec<u64>),
     /// The result of a journal sync.
     Synced(Synced),
     /// How many senders share each limit, by the membership view of the fleet.
-    Senders(usize),
+    SenderCount(usize),
     /// The start number of this fleet member, to be persisted for the next process run.
-    Start(u32),
+    StartNumber(u32),
     /// No further client connects: exit once nothing is left to do, and start no call after this time.
-    Wind(Instant),
+    Shutdown(Instant),
 }
--- a/crates/serve/nickelshed/src/lib.rs
+++ b/crates/serve/nickelshed/src/lib.rs
@@ -16,7 +16,7 @@
 pub use config::{ConfigSource, EnvironmentVariables};
 pub use nickelshed_config::Operator;
 
-use crate::config::{Config, Endpoints, Fresh};
+use crate::config::{Config, EndpointSource, ReloadableConfig};
 use crate::inbox::Input;
 use nickelshed_budget::{Budget, Sockets};
 use nickelshed_config::sidecar::Durability;
@@ -38,32 +38,32 @@
 /// `STOP_ACCEPTING_AFTER`, client connections should have ended by `CLOSE_CLIENTS_BY`, no new call is started
 /// after `STOP_SENDING_AFTER`, and the process exits at `EXIT_AFTER` even with calls in flight. Messages that
 /// are still open then stay in the journal for the next process.
-const ACCEPT_ON: Duration = Duration::from_millis(500);
-const CLIENTS_GONE: Duration = Duration::from_millis(1_200);
-const BEGIN_ON: Duration = Duration::from_millis(2_600);
-const END: Duration = Duration::from_millis(3_300);
+const STOP_ACCEPTING_AFTER: Duration = Duration::from_millis(500);
+const CLOSE_CLIENTS_BY: Duration = Duration::from_millis(1_200);
+const STOP_SENDING_AFTER: Duration = Duration::from_millis(2_600);
+const EXIT_AFTER: Duration = Duration::from_millis(3_300);
 /// Pause after a failed sync of the journal.
-const SYNC_AGAIN: Duration = Duration::from_millis(200);
+const SYNC_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Inputs that may be queued for the core. When the queue is full, clients get a 503.
-const INBOX: usize = 2_048;
+const INBOX_CAPACITY: usize = 2_048;
 
 /// Applies a changed configuration file on SIGHUP. An invalid file is logged and ignored: it must neither end
 /// the process nor replace a configuration that works.
 async fn reload(
-    form: ConfigSource,
+    source: ConfigSource,
     mut reloads: mpsc::Receiver<()>,
-    discovery: Option<watch::Teller<SocketAddr>>,
+    discovery: Option<watch::Sender<SocketAddr>>,
     core: mpsc::Sender<Input>,
 ) {
     while reloads.recv().await.is_some() {
-        match (form.reread(), &discovery) {
-            (Ok(Fresh { discovery: Some(address), .. }), Some(discovery)) => {
+        match (source.read_reloadable(), &discovery) {
+            (Ok(ReloadableConfig { discovery: Some(address), .. }), Some(discovery)) => {
                 tracing::info!(%address, "the configuration was read again");
                 discovery.send(address);
             }
-            (Ok(Fresh { list: Some(list), .. }), None) => {
+            (Ok(ReloadableConfig { list: Some(list), .. }), None) => {
                 tracing::info!(endpoints = list.instances.len(), "the configuration was read again");
-                if core.send(Input::List(list)).await.is_err() {
+                if core.send(Input::EndpointList(list)).await.is_err() {
                     return;
                 }
             }
@@ -84,37 +84,37 @@
 /// # Errors
 /// Returns the reason if the sender cannot start, or if it ends by a failure.
 pub fn run<S: Storage + 'static>(
-    form: &ConfigSource,
+    source: &ConfigSource,
     storage: impl FnOnce(&Path) -> S,
 ) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("cannot start the async runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
         let signals = Signals::of_process()?;
-        serve(form, Machine, signals, storage).await
+        serve(source, Machine, signals, storage).await
     })
 }
 
 /// Starts the thread that runs the journal's syncs, and returns the queue by which the core requests them.
 /// The results go back to the core as [`Input::Synced`].
 fn sync_thread<F: Handle>(core: mpsc::Sender<Input>) -> Result<std::sync::mpsc::Sender<Sync<F>>, String> {
-    let (syncs, jobs) = std::sync::mpsc::channel::<Sync<F>>();
-    let (out, mut done) = mpsc::unbounded_channel();
+    let (job_tx, job_rx) = std::sync::mpsc::channel::<Sync<F>>();
+    let (result_tx, mut result_rx) = mpsc::unbounded_channel();
     spawn_local(async move {
-        while let Some(synced) = done.recv().await {
+        while let Some(synced) = result_rx.recv().await {
             if core.send(Input::Synced(synced)).await.is_err() {
                 return;
             }
         }
     });
     let run = move || {
-        for sync in jobs {
+        for sync in job_rx {
             let synced = sync.run();
             if let Some(error) = synced.error() {
                 tracing::error!(%error, "cannot sync the journal; its records will be written again");
-                std::thread::sleep(SYNC_AGAIN);
+                std::thread::sleep(SYNC_RETRY_DELAY);
             }
-            if out.send(synced).is_err() {
+            if result_tx.send(synced).is_err() {
                 return;
             }
         }
@@ -123,7 +123,7 @@
         .name("sync".into())
         .spawn(run)
         .map_err(|e| format!("cannot start the journal sync thread: {e}"))?;
-    Ok(syncs)
+    Ok(job_tx)
 }
 
 /// Opens the journal, and logs damage and imported messages.
@@ -150,8 +150,8 @@
     };
     let folder = config.state.display();
     let opened = Journal::open(storage, options, budget, wall_ms);
-    let (journal, found) = opened.map_err(|e| format!("state folder {folder}: {e}"))?;
-    if let Some(torn) = &found.torn {
+    let (journal, report) = opened.map_err(|e| format!("state folder {folder}: {e}"))?;
+    if let Some(torn) = &report.torn {
         tracing::info!(
             segment = torn.seq,
             kept = torn.kept,
@@ -159,9 +159,9 @@
             "the last write was cut off; nothing in it had been acknowledged"
         );
     }
-    if let Some(first) = found.damage.first() {
-        let (places, doubted) = (found.damage.len(), found.doubted);
-        let aside = found.set_aside.join(", ");
+    if let Some(first) = report.damage.first() {
+        let (places, doubted) = (report.damage.len(), report.doubted);
+        let aside = report.set_aside.join(", ");
         tracing::error!(
             segment = first.seq,
             from = first.from,
@@ -172,8 +172,8 @@
             "the journal is damaged; readable records are kept, uncertain attempts are assumed made"
         );
     }
-    if found.imported > 0 {
-        tracing::info!(messages = found.imported, "imported from the journal of the previous version");
+    if report.imported > 0 {
+        tracing::info!(messages = report.imported, "imported from the journal of the previous version");
     }
     Ok(journal)
 }
@@ -199,8 +199,10 @@
                 _ = interrupt.recv() => {}
             }
         });
-        let (told, reloads) = mpsc::channel(1);
-        spawn_local(async move { while hangup.recv().await.is_some() && told.send(()).await.is_ok() {} });
+        let (reload_tx, reloads) = mpsc::channel(1);
+        spawn_local(
+            async move { while hangup.recv().await.is_some() && reload_tx.send(()).await.is_ok() {} },
+        );
         Ok(Signals { shutdown, reloads })
     }
 }
@@ -211,20 +213,20 @@
 /// # Errors
 /// Returns the reason if the sender cannot start, or if it ends by a failure.
 pub async fn serve<S: Storage + 'static, H: Host>(
-    form: &ConfigSource,
+    source: &ConfigSource,
     host: H,
     mut signals: Signals,
     storage: impl FnOnce(&Path) -> S,
 ) -> Result<(), String> {
-    let mut config = form.read()?;
+    let mut config = source.read()?;
     let budget = Budget::new(config.limits.memory_mb);
     let journal = open_journal(&config, host.wall_ms(), storage(&config.state), &budget)?;
-    let (core_in, inbox) = mpsc::channel(INBOX);
-    let syncs = match config.durability {
+    let (core_tx, inbox) = mpsc::channel(INBOX_CAPACITY);
+    let sync_jobs = match config.durability {
         Durability::Process => None,
-        Durability::Machine => Some(sync_thread(core_in.clone())?),
+        Durability::Machine => Some(sync_thread(core_tx.clone())?),
     };
-    let (notices_in, notices) = mpsc::unbounded_channel();
+    let (notice_tx, notice_rx) = mpsc::unbounded_channel();
     let settings = &config.settings;
     let sockets = Sockets::divide(config.limits.sockets, settings.slots);
     let pool = Rc::new(connections::Pool::new(
@@ -233,52 +235,64 @@
         settings.idle_close,
         sockets.calls,
     ));
-    spawn_local(pool.clone().keep());
-    let pulse = Rc::new(stall_detector::Pulse::new(host.clone()));
-    spawn_local(pulse.clone().keep());
-    let client = Rc::new(calls::Client { core: core_in.clone(), pool, pulse });
-    let (place, discovery) = match config.endpoints {
-        Endpoints::Discovery(address) => Some(watch::channel(address)).unzip(),
-        Endpoints::Listed => (None, None),
+    spawn_local(pool.clone().run_maintenance());
+    let stall_detector = Rc::new(stall_detector::StallDetector::new(host.clone()));
+    spawn_local(stall_detector.clone().run());
+    let executor = Rc::new(calls::CallExecutor { core: core_tx.clone(), pool, stall_detector });
+    let (address_tx, address_rx) = match config.endpoint_source {
+        EndpointSource::Discovery(address) => Some(watch::channel(address)).unzip(),
+        EndpointSource::Static => (None, None),
     };
-    spawn_local(reload(form.clone(), signals.reloads, place, core_in.clone()));
-    let mut asking = discovery::Asking::new(config.around.lister, settings.n_instances, config.seed);
-    let held = (!config.known.instances.is_empty())
-        .then(|| discovery::Held { generation: config.known.generation, ask_after: asking.first() });
-    let mut news_within = Duration::ZERO;
-    if let Some(discovery) = &discovery {
-        news_within = discovery::news_within(held.as_ref());
-        spawn_local(discovery::follow(host.clone(), discovery.clone(), held, asking, core_in.clone()));
+    spawn_local(reload(source.clone(), signals.reloads, address_tx, core_tx.clone()));
+    let mut schedule =
+        discovery::RequestSchedule::new(config.context.lister, settings.n_instances, config.seed);
+    let cached_list = (!config.initial_list.instances.is_empty()).then(|| discovery::CachedList {
+        generation: config.initial_list.generation,
+        poll_after: schedule.initial_delay(),
+    });
+    let mut startup_wait = Duration::ZERO;
+    if let Some(address_rx) = &address_rx {
+        startup_wait = discovery::startup_wait(cached_list.as_ref());
+        spawn_local(discovery::follow(
+            host.clone(),
+            address_rx.clone(),
+            cached_list,
+            schedule,
+            core_tx.clone(),
+        ));
     }
-    let told = notices::Told {
+    let targets = notices::NoticeTargets {
         application: config.application.clone(),
-        platform: discovery,
+        platform: address_rx,
         sync: config.durability == Durability::Machine,
     };
     spawn_local(notices::run(
         host.clone(),
         std::mem::take(&mut config.notices),
-        told,
-        notices,
-        core_in.clone(),
+        targets,
+        notice_rx,
+        core_tx.clone(),
     ));
-    let (listen, known) = (config.listen, std::mem::take(&mut config.known));
-    let (around, application) = (config.around.clone(), config.application.clone());
+    let (listen, initial_list) = (config.listen, std::mem::take(&mut config.initial_list));
+    let (context, application) = (config.context.clone(), config.application.clone());
     let deadline = |c: &Class| Duration::from_nanos(c.deadline.max(0) as u64);
     let class = |c: &Class| server::Class { effect: c.effect, deadline: deadline(c) };
     let classes = settings.classes.iter().map(class).collect();
-    let fellowship = config.fleet.take().map(|told| (told, fleet::start_after(journal.beside(fleet::START))));
-    let mut core = core::Core::new(host.clone(), config, journal, syncs, client, inbox, notices_in);
-    let (leave, leaving) = tokio::sync::oneshot::channel();
-    let member = fellowship.map(|(told, start)| {
-        let room = Rc::new(fleet::Room::default());
-        core.room = Some(room.clone());
-        (told, start, room)
+    let fleet_config = config
+        .fleet
+        .take()
+        .map(|fleet_config| (fleet_config, fleet::next_start(journal.beside(fleet::START_FILE))));
+    let mut core = core::Core::new(host.clone(), config, journal, sync_jobs, executor, inbox, notice_tx);
+    let (leave_tx, leave_rx) = tokio::sync::oneshot::channel();
+    let member = fleet_config.map(|(fleet_config, start)| {
+        let headroom = Rc::new(fleet::Headroom::default());
+        core.headroom = Some(headroom.clone());
+        (fleet_config, start, headroom)
     });
-    core.resume(known, news_within).await;
+    core.recover(initial_list, startup_wait).await;
     let core = spawn_local(core.run());
-    let member = member.map(|(told, start, room)| {
-        spawn_local(fleet::run(host.clone(), told, start, core_in.clone(), room, leaving))
+    let member = member.map(|(fleet_config, start, headroom)| {
+        spawn_local(fleet::run(host.clone(), fleet_config, start, core_tx.clone(), headroom, leave_rx))
     });
 
     // The port is opened only after recovery: a sender is used as soon as it answers, and messages from the
@@ -287,19 +301,19 @@
     if let Some(application) = application {
         tracing::info!(application, %listen, "ready");
     }
-    let (close, closing) = watch::channel(false);
+    let (stop_tx, stop_rx) = watch::channel(false);
     let server = Rc::new(server::Server {
         host,
-        core: core_in.clone(),
-        around,
+        core: core_tx.clone(),
+        context,
         classes,
         budget,
-        most: sockets.clients,
-        turned_away: sockets.turned_away,
-        open: Default::default(),
-        guests: Default::default(),
+        max_served: sockets.clients,
+        max_rejected: sockets.turned_away,
+        open_connections: Default::default(),
+        clients: Default::default(),
     });
-    let accepting = spawn_local(server.clone().accept(listener, closing));
+    let accept_task = spawn_local(server.clone().accept(listener, stop_rx));
 
     tokio::select! {
         biased;
@@ -308,22 +322,24 @@
         // the journal.
         ended = core => return Err(format!("the event loop has failed: {ended:?}")),
     }
-    let told = Instant::now();
+    let shutdown_began = Instant::now();
     // Announces to the fleet that this member leaves, so that the others take over its share of the limits.
-    drop(leave);
+    drop(leave_tx);
     if let Some(member) = member {
-        let _ = timeout(ACCEPT_ON, member).await;
+        let _ = timeout(STOP_ACCEPTING_AFTER, member).await;
     }
-    sleep(ACCEPT_ON.saturating_sub(told.elapsed())).await;
-    close.send(true);
-    let _ = accepting.await;
-    let gone = async {
-        while server.open.get() > 0 {
+    sleep(STOP_ACCEPTING_AFTER.saturating_sub(shutdown_began.elapsed())).await;
+    stop_tx.send(true);
+    let _ = accept_task.await;
+    let clients_closed = async {
+        while server.open_connections.get() > 0 {
             sleep(Duration::from_millis(10)).await;
         }
     };
-    let _ = timeout(CLIENTS_GONE - ACCEPT_ON, gone).await;
-    let _ = core_in.send(Input::Wind(told + BEGIN_ON)).await;
-    let _ = timeout((told + END).saturating_duration_since(Instant::now()), core_in.closed()).await;
+    let _ = timeout(CLOSE_CLIENTS_BY - STOP_ACCEPTING_AFTER, clients_closed).await;
+    let _ = core_tx.send(Input::Shutdown(shutdown_began + STOP_SENDING_AFTER)).await;
+    let _ =
+        timeout((shutdown_began + EXIT_AFTER).saturating_duration_since(Instant::now()), core_tx.closed())
+            .await;
     Ok(())
 }
--- a/crates/serve/nickelshed/src/list.rs
+++ b/crates/serve/nickelshed/src/list.rs
@@ -17,52 +17,52 @@
 }
 
 #[derive(Deserialize, Clone, Debug, Default)]
-pub struct List {
+pub struct EndpointList {
     #[serde(default)]
     pub generation: u64,
     #[serde(default)]
     pub reset: bool,
-    #[serde(default, deserialize_with = "readable")]
+    #[serde(default, deserialize_with = "readable_instances")]
     pub instances: Vec<Instance>,
 }
 
-impl List {
+impl EndpointList {
     /// The names of listed instances that are not ready. If a list names an instance both as ready and as not
     /// ready, the second counts: new work would violate a drain, while waiting for the next list does no
     /// harm.
-    pub fn shut(&self) -> HashSet<String> {
+    pub fn not_ready_names(&self) -> HashSet<String> {
         self.instances.iter().filter(|i| i.lifecycle != "Ready").map(|i| i.name.clone()).collect()
     }
 
     /// A full list: instances missing from it are unavailable.
-    pub fn whole(instances: Vec<Instance>) -> List {
-        List { generation: 0, reset: true, instances }
+    pub fn full(instances: Vec<Instance>) -> EndpointList {
+        EndpointList { generation: 0, reset: true, instances }
     }
 }
 
 /// Reads the valid entries. An invalid entry is logged and skipped without rejecting the others.
-fn readable<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<Instance>, D::Error> {
-    let values = Vec::<Value>::deserialize(from)?;
-    let read = |v: &Value| {
-        let read = instance(v);
+fn readable_instances<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Instance>, D::Error> {
+    let values = Vec::<Value>::deserialize(deserializer)?;
+    let read = |value: &Value| {
+        let read = parse_instance(value);
         if read.is_none() {
-            tracing::warn!(entry = %v, "ignoring an invalid entry of the endpoint list");
+            tracing::warn!(entry = %value, "ignoring an invalid entry of the endpoint list");
         }
         read
     };
     Ok(values.iter().filter_map(read).collect())
 }
 
-fn instance(v: &Value) -> Option<Instance> {
-    let text = |key: &str| v.get(key).and_then(Value::as_str);
+fn parse_instance(value: &Value) -> Option<Instance> {
+    let text = |key: &str| value.get(key).and_then(Value::as_str);
     let name = text("instanceId").filter(|n| n.len() <= MAX_NAME)?;
     Some(Instance {
         name: name.to_string(),
         address: text("hostPort")?.parse().ok()?,
         zone: text("zone").unwrap_or_default().to_string(),
         kind: text("machineType").unwrap_or_default().to_string(),
-        dest: v.get("cell")?.as_u64()?,
+        dest: value.get("cell")?.as_u64()?,
         lifecycle: text("lifecycle")?.to_string(),
-        weight: v.get("weight").and_then(Value::as_f64).unwrap_or(0.0),
+        weight: value.get("weight").and_then(Value::as_f64).unwrap_or(0.0),
     })
 }
--- a/crates/serve/nickelshed/src/main.rs
+++ b/crates/serve/nickelshed/src/main.rs
@@ -7,8 +7,9 @@
 
 /// Delivers messages to systems of other parties.
 ///
-/// As the sidecar of one application it reads its whole configuration from one file: `nickelshed --config
-/// deploy/sidecar.toml`. On the platform it reads EDGE_LISTEN, EDGE_DISCOVERY, EDGE_STATE and EDGE_CONFIG.
+/// As the sidecar of one application it reads its whole configuration from one file:
+/// `nickelshed --config deploy/sidecar.toml`.
+/// On the platform it reads EDGE_LISTEN, EDGE_DISCOVERY, EDGE_STATE and EDGE_CONFIG.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -20,7 +21,7 @@
     operator: Option<PathBuf>,
 }
 
-fn operator(path: &Path) -> Result<Operator, String> {
+fn load_operator(path: &Path) -> Result<Operator, String> {
     let bytes = std::fs::read(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     Operator::load(&bytes).map_err(|findings| {
         let text = String::from_utf8_lossy(&bytes);
@@ -28,10 +29,10 @@
     })
 }
 
-fn form(arguments: &Arguments) -> Result<ConfigSource, String> {
+fn config_source(arguments: &Arguments) -> Result<ConfigSource, String> {
     match (&arguments.config, &arguments.operator) {
         (Some(config), _) => Ok(ConfigSource::Sidecar(config.clone())),
-        (None, Some(path)) => Ok(ConfigSource::Platform(operator(path)?)),
+        (None, Some(path)) => Ok(ConfigSource::Platform(load_operator(path)?)),
         (None, None) => Ok(ConfigSource::Platform(Operator::default())),
     }
 }
@@ -40,7 +41,7 @@
     let arguments = Arguments::parse();
     let level = std::env::var("RUST_LOG").ok().and_then(|l| l.parse().ok()).unwrap_or(tracing::Level::INFO);
     tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false).init();
-    match form(&arguments).and_then(|form| nickelshed::run(&form, Folder::new)) {
+    match config_source(&arguments).and_then(|config_source| nickelshed::run(&config_source, Folder::new)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             for line in error.lines() {
--- a/crates/serve/nickelshed/src/notices/http.rs
+++ b/crates/serve/nickelshed/src/notices/http.rs
@@ -1,5 +1,5 @@
 //! A sink that posts notices over HTTP, to the platform or to a receiver of the operator's.
-use super::{Notice, Take};
+use super::{Notice, SinkHandle};
 use crate::connections::{self, Connection};
 use crate::watch;
 use nickelshed_host::Host;
@@ -9,30 +9,30 @@
 use tokio::time::{sleep, timeout};
 
 const MAX_BODY: usize = 60 << 10;
-const PATIENCE: Duration = Duration::from_secs(1);
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Where notices are posted, and which answers accept them.
-pub struct Receiver {
-    pub place: watch::Listener<SocketAddr>,
+pub struct HttpTarget {
+    pub address_rx: watch::Receiver<SocketAddr>,
     pub path: String,
     /// Whether an answer with this status means that the receiver has the notices.
-    pub takes: fn(u16) -> bool,
+    pub accepts: fn(u16) -> bool,
 }
 
 async fn post<H: Host>(
-    connection: &mut Option<Connection<H>>,
+    idle_connection: &mut Option<Connection<H>>,
     host: &H,
-    at: SocketAddr,
+    address: SocketAddr,
     path: &str,
     body: String,
 ) -> Result<u16, String> {
-    let kept = Connection::kept_or_new(connection, host, at, PATIENCE).await;
-    let mut link = kept.map_err(|e| e.to_string())?;
-    let request = connections::request("POST", path, at, &[], body.into());
-    let (status, ..) = link.exchange(request, MAX_BODY).await.map_err(|e| e.to_string())?;
-    *connection = Some(link);
+    let opened = Connection::reuse_or_open(idle_connection, host, address, REQUEST_TIMEOUT).await;
+    let mut connection = opened.map_err(|e| e.to_string())?;
+    let request = connections::request("POST", path, address, &[], body.into());
+    let (status, ..) = connection.exchange(request, MAX_BODY).await.map_err(|e| e.to_string())?;
+    *idle_connection = Some(connection);
     Ok(status)
 }
 
@@ -41,58 +41,60 @@
 /// has ended.
 pub async fn run<H: Host>(
     host: H,
-    receiver: Receiver,
+    target: HttpTarget,
     mut queue: mpsc::UnboundedReceiver<Notice>,
-    take: Take,
+    handle: SinkHandle,
 ) {
-    let Receiver { mut place, path, takes } = receiver;
+    let HttpTarget { mut address_rx, path, accepts } = target;
     let mut connection = None;
-    let mut waiting: Vec<Notice> = Vec::new();
-    let mut pause = FIRST_PAUSE;
+    let mut pending: Vec<Notice> = Vec::new();
+    let mut retry_delay = MIN_RETRY_DELAY;
     // After a 400 the same notices are sent one at a time, so that one which the receiver cannot read does
     // not block the others.
-    let mut single: usize = 0;
+    let mut singles_left: usize = 0;
     loop {
-        if waiting.is_empty() {
+        if pending.is_empty() {
             match queue.recv().await {
-                Some(notice) => waiting.push(notice),
+                Some(notice) => pending.push(notice),
                 None => return,
             }
         }
         while let Ok(notice) = queue.try_recv() {
-            waiting.push(notice);
+            pending.push(notice);
         }
         let mut body = String::new();
         let mut count = 0;
-        for notice in &waiting {
-            let line = take.line(notice);
-            if count > 0 && (body.len() + line.len() > MAX_BODY || single > 0) {
+        for notice in &pending {
+            let line = handle.line(notice);
+            if count > 0 && (body.len() + line.len() > MAX_BODY || singles_left > 0) {
                 break;
             }
             body.push_str(&line);
             count += 1;
         }
-        let at = place.latest();
+        let address = address_rx.latest();
         let result = tokio::select! {
             biased;
             // Notices that the old address has not acknowledged go to the new one at once; a duplicate notice
             // does no harm.
-            Ok(()) = place.changed() => {
+            Ok(()) = address_rx.changed() => {
                 connection = None;
                 continue;
             }
-            result = timeout(PATIENCE, post(&mut connection, &host, at, &path, body)) => result,
+            result = timeout(REQUEST_TIMEOUT, post(&mut connection, &host, address, &path, body)) => result,
         };
         match result.unwrap_or(Err("no answer in time".into())) {
-            Ok(400) if count > 1 => single = count,
-            Ok(status) if status == 400 || takes(status) => {
+            Ok(400) if count > 1 => singles_left = count,
+            Ok(status) if status == 400 || accepts(status) => {
                 if status == 400 {
-                    tracing::error!(message = %waiting[0].trace, "dropping a notice that its receiver cannot read");
+                    tracing::error!(
+                        message = %pending[0].trace, "dropping a notice that its receiver cannot read"
+                    );
                 }
-                single = single.saturating_sub(count);
-                pause = FIRST_PAUSE;
-                let done = waiting.drain(..count).map(|n| n.id).collect();
-                if !take.taken(done).await {
+                singles_left = singles_left.saturating_sub(count);
+                retry_delay = MIN_RETRY_DELAY;
+                let delivered = pending.drain(..count).map(|n| n.id).collect();
+                if !handle.acknowledge(delivered).await {
                     return;
                 }
             }
@@ -100,8 +102,8 @@
                 tracing::warn!(?other, "cannot deliver notices; trying again");
                 tokio::select! {
                     biased;
-                    Ok(()) = place.changed() => connection = None,
-                    () = sleep(pause) => pause = (2 * pause).min(LONGEST_PAUSE),
+                    Ok(()) = address_rx.changed() => connection = None,
+                    () = sleep(retry_delay) => retry_delay = (2 * retry_delay).min(MAX_RETRY_DELAY),
                 }
             }
         }
--- a/crates/serve/nickelshed/src/notices/mod.rs
+++ b/crates/serve/nickelshed/src/notices/mod.rs
@@ -9,7 +9,7 @@
 use crate::watch;
 use nickelshed_host::Host;
 use nickelshed_journal::Ending;
-use pending::Owed;
+use pending::PendingNotices;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,48 +24,48 @@
     pub dest: u64,
     pub ending: Ending,
     /// Unix time in milliseconds.
-    pub at: i64,
+    pub ended_at_ms: i64,
 }
 
 /// One sink's side of the dispatcher: formats notices for the sink's readers and acknowledges them.
-pub struct Take {
-    sink: usize,
+pub struct SinkHandle {
+    sink_index: usize,
     /// Included in the notices of a sidecar; None on the platform, which knows the sender it hears from.
     application: Option<Rc<str>>,
-    done: mpsc::Sender<(usize, Vec<u64>)>,
+    acknowledgement_tx: mpsc::Sender<(usize, Vec<u64>)>,
 }
 
-impl Take {
+impl SinkHandle {
     /// The notice as a JSON object, with a line break at the end.
     fn line(&self, notice: &Notice) -> String {
-        let (outcome, after) = match notice.ending {
+        let (outcome, retry_in_ms) = match notice.ending {
             Ending::GivenUp => ("given_up", None),
-            Ending::HandedBack(after) => ("handed_back", after),
+            Ending::HandedBack(retry_in_ms) => ("handed_back", retry_in_ms),
         };
         let mut line = json!({"message": notice.trace, "outcome": outcome});
-        if let Some(ms) = after {
+        if let Some(ms) = retry_in_ms {
             line["retry_in_ms"] = json!(ms);
         }
         if let Some(application) = &self.application {
             line["application"] = json!(**application);
             line["class"] = json!(notice.class);
             line["destination"] = json!(notice.dest);
-            line["at_ms"] = json!(notice.at);
+            line["at_ms"] = json!(notice.ended_at_ms);
         }
         format!("{line}\n")
     }
 
     /// Acknowledges written notices. Returns false if the dispatcher has ended.
-    async fn taken(&self, ids: Vec<u64>) -> bool {
-        self.done.send((self.sink, ids)).await.is_ok()
+    async fn acknowledge(&self, ids: Vec<u64>) -> bool {
+        self.acknowledgement_tx.send((self.sink_index, ids)).await.is_ok()
     }
 }
 
 /// What all sinks need to know.
-pub struct Told {
+pub struct NoticeTargets {
     pub application: Option<String>,
     /// The platform's address; None for a sidecar without discovery.
-    pub platform: Option<watch::Listener<SocketAddr>>,
+    pub platform: Option<watch::Receiver<SocketAddr>>,
     /// Whether a line in a file must be durable against a loss of power.
     pub sync: bool,
 }
@@ -74,48 +74,55 @@
 pub async fn run<H: Host>(
     host: H,
     sinks: Vec<Sink>,
-    told: Told,
+    targets: NoticeTargets,
     mut queue: mpsc::UnboundedReceiver<Notice>,
     core: mpsc::Sender<Input>,
 ) {
     // One entry per sink is enough: each sink sends one acknowledgement at a time.
-    let (done, mut reports) = mpsc::channel(sinks.len().max(1));
-    let application: Option<Rc<str>> = told.application.map(Into::into);
-    let mut queues = Vec::new();
-    for (sink, to) in sinks.into_iter().enumerate() {
-        let (to_sink, notices) = mpsc::unbounded_channel();
-        let take = Take { sink, application: application.clone(), done: done.clone() };
-        match (to, &told.platform) {
-            (Sink::Platform, Some(place)) => {
-                let receiver =
-                    http::Receiver { place: place.clone(), path: "/reports".into(), takes: |s| s == 204 };
-                spawn_local(http::run(host.clone(), receiver, notices, take));
+    let (acknowledgement_tx, mut acknowledgements) = mpsc::channel(sinks.len().max(1));
+    let application: Option<Rc<str>> = targets.application.map(Into::into);
+    let mut sink_queues = Vec::new();
+    for (sink_index, to) in sinks.into_iter().enumerate() {
+        let (sink_tx, notices) = mpsc::unbounded_channel();
+        let handle = SinkHandle {
+            sink_index,
+            application: application.clone(),
+            acknowledgement_tx: acknowledgement_tx.clone(),
+        };
+        match (to, &targets.platform) {
+            (Sink::Platform, Some(address_rx)) => {
+                let target = http::HttpTarget {
+                    address_rx: address_rx.clone(),
+                    path: "/reports".into(),
+                    accepts: |status| status == 204,
+                };
+                spawn_local(http::run(host.clone(), target, notices, handle));
             }
             (Sink::Platform, None) => continue,
             (Sink::Http { address, path }, _) => {
-                let takes = |status| (200..300).contains(&status);
-                let receiver = http::Receiver { place: watch::channel(address).1, path, takes };
-                spawn_local(http::run(host.clone(), receiver, notices, take));
+                let accepts = |status| (200..300).contains(&status);
+                let target = http::HttpTarget { address_rx: watch::channel(address).1, path, accepts };
+                spawn_local(http::run(host.clone(), target, notices, handle));
             }
-            (Sink::File(path), _) => _ = spawn_local(file::run(path, told.sync, notices, take)),
+            (Sink::File(path), _) => _ = spawn_local(file::run(path, targets.sync, notices, handle)),
         }
-        queues.push(to_sink);
+        sink_queues.push(sink_tx);
     }
-    let mut owed = Owed::new(queues.len());
+    let mut pending = PendingNotices::new(sink_queues.len());
     loop {
         tokio::select! {
             biased;
             notice = queue.recv() => {
                 let Some(notice) = notice else { return };
-                owed.add(notice.id);
-                for to_sink in &queues {
-                    let _ = to_sink.send(notice.clone());
+                pending.add(notice.id);
+                for sink_tx in &sink_queues {
+                    let _ = sink_tx.send(notice.clone());
                 }
             }
-            report = reports.recv() => {
-                let Some((sink, ids)) = report else { return };
-                let over = owed.taken(sink, ids);
-                if !over.is_empty() && core.send(Input::Noticed(over)).await.is_err() {
+            acknowledgement = acknowledgements.recv() => {
+                let Some((sink_index, ids)) = acknowledgement else { return };
+                let delivered = pending.acknowledge(sink_index, ids);
+                if !delivered.is_empty() && core.send(Input::NoticesDelivered(delivered)).await.is_err() {
                     return;
                 }
             }
--- a/crates/serve/nickelshed/src/server.rs
+++ b/crates/serve/nickelshed/src/server.rs
@@ -1,6 +1,6 @@
 //! The HTTP server for clients: accepts connections, validates requests and submits messages to the core.
 use crate::inbox::{Input, Reply};
-use crate::socket::{Io, Socket, MAX_HEAD, MAX_HEADERS};
+use crate::socket::{Socket, SocketIo, MAX_HEAD, MAX_HEADERS};
 use crate::watch;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -26,19 +26,19 @@
 
 /// Time limit to receive a request, head and body together. For the first request it counts from when the
 /// connection was accepted.
-const PATIENCE: Duration = Duration::from_millis(2_500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How long a connection may be idle: in general, when a new connection needs its slot, and when a new
 /// connection needs its slot and no first request has been sent. A client that has a request sends it right
 /// after connecting.
-const IDLE: Duration = Duration::from_secs(30);
-const IDLE_AT_BOUND: Duration = Duration::from_secs(2);
-const SILENT_AT_BOUND: Duration = Duration::from_millis(500);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT_AT_LIMIT: Duration = Duration::from_secs(2);
+const NO_REQUEST_TIMEOUT_AT_LIMIT: Duration = Duration::from_millis(500);
 /// Limits of what is read and discarded from a closing connection, so that its last answer arrives.
-const DRAIN: Duration = Duration::from_millis(300);
-const DRAIN_BYTES: usize = 1 << 20;
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
+const CLOSE_MAX_BYTES: usize = 1 << 20;
 /// How long a rejected client's request is awaited.
-const TURN_AWAY: Duration = Duration::from_millis(100);
-const MAX_NAME: usize = 256;
+const REJECT_TIMEOUT: Duration = Duration::from_millis(100);
+const MAX_HEADER_VALUE_LEN: usize = 256;
 
 /// What the server needs to know of a class to accept a message.
 pub struct Class {
@@ -49,60 +49,60 @@
 pub struct Server<H: Host> {
     pub host: H,
     pub core: mpsc::Sender<Input>,
-    pub around: Around,
+    pub context: Around,
     pub classes: Vec<Class>,
     pub budget: Budget,
     /// Limit of the connections that are served.
-    pub most: usize,
+    pub max_served: usize,
     /// Limit of the connections beyond `max_served` that are answered 503. Further ones are closed
     /// immediately.
-    pub turned_away: usize,
-    pub open: Cell<usize>,
+    pub max_rejected: usize,
+    pub open_connections: Cell<usize>,
     /// The connections that are served, in the order of acceptance.
-    pub guests: RefCell<BTreeMap<u64, Rc<Guest<H::Stream>>>>,
+    pub clients: RefCell<BTreeMap<u64, Rc<ClientConnection<H::Stream>>>>,
 }
 
 /// A client connection that is served.
-pub struct Guest<S> {
+pub struct ClientConnection<S> {
     socket: Rc<Socket<S>>,
     /// When its last request was answered, or when it was accepted.
-    since: Cell<Instant>,
-    has_asked: Cell<bool>,
+    idle_since: Cell<Instant>,
+    has_sent_request: Cell<bool>,
     /// The head of a request has arrived and its answer is not known yet.
-    busy: Cell<bool>,
-    leave: Notify,
+    is_busy: Cell<bool>,
+    close_requested: Notify,
 }
 
-impl<S: Stream> Guest<S> {
+impl<S: Stream> ClientConnection<S> {
     fn is_idle(&self) -> bool {
-        !self.busy.get() && self.socket.heard().is_none()
+        !self.is_busy.get() && self.socket.first_byte_at().is_none()
     }
 
     /// When the request that is being received must be complete, or when the idle connection is closed.
     fn deadline(&self) -> Instant {
-        match self.socket.heard() {
-            Some(heard) if self.has_asked.get() => heard + PATIENCE,
-            None if self.has_asked.get() => self.since.get() + IDLE,
-            _ => self.since.get() + PATIENCE,
+        match self.socket.first_byte_at() {
+            Some(first_byte_at) if self.has_sent_request.get() => first_byte_at + REQUEST_TIMEOUT,
+            None if self.has_sent_request.get() => self.idle_since.get() + IDLE_TIMEOUT,
+            _ => self.idle_since.get() + REQUEST_TIMEOUT,
         }
     }
 }
 
 impl<H: Host> Server<H> {
     /// Accepts connections until `stop` becomes true. The open ones then close between two requests.
-    pub async fn accept(self: Rc<Self>, listener: H::Listener, closing: watch::Listener<bool>) {
-        let mut until = closing.clone();
-        let mut failing = false;
-        for number in 0.. {
+    pub async fn accept(self: Rc<Self>, listener: H::Listener, stop: watch::Receiver<bool>) {
+        let mut stopped = stop.clone();
+        let mut is_failing = false;
+        for connection_id in 0.. {
             let stream = tokio::select! {
                 biased;
-                () = until.is(true) => return,
+                () = stopped.wait_for(true) => return,
                 accepted = listener.accept() => match accepted {
                     Ok(stream) => stream,
                     Err(error) => {
                         // For example out of file descriptors: the sender goes on with the connections it
                         // has.
-                        if !std::mem::replace(&mut failing, true) {
+                        if !std::mem::replace(&mut is_failing, true) {
                             tracing::warn!(%error, "cannot accept a connection");
                         }
                         sleep(Duration::from_millis(20)).await;
@@ -110,192 +110,213 @@
                     }
                 },
             };
-            failing = false;
+            is_failing = false;
             // Connections beyond the limit are accepted as well: without that, the client could not be told
             // to retry.
-            let full = self.guests.borrow().len() >= self.most && !self.make_place();
-            if full && self.open.get() >= self.most + self.turned_away {
+            let at_limit = self.clients.borrow().len() >= self.max_served && !self.evict_idle_client();
+            if at_limit && self.open_connections.get() >= self.max_served + self.max_rejected {
                 continue;
             }
-            self.open.set(self.open.get() + 1);
-            let (server, closing) = (self.clone(), closing.clone());
+            self.open_connections.set(self.open_connections.get() + 1);
+            let (server, stop) = (self.clone(), stop.clone());
             let socket = Socket::new(stream);
             // Registered here and not in the task, because many connections may be accepted before the first
             // task runs.
-            let guest = (!full).then(|| self.enter(number, &socket));
+            let client = (!at_limit).then(|| self.register(connection_id, &socket));
             tokio::task::spawn_local(async move {
-                match guest {
-                    Some(guest) => {
-                        server.serve(guest, closing).await;
-                        server.guests.borrow_mut().remove(&number);
+                match client {
+                    Some(client) => {
+                        server.serve(client, stop).await;
+                        server.clients.borrow_mut().remove(&connection_id);
                     }
-                    None => turn_away(socket).await,
+                    None => reject_connection(socket).await,
                 }
-                server.open.set(server.open.get() - 1);
+                server.open_connections.set(server.open_connections.get() - 1);
             });
         }
     }
 
-    fn enter(&self, number: u64, socket: &Rc<Socket<H::Stream>>) -> Rc<Guest<H::Stream>> {
-        let guest = Rc::new(Guest {
+    fn register(
+        &self,
+        connection_id: u64,
+        socket: &Rc<Socket<H::Stream>>,
+    ) -> Rc<ClientConnection<H::Stream>> {
+        let client = Rc::new(ClientConnection {
             socket: socket.clone(),
-            since: Cell::new(Instant::now()),
-            has_asked: Cell::new(false),
-            busy: Cell::new(false),
-            leave: Notify::new(),
+            idle_since: Cell::new(Instant::now()),
+            has_sent_request: Cell::new(false),
+            is_busy: Cell::new(false),
+            close_requested: Notify::new(),
         });
-        self.guests.borrow_mut().insert(number, guest.clone());
-        guest
+        self.clients.borrow_mut().insert(connection_id, client.clone());
+        client
     }
 
     /// Closes the connection that has been idle longest, since some clients send one request and stay
     /// connected. Returns whether one was closed.
-    fn make_place(&self) -> bool {
-        let mut guests = self.guests.borrow_mut();
-        let stands = |g: &Guest<H::Stream>| {
-            let enough = if g.has_asked.get() { IDLE_AT_BOUND } else { SILENT_AT_BOUND };
-            g.is_idle() && g.since.get().elapsed() >= enough
+    fn evict_idle_client(&self) -> bool {
+        let mut clients = self.clients.borrow_mut();
+        let may_evict = |client: &ClientConnection<H::Stream>| {
+            let idle_limit = if client.has_sent_request.get() {
+                IDLE_TIMEOUT_AT_LIMIT
+            } else {
+                NO_REQUEST_TIMEOUT_AT_LIMIT
+            };
+            client.is_idle() && client.idle_since.get().elapsed() >= idle_limit
         };
-        let longest = guests.iter().filter(|(_, g)| stands(g)).min_by_key(|(_, g)| g.since.get());
-        let Some((&number, guest)) = longest else { return false };
-        if guest.socket.has_news() {
+        let oldest = clients
+            .iter()
+            .filter(|(_, client)| may_evict(client))
+            .min_by_key(|(_, client)| client.idle_since.get());
+        let Some((&connection_id, client)) = oldest else { return false };
+        if client.socket.has_unread_data() {
             return false;
         }
-        guest.leave.notify_one();
-        guests.remove(&number);
+        client.close_requested.notify_one();
+        clients.remove(&connection_id);
         true
     }
 
-    async fn serve(&self, guest: Rc<Guest<H::Stream>>, mut ended: watch::Listener<bool>) {
-        let socket = guest.socket.clone();
+    async fn serve(&self, client: Rc<ClientConnection<H::Stream>>, mut stop: watch::Receiver<bool>) {
+        let socket = client.socket.clone();
         let service = service_fn(|request| {
-            let guest = guest.clone();
+            let client = client.clone();
             async move {
-                guest.busy.set(true);
-                let mut response = self.answer(request, guest.deadline()).await;
+                client.is_busy.set(true);
+                let mut response = self.handle_request(request, client.deadline()).await;
                 // Clients that open a new connection for each message would otherwise fill all slots with
                 // idle connections that are too young to be closed.
-                if self.guests.borrow().len() > self.most * 3 / 4 {
-                    response = closing(response);
+                if self.clients.borrow().len() > self.max_served * 3 / 4 {
+                    response = close_after(response);
                 }
-                guest.busy.set(false);
-                guest.has_asked.set(true);
-                guest.since.set(Instant::now());
-                guest.socket.rest();
+                client.is_busy.set(false);
+                client.has_sent_request.set(true);
+                client.idle_since.set(Instant::now());
+                client.socket.end_exchange();
                 Ok::<_, Infallible>(response)
             }
         });
-        let connection = http().serve_connection(TokioIo::new(Io(socket.clone())), service);
+        let connection = http_builder().serve_connection(TokioIo::new(SocketIo(socket.clone())), service);
         {
             let mut connection = pin!(connection);
-            let mut ending = false;
+            let mut is_stopping = false;
             loop {
                 tokio::select! {
                     biased;
                     _ = connection.as_mut() => break,
-                    () = ended.is(true), if !ending => {
-                        ending = true;
+                    () = stop.wait_for(true), if !is_stopping => {
+                        is_stopping = true;
                         connection.as_mut().graceful_shutdown();
                     }
                     // A request that arrived after the connection was chosen for closing is still answered.
-                    () = guest.leave.notified() => if guest.is_idle() && !socket.has_news() { break },
-                    () = socket.news.notified() => {}
+                    () = client.close_requested.notified() => {
+                        if client.is_idle() && !socket.has_unread_data() { break }
+                    }
+                    () = socket.readable.notified() => {}
                     // While a request is being answered, its own time limit applies.
-                    () = sleep_until(guest.deadline()), if !guest.busy.get() => {
-                        if Instant::now() >= guest.deadline() && !(guest.is_idle() && socket.has_news()) {
+                    () = sleep_until(client.deadline()), if !client.is_busy.get() => {
+                        if Instant::now() >= client.deadline()
+                            && !(client.is_idle() && socket.has_unread_data())
+                        {
                             break;
                         }
                     }
                 }
             }
         }
-        let _ = timeout(DRAIN, socket.close(DRAIN_BYTES)).await;
+        let _ = timeout(CLOSE_TIMEOUT, socket.close(CLOSE_MAX_BYTES)).await;
     }
 
     /// Handles one request; all of it must have arrived by `receive_by`.
-    async fn answer(&self, request: Request<Incoming>, by: Instant) -> Response<Full<Bytes>> {
+    async fn handle_request(&self, request: Request<Incoming>, receive_by: Instant) -> Response<Full<Bytes>> {
         let (head, body) = request.into_parts();
         let path = head.uri.path();
         if path == "/healthz" && matches!(head.method, Method::GET | Method::HEAD) && body.is_end_stream() {
-            return plain(StatusCode::OK, "");
+            return text_response(StatusCode::OK, "");
         }
         // Given both lengths, the HTTP library keeps one and hides the other, so such a request cannot be
         // told from a chunked one. A Content-Length is therefore required, as RFC 9112 (6.3) allows.
         if head.headers.contains_key(TRANSFER_ENCODING) {
-            return bad(StatusCode::LENGTH_REQUIRED, "a Content-Length is needed");
+            return error_and_close(StatusCode::LENGTH_REQUIRED, "a Content-Length is needed");
         }
         if path == "/healthz" {
-            return wrong_method("GET, HEAD");
+            return method_not_allowed("GET, HEAD");
         }
-        let named = path.trim_start_matches('/').split('/').next().unwrap_or_default();
-        let Some(class) = self.around.classes.iter().position(|c| c == named && !c.is_empty()) else {
-            return bad(StatusCode::NOT_FOUND, "no such class of message");
+        let class_name = path.trim_start_matches('/').split('/').next().unwrap_or_default();
+        let Some(class) = self.context.classes.iter().position(|c| c == class_name && !c.is_empty()) else {
+            return error_and_close(StatusCode::NOT_FOUND, "no such class of message");
         };
         if head.method != Method::POST {
-            return wrong_method("POST");
+            return method_not_allowed("POST");
         }
         let length = body.size_hint().lower();
         if length > MAX_BODY as u64 {
-            return bad(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB");
+            return error_and_close(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB");
         }
-        let (mut taken, left) = match self.read_head(&head.headers, class) {
+        let (mut message, time_left) = match self.parse_headers(&head.headers, class) {
             Ok(read) => read,
-            Err(why) => return bad(StatusCode::BAD_REQUEST, why),
+            Err(why) => return error_and_close(StatusCode::BAD_REQUEST, why),
         };
         // Reserves memory for the body until the message is finished or rejected.
-        let Some(share) = self.budget.claim(length as usize) else { return closing(refused(None)) };
-        taken.share = Some(share);
-        let end = Instant::now() + left;
-        taken.since = self.host.wall_ms();
-        taken.end = taken.since + left.as_millis() as i64;
-        taken.body = match timeout_at(by, Limited::new(body, MAX_BODY).collect()).await {
+        let Some(share) = self.budget.claim(length as usize) else { return close_after(unavailable(None)) };
+        message.share = Some(share);
+        let deadline = Instant::now() + time_left;
+        message.since = self.host.wall_ms();
+        message.end = message.since + time_left.as_millis() as i64;
+        message.body = match timeout_at(receive_by, Limited::new(body, MAX_BODY).collect()).await {
             // Copied because the library's buffer, of which this is a slice, is far larger than most
             // messages.
             Ok(Ok(body)) => Bytes::copy_from_slice(&body.to_bytes()),
             Ok(Err(e)) if e.is::<LengthLimitError>() => {
-                return bad(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB")
+                return error_and_close(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB")
             }
-            Ok(Err(_)) => return bad(StatusCode::BAD_REQUEST, "the body can't be read"),
-            Err(_) => return bad(StatusCode::REQUEST_TIMEOUT, "the body does not come"),
+            Ok(Err(_)) => return error_and_close(StatusCode::BAD_REQUEST, "the body can't be read"),
+            Err(_) => return error_and_close(StatusCode::REQUEST_TIMEOUT, "the body does not come"),
         };
         let (reply, answer) = oneshot::channel();
-        if self.core.try_send(Input::Offer { taken, end, reply }).is_err() {
-            return refused(None);
+        if self.core.try_send(Input::Submit { message, deadline, reply }).is_err() {
+            return unavailable(None);
         }
         match answer.await {
-            Ok(Reply::TakenOn) => plain(StatusCode::ACCEPTED, ""),
-            Ok(Reply::Refused(after)) => refused(after),
-            Ok(Reply::Failed) => plain(StatusCode::INTERNAL_SERVER_ERROR, "can't be delivered"),
-            Ok(Reply::NoDestination) => bad(StatusCode::NOT_FOUND, "no such destination"),
-            Ok(Reply::Conflict) => bad(StatusCode::CONFLICT, "another message has this X-Trace-Id"),
-            Err(_) => refused(None),
+            Ok(Reply::Accepted) => text_response(StatusCode::ACCEPTED, ""),
+            Ok(Reply::Rejected(retry_after)) => unavailable(retry_after),
+            Ok(Reply::Failed) => text_response(StatusCode::INTERNAL_SERVER_ERROR, "can't be delivered"),
+            Ok(Reply::UnknownDestination) => error_and_close(StatusCode::NOT_FOUND, "no such destination"),
+            Ok(Reply::Conflict) => {
+                error_and_close(StatusCode::CONFLICT, "another message has this X-Trace-Id")
+            }
+            Err(_) => unavailable(None),
         }
     }
 
     /// Parses the headers of a message whose body has not been read yet. Also returns the time until its
     /// deadline.
-    fn read_head(&self, headers: &HeaderMap, class: usize) -> Result<(Taken, Duration), &'static str> {
+    fn parse_headers(&self, headers: &HeaderMap, class: usize) -> Result<(Taken, Duration), &'static str> {
         let text = |name: &str| {
-            headers.get(name).map(|v| v.to_str().map(str::trim).ok().filter(|t| t.len() <= MAX_NAME))
+            headers
+                .get(name)
+                .map(|v| v.to_str().map(str::trim).ok().filter(|t| t.len() <= MAX_HEADER_VALUE_LEN))
         };
-        let name = &self.around.classes[class];
+        let name = &self.context.classes[class];
         if !matches!(text("x-qos"), None | Some(Some(""))) && text("x-qos") != Some(Some(name.as_str())) {
             return Err("X-Qos is not the class in the path");
         }
         let trace = text("x-trace-id").flatten().filter(|t| !t.is_empty());
         let trace = trace.ok_or("X-Trace-Id is missing or malformed")?;
         let tenant = match text("x-customer") {
-            None if self.around.tenants.is_empty() => "",
-            Some(Some(t)) if self.around.tenants.is_empty() || self.around.tenants.iter().any(|n| n == t) => {
+            None if self.context.tenants.is_empty() => "",
+            Some(Some(t))
+                if self.context.tenants.is_empty() || self.context.tenants.iter().any(|n| n == t) =>
+            {
                 t
             }
             _ => return Err("X-Customer is missing or unknown"),
         };
-        let left = text("x-expires-in-ms").flatten().and_then(|t| t.parse::<u32>().ok());
-        let left = left.ok_or("X-Expires-In-Ms is missing or malformed")?;
+        let time_left = text("x-expires-in-ms").flatten().and_then(|t| t.parse::<u32>().ok());
+        let time_left = time_left.ok_or("X-Expires-In-Ms is missing or malformed")?;
         // Limited to the deadline of the class, so that the core, the journal and the policy agree on the
         // deadline, also after a restart.
-        let left = Duration::from_millis(left.into()).min(self.classes[class].deadline);
+        let time_left = Duration::from_millis(time_left.into()).min(self.classes[class].deadline);
         let dest = text("x-consignee").flatten().and_then(|t| {
             t.split([',', ';']).find_map(|p| p.trim().strip_prefix("dest=")?.trim().parse::<u64>().ok())
         });
@@ -310,7 +331,7 @@
             return Err("Idempotency-Key is missing");
         }
         let (class, tenant, trace) = (name.clone(), tenant.to_string(), trace.to_string());
-        let taken = Taken {
+        let message = Taken {
             id: 0,
             class,
             tenant,
@@ -322,18 +343,18 @@
             body: Bytes::new(),
             share: None,
         };
-        Ok((taken, left))
+        Ok((message, time_left))
     }
 }
 
 /// An HTTP server with the limits on message heads.
-fn http() -> Builder {
+fn http_builder() -> Builder {
     let mut builder = Builder::new();
     builder.max_buf_size(MAX_HEAD).max_headers(MAX_HEADERS);
     builder
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
@@ -341,24 +362,24 @@
 
 /// An error response that closes the connection, because the request body was not read or its length cannot
 /// be trusted.
-fn bad(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
-    closing(plain(status, text))
+fn error_and_close(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+    close_after(text_response(status, text))
 }
 
-fn closing(mut response: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
+fn close_after(mut response: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-fn wrong_method(allowed: &'static str) -> Response<Full<Bytes>> {
-    let mut response = bad(StatusCode::METHOD_NOT_ALLOWED, "");
+fn method_not_allowed(allowed: &'static str) -> Response<Full<Bytes>> {
+    let mut response = error_and_close(StatusCode::METHOD_NOT_ALLOWED, "");
     response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
     response
 }
 
-fn refused(after: Option<Duration>) -> Response<Full<Bytes>> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "");
-    let seconds = after.unwrap_or(Duration::from_secs(1)).as_secs_f64();
+fn unavailable(retry_after: Option<Duration>) -> Response<Full<Bytes>> {
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "");
+    let seconds = retry_after.unwrap_or(Duration::from_secs(1)).as_secs_f64();
     if let Ok(value) = HeaderValue::from_str(&format!("{seconds:.3}")) {
         response.headers_mut().insert(RETRY_AFTER, value);
     }
@@ -366,9 +387,9 @@
 }
 
 /// Answers any request on a connection beyond the limit with a 503.
-async fn turn_away<S: Stream>(socket: Rc<Socket<S>>) {
-    let service = service_fn(|_| async { Ok::<_, Infallible>(closing(refused(None))) });
-    let connection = http().serve_connection(TokioIo::new(Io(socket.clone())), service);
-    let _ = timeout(TURN_AWAY, connection).await;
-    let _ = timeout(TURN_AWAY, socket.close(DRAIN_BYTES)).await;
+async fn reject_connection<S: Stream>(socket: Rc<Socket<S>>) {
+    let service = service_fn(|_| async { Ok::<_, Infallible>(close_after(unavailable(None))) });
+    let connection = http_builder().serve_connection(TokioIo::new(SocketIo(socket.clone())), service);
+    let _ = timeout(REJECT_TIMEOUT, connection).await;
+    let _ = timeout(REJECT_TIMEOUT, socket.close(CLOSE_MAX_BYTES)).await;
 }
