--- a/crates/serve/nickelshed/src/socket.rs
+++ b/crates/serve/nickelshed/src/socket.rs
@@ -19,74 +19,74 @@
 
 pub struct Socket<S> {
     stream: S,
-    written: Cell<u64>,
+    bytes_written: Cell<u64>,
     /// When the first byte of the current exchange arrived.
-    heard: Cell<Option<Instant>>,
-    pub news: Notify,
+    first_byte_at: Cell<Option<Instant>>,
+    pub readable: Notify,
     /// What has been received since `begin_exchange`, up to `MAX_HEAD` bytes.
-    head: RefCell<Option<Vec<u8>>>,
+    received_head: RefCell<Option<Vec<u8>>>,
     /// Set until the first byte of a request is written: unread data at that time cannot be the answer to it.
-    quiet: Cell<bool>,
+    must_be_idle: Cell<bool>,
 }
 
 impl<S: Stream> Socket<S> {
     pub fn new(stream: S) -> Rc<Socket<S>> {
         Rc::new(Socket {
             stream,
-            written: Cell::new(0),
-            heard: Cell::new(None),
-            news: Notify::new(),
-            head: RefCell::new(None),
-            quiet: Cell::new(false),
+            bytes_written: Cell::new(0),
+            first_byte_at: Cell::new(None),
+            readable: Notify::new(),
+            received_head: RefCell::new(None),
+            must_be_idle: Cell::new(false),
         })
     }
 
-    pub fn written(&self) -> u64 {
-        self.written.get()
+    pub fn bytes_written(&self) -> u64 {
+        self.bytes_written.get()
     }
 
-    pub fn heard(&self) -> Option<Instant> {
-        self.heard.get()
+    pub fn first_byte_at(&self) -> Option<Instant> {
+        self.first_byte_at.get()
     }
 
     /// Ends the exchange: forgets what has been received.
-    pub fn rest(&self) {
-        self.heard.set(None);
-        self.head.replace(None);
+    pub fn end_exchange(&self) {
+        self.first_byte_at.set(None);
+        self.received_head.replace(None);
     }
 
     /// Restarts the wait for a first byte, after what arrived turned out to be an interim response.
-    pub fn hear_on(&self) {
-        self.heard.set(None);
+    pub fn clear_first_byte(&self) {
+        self.first_byte_at.set(None);
     }
 
     /// Prepares for a request: records what is received, and fails the first write if unread data is waiting.
-    pub fn listen(&self) {
-        self.rest();
-        self.head.replace(Some(Vec::new()));
-        self.quiet.set(true);
+    pub fn begin_exchange(&self) {
+        self.end_exchange();
+        self.received_head.replace(Some(Vec::new()));
+        self.must_be_idle.set(true);
     }
 
     /// What has been received since `begin_exchange`; empty if no exchange is active.
-    pub fn head(&self) -> Vec<u8> {
-        self.head.borrow().clone().unwrap_or_default()
+    pub fn received_head(&self) -> Vec<u8> {
+        self.received_head.borrow().clone().unwrap_or_default()
     }
 
     /// Whether unread data or the end of the stream is waiting. Asks the operating system, because the
     /// runtime may not know yet.
-    pub fn has_news(&self) -> bool {
+    pub fn has_unread_data(&self) -> bool {
         self.stream.has_news()
     }
 
     /// Shuts down the sending side, then reads and discards data until the other side closes, up to
     /// `max_bytes`. Closing with unread data would reset the connection, and an answer on its way could be
     /// lost.
-    pub async fn close(&self, most: usize) {
+    pub async fn close(&self, max_bytes: usize) {
         if self.stream.end_sending().is_err() {
             return;
         }
         let mut buffer = [0; 4096];
-        let mut left = most;
+        let mut left = max_bytes;
         while left > 0 {
             match poll_fn(|cx| self.stream.poll_read(cx, &mut buffer)).await {
                 Ok(0) | Err(_) => return,
@@ -97,29 +97,29 @@
 }
 
 /// The side of the socket that the HTTP library uses.
-pub struct Io<S>(pub Rc<Socket<S>>);
+pub struct SocketIo<S>(pub Rc<Socket<S>>);
 
-impl<S: Stream> AsyncRead for Io<S> {
+impl<S: Stream> AsyncRead for SocketIo<S> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let socket = &self.0;
         let n = ready!(socket.stream.poll_read(cx, buf.initialize_unfilled()))?;
-        if n > 0 && socket.heard.get().is_none() {
-            socket.heard.set(Some(Instant::now()));
-            socket.news.notify_one();
+        if n > 0 && socket.first_byte_at.get().is_none() {
+            socket.first_byte_at.set(Some(Instant::now()));
+            socket.readable.notify_one();
         }
-        if let Some(head) = socket.head.borrow_mut().as_mut() {
-            let room = MAX_HEAD.saturating_sub(head.len());
-            head.extend_from_slice(&buf.initialize_unfilled()[..n.min(room)]);
+        if let Some(received) = socket.received_head.borrow_mut().as_mut() {
+            let space = MAX_HEAD.saturating_sub(received.len());
+            received.extend_from_slice(&buf.initialize_unfilled()[..n.min(space)]);
         }
         buf.advance(n);
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: Stream> Io<S> {
-    fn write(&self, cx: &mut Context<'_>, parts: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
+impl<S: Stream> SocketIo<S> {
+    fn write(&self, cx: &mut Context<'_>, buffers: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
         let socket = &self.0;
-        if socket.quiet.replace(false) && socket.has_news() {
+        if socket.must_be_idle.replace(false) && socket.has_unread_data() {
             // The other side closed, or data follows the previous answer. Sending now would let that data
             // pass for the answer to this request.
             return Poll::Ready(Err(io::Error::new(
@@ -127,13 +127,13 @@
                 "connection no longer idle",
             )));
         }
-        let n = ready!(socket.stream.poll_write(cx, parts))?;
-        socket.written.set(socket.written.get() + n as u64);
+        let n = ready!(socket.stream.poll_write(cx, buffers))?;
+        socket.bytes_written.set(socket.bytes_written.get() + n as u64);
         Poll::Ready(Ok(n))
     }
 }
 
-impl<S: Stream> AsyncWrite for Io<S> {
+impl<S: Stream> AsyncWrite for SocketIo<S> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.write(cx, &[IoSlice::new(buf)])
     }
--- a/crates/serve/nickelshed/src/stall_detector.rs
+++ b/crates/serve/nickelshed/src/stall_detector.rs
@@ -10,39 +10,39 @@
 
 /// The interval of heartbeats, and the age of the last one at which the process counts as stalled. The
 /// threshold must stay below the 100 ms for which calls are still tolerated after a retry-after was sent.
-const BEAT: Duration = Duration::from_millis(40);
-const LATE: Duration = Duration::from_millis(90);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(40);
+const STALL_THRESHOLD: Duration = Duration::from_millis(90);
 /// Time in which the data that arrived during a stall is read and processed.
-const SETTLE: Duration = Duration::from_millis(20);
+const CATCH_UP_TIME: Duration = Duration::from_millis(20);
 
-pub struct Pulse<H: Host> {
+pub struct StallDetector<H: Host> {
     host: H,
     /// When the process was last known to run, with all data read that had arrived by then.
-    last: Cell<Instant>,
-    beaten: Notify,
+    last_heartbeat: Cell<Instant>,
+    heartbeat: Notify,
 }
 
-impl<H: Host> Pulse<H> {
-    pub fn new(host: H) -> Pulse<H> {
-        let last = Cell::new(host.monotonic());
-        Pulse { host, last, beaten: Notify::new() }
+impl<H: Host> StallDetector<H> {
+    pub fn new(host: H) -> StallDetector<H> {
+        let last_heartbeat = Cell::new(host.monotonic());
+        StallDetector { host, last_heartbeat, heartbeat: Notify::new() }
     }
 
-    fn is_late(&self) -> bool {
-        self.host.monotonic().saturating_duration_since(self.last.get()) > LATE
+    fn is_stalled(&self) -> bool {
+        self.host.monotonic().saturating_duration_since(self.last_heartbeat.get()) > STALL_THRESHOLD
     }
 
     /// Sends heartbeats until the process ends.
-    pub async fn keep(self: Rc<Self>) {
+    pub async fn run(self: Rc<Self>) {
         loop {
-            sleep(BEAT).await;
-            if self.is_late() {
-                let stood = self.host.monotonic().saturating_duration_since(self.last.get());
-                tracing::debug!(ms = stood.as_millis(), "the process stood still");
-                sleep(SETTLE).await;
+            sleep(HEARTBEAT_INTERVAL).await;
+            if self.is_stalled() {
+                let stalled_for = self.host.monotonic().saturating_duration_since(self.last_heartbeat.get());
+                tracing::debug!(ms = stalled_for.as_millis(), "the process stood still");
+                sleep(CATCH_UP_TIME).await;
             }
-            self.last.set(self.host.monotonic());
-            self.beaten.notify_waiters();
+            self.last_heartbeat.set(self.host.monotonic());
+            self.heartbeat.notify_waiters();
         }
     }
 
@@ -50,11 +50,11 @@
     /// stall has been read.
     pub async fn caught_up(&self) {
         loop {
-            let beaten = self.beaten.notified();
-            if !self.is_late() {
+            let heartbeat = self.heartbeat.notified();
+            if !self.is_stalled() {
                 return;
             }
-            beaten.await;
+            heartbeat.await;
         }
     }
 }
--- a/crates/serve/nickelshed/src/watch.rs
+++ b/crates/serve/nickelshed/src/watch.rs
@@ -8,49 +8,53 @@
 struct Inner<T> {
     value: Cell<T>,
     version: Cell<u64>,
-    gone: Cell<bool>,
-    news: Notify,
+    closed: Cell<bool>,
+    notify: Notify,
 }
 
-pub struct Teller<T>(Rc<Inner<T>>);
+pub struct Sender<T>(Rc<Inner<T>>);
 
 #[derive(Clone)]
-pub struct Listener<T> {
+pub struct Receiver<T> {
     inner: Rc<Inner<T>>,
-    seen: u64,
+    seen_version: u64,
 }
 
 /// The sender was dropped; the value will not change any more.
 #[derive(Debug)]
-pub struct Gone;
+pub struct Closed;
 
-pub fn channel<T: Copy>(value: T) -> (Teller<T>, Listener<T>) {
-    let inner =
-        Inner { value: Cell::new(value), version: Cell::new(0), gone: Cell::new(false), news: Notify::new() };
+pub fn channel<T: Copy>(value: T) -> (Sender<T>, Receiver<T>) {
+    let inner = Inner {
+        value: Cell::new(value),
+        version: Cell::new(0),
+        closed: Cell::new(false),
+        notify: Notify::new(),
+    };
     let inner = Rc::new(inner);
-    (Teller(inner.clone()), Listener { inner, seen: 0 })
+    (Sender(inner.clone()), Receiver { inner, seen_version: 0 })
 }
 
-impl<T: Copy + PartialEq> Teller<T> {
+impl<T: Copy + PartialEq> Sender<T> {
     /// Wakes the receivers, unless the value is unchanged.
     pub fn send(&self, value: T) {
         if self.0.value.replace(value) != value {
             self.0.version.set(self.0.version.get() + 1);
-            self.0.news.notify_waiters();
+            self.0.notify.notify_waiters();
         }
     }
 }
 
-impl<T> Drop for Teller<T> {
+impl<T> Drop for Sender<T> {
     fn drop(&mut self) {
-        self.0.gone.set(true);
-        self.0.news.notify_waiters();
+        self.0.closed.set(true);
+        self.0.notify.notify_waiters();
     }
 }
 
-impl<T: Copy + PartialEq> Listener<T> {
+impl<T: Copy + PartialEq> Receiver<T> {
     pub fn latest(&mut self) -> T {
-        self.seen = self.inner.version.get();
+        self.seen_version = self.inner.version.get();
         self.inner.value.get()
     }
 
@@ -58,22 +62,22 @@
     ///
     /// # Errors
     /// Returns [`Closed`] if the sender was dropped.
-    pub async fn changed(&mut self) -> Result<(), Gone> {
+    pub async fn changed(&mut self) -> Result<(), Closed> {
         loop {
-            let news = self.inner.news.notified();
-            if self.inner.version.get() != self.seen {
-                self.seen = self.inner.version.get();
+            let changed = self.inner.notify.notified();
+            if self.inner.version.get() != self.seen_version {
+                self.seen_version = self.inner.version.get();
                 return Ok(());
             }
-            if self.inner.gone.get() {
-                return Err(Gone);
+            if self.inner.closed.get() {
+                return Err(Closed);
             }
-            news.await;
+            changed.await;
         }
     }
 
     /// Waits until the value equals `wanted`; never returns if the sender was dropped before that.
-    pub async fn is(&mut self, wanted: T) {
+    pub async fn wait_for(&mut self, wanted: T) {
         while self.latest() != wanted {
             if self.changed().await.is_err() {
                 std::future::pending::<()>().await;
