--- a/crates/serve/nickelshed/src/core/recovery.rs
+++ b/crates/serve/nickelshed/src/core/recovery.rs
@@ -6,11 +6,11 @@
     /// to `startup_wait`.
     pub async fn recover(&mut self, initial_list: EndpointList, startup_wait: Duration) {
         let mut events = vec![self.apply_list(initial_list, true)];
-        let first = match startup_wait {
+        let first_input = match startup_wait {
             Duration::ZERO => None,
             wait => timeout(wait, self.inbox.recv()).await.ok().flatten(),
         };
-        if let Some(Input::EndpointList(list)) = first {
+        if let Some(Input::EndpointList(list)) = first_input {
             let is_full = list.reset;
             events.push(self.apply_list(list, is_full));
         }
--- a/crates/serve/nickelshed/src/discovery/schedule/tests.rs
+++ b/crates/serve/nickelshed/src/discovery/schedule/tests.rs
@@ -70,13 +70,13 @@
         let schedules = (0..senders).map(|s| RequestSchedule::new(Lister::Shared, senders as usize, s));
         let schedules: Vec<_> = schedules.map(std::cell::RefCell::new).collect();
         let pause = |s: u64, failure| schedules[s as usize].borrow_mut().failed(failure).as_micros() as u64;
-        let first = |s| {
+        let first_retry = |s| {
             for _ in 0..3 {
                 pause(s, Failure::Unavailable);
             }
             pause(s, Failure::Unavailable)
         };
-        let (last, rejected) = simulate_queue(senders, first, |s| pause(s, Failure::Rejected));
+        let (last, rejected) = simulate_queue(senders, first_retry, |s| pause(s, Failure::Rejected));
         let last = last.expect("all senders get an answer");
         println!("{senders} senders: the last after {} ms, {rejected} rejected", last / MS);
         // As many senders as discovery can answer in six seconds are answered in six seconds.
@@ -115,8 +115,7 @@
                         "{mode:?}, {senders} senders: {lost:?} and {pause:?}"
                     );
                 }
-                // An answer that is not a list is retried in time too, unless very many senders share
-                // discovery.
+                // A rejected request is repeated in time too, unless very many senders share discovery.
                 let pause = schedule.failed(Failure::Rejected);
                 assert!(
                     senders > 50 && mode == Lister::Shared || pause + CONNECT_AND_ANSWER < MAX_UPDATE_DELAY
--- a/crates/serve/nickelshed/src/fleet.rs
+++ b/crates/serve/nickelshed/src/fleet.rs
@@ -251,10 +251,10 @@
     }
 
     fn handle_input(&mut self, input: FleetInput<'_>) {
-        let mut out = Vec::new();
-        self.fleet.handle(self.now(), input, &mut out);
-        let mut changed = false;
-        for output in out {
+        let mut outputs = Vec::new();
+        self.fleet.handle(self.now(), input, &mut outputs);
+        let mut view_changed = false;
+        for output in outputs {
             match output {
                 Output::Send { to, bytes } => {
                     if let Some(to) = self.peer_addresses.address_of(to) {
@@ -274,25 +274,25 @@
                         present = self.fleet.present(),
                         "the view of the fleet has changed"
                     );
-                    changed = true;
+                    view_changed = true;
                 }
                 Output::NameTaken { by } => {
                     tracing::error!(
                         start = by.start,
                         "another process has this member's name; this one stops taking part in the fleet"
                     );
-                    changed = true;
+                    view_changed = true;
                 }
                 Output::StoodStill { time } => {
                     tracing::warn!(
                         ms = time / 1_000_000,
                         "stood still; its membership view is outdated, its limit share reduced for now"
                     );
-                    changed = true;
+                    view_changed = true;
                 }
             }
         }
-        if changed {
+        if view_changed {
             self.update_quota();
         }
     }
--- a/crates/serve/nickelshed/src/list.rs
+++ b/crates/serve/nickelshed/src/list.rs
@@ -28,8 +28,8 @@
 
 impl EndpointList {
     /// The names of listed instances that are not ready. If a list names an instance both as ready and as not
-    /// ready, the second counts: new work would violate a drain, while waiting for the next list does no
-    /// harm.
+    /// ready, the instance counts as not ready: new work would violate a drain, while waiting for the next
+    /// list does no harm.
     pub fn not_ready_names(&self) -> HashSet<String> {
         self.instances.iter().filter(|i| i.lifecycle != "Ready").map(|i| i.name.clone()).collect()
     }
