--- a/crates/serve/nickelshed/src/config/mod.rs
+++ b/crates/serve/nickelshed/src/config/mod.rs
@@ -1,10 +1,11 @@
-//! What a sender is told at its start, in either of two forms, and what of it may change while it runs.
+//! The configuration of a sender, read from either of two sources at startup, and the part of it that can be
+//! reloaded.
 mod platform;
 mod sidecar;
 
-pub use platform::Told;
+pub use platform::EnvironmentVariables;
 
-use crate::list::List;
+use crate::list::EndpointList;
 use nickelshed_config::sidecar::Durability;
 use nickelshed_config::Operator;
 use nickelshed_policy::api::Settings;
@@ -15,14 +16,15 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// The form in which a sender is told what it needs.
+/// Where a sender reads its configuration.
 #[derive(Clone, Debug)]
-pub enum Form {
-    /// The platform's environment and config.json, and what the operator decides beside them.
+pub enum ConfigSource {
+    /// The platform's environment variables and config.json, with the operator's own settings.
     Platform(Operator),
-    /// The same without a process of its own: what it is told may be changed before a hang-up.
-    Told(Operator, Rc<RefCell<Told>>),
-    /// One file of the operator's.
+    /// Like `Platform`, for a sender that is not a process of its own. The variables may be changed before a
+    /// reload.
+    InMemory(Operator, Rc<RefCell<EnvironmentVariables>>),
+    /// One TOML file written by the operator.
     Sidecar(PathBuf),
 }
 
@@ -35,16 +37,16 @@
 
 /// Where the list of endpoints comes from.
 #[derive(Clone, Copy, Debug)]
-pub enum Endpoints {
+pub enum EndpointSource {
     Discovery(SocketAddr),
-    /// From the configuration itself.
-    Listed,
+    /// The configuration file lists the endpoints.
+    Static,
 }
 
-/// Who is told how messages ended that were taken on and not delivered.
+/// A receiver of notices: how accepted messages ended that were not delivered.
 #[derive(Clone, Debug)]
 pub enum Sink {
-    /// The platform, where discovery is.
+    /// The platform, at the address of discovery.
     Platform,
     Http {
         address: SocketAddr,
@@ -54,48 +56,49 @@
 }
 
 pub struct Config {
-    /// The application that a sidecar stands beside.
+    /// The application that this sidecar serves; None on the platform.
     pub application: Option<String>,
     pub listen: SocketAddr,
-    pub endpoints: Endpoints,
+    pub endpoint_source: EndpointSource,
     pub notices: Vec<Sink>,
     pub state: PathBuf,
     pub seed: u64,
     pub limits: Limits,
     pub durability: Durability,
-    pub known: List,
+    pub initial_list: EndpointList,
     pub settings: Settings,
-    pub around: Around,
-    /// The fleet that it is a member of.
-    pub fleet: Option<crate::fleet::Fellowship>,
+    pub context: Around,
+    /// None if the sender is not a member of a fleet.
+    pub fleet: Option<crate::fleet::FleetConfig>,
 }
 
-/// What takes effect while a sender runs.
-pub struct Fresh {
+/// The part of a configuration that takes effect without a restart.
+pub struct ReloadableConfig {
     pub discovery: Option<SocketAddr>,
-    pub list: Option<List>,
+    pub list: Option<EndpointList>,
 }
 
-impl Form {
+impl ConfigSource {
     /// # Errors
-    /// Says all that keeps the sender from starting.
+    /// Returns every reason why the sender cannot start with this configuration.
     pub(crate) fn read(&self) -> Result<Config, String> {
         match self {
-            Form::Platform(operator) => Told::by_environment()?.read(operator),
-            Form::Told(operator, told) => told.borrow().read(operator),
-            Form::Sidecar(path) => sidecar::read(path),
+            ConfigSource::Platform(operator) => EnvironmentVariables::from_environment()?.read(operator),
+            ConfigSource::InMemory(operator, variables) => variables.borrow().read(operator),
+            ConfigSource::Sidecar(path) => sidecar::read(path),
         }
     }
 
-    /// The file was replaced: what of it takes effect at once.
+    /// Reads the configuration again after its file was replaced, for the part that takes effect without a
+    /// restart.
     ///
     /// # Errors
-    /// Says what is wrong with it; then nothing of it does.
-    pub(crate) fn reread(&self) -> Result<Fresh, String> {
+    /// Returns what is wrong with the file; the caller then applies nothing of it.
+    pub(crate) fn read_reloadable(&self) -> Result<ReloadableConfig, String> {
         match self {
-            Form::Platform(_) => Told::by_environment()?.reread(),
-            Form::Told(_, told) => told.borrow().reread(),
-            Form::Sidecar(path) => sidecar::reread(path),
+            ConfigSource::Platform(_) => EnvironmentVariables::from_environment()?.read_reloadable(),
+            ConfigSource::InMemory(_, variables) => variables.borrow().read_reloadable(),
+            ConfigSource::Sidecar(path) => sidecar::read_reloadable(path),
         }
     }
 }
--- /dev/null
+++ b/crates/serve/nickelshed/src/discovery/schedule/tests.rs
@@ -0,0 +1,272 @@
+use super::*;
+
+use std::collections::BTreeSet;
+
+const MS: u64 = 1_000;
+
+/// A queueing model of discovery. Requests are answered one at a time, each in `SERVICE_TIME`. A request that
+/// has waited for `MAX_QUEUE_TIME` is rejected, although its place in the queue still costs the work.
+const SERVICE_TIME: u64 = 50 * MS;
+const MAX_QUEUE_TIME: u64 = 2_000 * MS;
+
+/// Simulates senders that start together. Returns when the last one got its answer, or None if that takes
+/// more than two minutes, and how many requests were rejected. Times are in microseconds.
+fn simulate_queue(
+    senders: u64,
+    initial_delay: impl Fn(u64) -> u64,
+    pause_after_failure: impl Fn(u64) -> u64,
+) -> (Option<u64>, u32) {
+    let mut requests: BTreeSet<(u64, u64)> = (0..senders).map(|s| (initial_delay(s), s)).collect();
+    let (mut free_at, mut last_answer, mut rejected) = (0u64, 0, 0);
+    while let Some((at, sender)) = requests.pop_first() {
+        if at > 120_000 * MS {
+            return (None, rejected);
+        }
+        free_at = free_at.max(at) + SERVICE_TIME;
+        if free_at - at > MAX_QUEUE_TIME {
+            rejected += 1;
+            requests.insert((at + MAX_QUEUE_TIME + pause_after_failure(sender), sender));
+        } else {
+            last_answer = last_answer.max(free_at);
+        }
+    }
+    (Some(last_answer), rejected)
+}
+
+fn simulate_fleet_start(senders: u64, seed: u64) -> (Option<u64>, u32) {
+    let schedules =
+        (0..senders).map(|s| RequestSchedule::new(Lister::Shared, senders as usize, seed * 1_000 + s));
+    let schedules: Vec<_> = schedules.map(std::cell::RefCell::new).collect();
+    let micros = |d: Duration| d.as_micros() as u64;
+    let schedule = |s: u64| schedules[s as usize].borrow_mut();
+    simulate_queue(
+        senders,
+        |s| micros(schedule(s).initial_delay()),
+        |s| micros(schedule(s).failed(Failure::Rejected)),
+    )
+}
+
+#[test]
+fn simultaneous_start_does_not_overload_discovery() {
+    for seed in 1..=20 {
+        for senders in [2, 10, 30, 100, 300, 350] {
+            let (last, rejected) = simulate_fleet_start(senders, seed);
+            let last = last.expect("all senders get an answer");
+            // One polling cycle for all, and as long again for those that were rejected.
+            assert!(
+                last < 2 * senders.max(4) * SERVICE_TIME + MAX_QUEUE_TIME,
+                "{senders} senders: {last} us"
+            );
+            assert!(u64::from(rejected) < senders, "{senders} senders: {rejected} rejected");
+        }
+    }
+}
+
+/// Guards against senders that overload discovery after an outage: it recovers all at once, and every sender
+/// asks within its first pause.
+#[test]
+fn fleet_gets_its_answers_after_discovery_recovers() {
+    for senders in [2, 30, 60, 100, 350] {
+        let schedules = (0..senders).map(|s| RequestSchedule::new(Lister::Shared, senders as usize, s));
+        let schedules: Vec<_> = schedules.map(std::cell::RefCell::new).collect();
+        let pause = |s: u64, failure| schedules[s as usize].borrow_mut().failed(failure).as_micros() as u64;
+        let first_retry = |s| {
+            for _ in 0..3 {
+                pause(s, Failure::Unavailable);
+            }
+            pause(s, Failure::Unavailable)
+        };
+        let (last, rejected) = simulate_queue(senders, first_retry, |s| pause(s, Failure::Rejected));
+        let last = last.expect("all senders get an answer");
+        println!("{senders} senders: the last after {} ms, {rejected} rejected", last / MS);
+        // As many senders as discovery can answer in six seconds are answered in six seconds.
+        assert!(senders > 60 || last < 6_000 * MS, "{senders} senders: {last} us");
+        assert!(last < 90_000 * MS, "{senders} senders: {last} us");
+    }
+}
+
+#[test]
+fn retrying_at_once_or_always_within_three_seconds_would_keep_discovery_overloaded() {
+    assert_eq!(simulate_queue(100, |_| 0, |_| 100 * MS).0, None);
+    let mut random = fastrand::Rng::with_seed(7);
+    let mut next_pause = || (random.f64() * 2_800.0) as u64 * MS;
+    let starts: Vec<u64> = (0..350).map(|_| next_pause()).collect();
+    let next_pause = std::cell::RefCell::new(next_pause);
+    assert_eq!(simulate_queue(350, |s| starts[s as usize], |_| next_pause.borrow_mut()()).0, None);
+}
+
+/// The longest time in which an update may arrive, once discovery has it and can be reached.
+const MAX_UPDATE_DELAY: Duration = Duration::from_secs(6);
+/// Time to connect and get an answer.
+const CONNECT_AND_ANSWER: Duration = Duration::from_millis(100);
+
+#[test]
+fn request_lost_during_recovery_is_repeated_in_time_in_both_modes() {
+    for mode in [Lister::Agent, Lister::Shared] {
+        for senders in [1, 2, 30, 350, 100_000] {
+            for seed in 0..100 {
+                let mut schedule = RequestSchedule::new(mode, senders, seed);
+                for failures in 0..12 {
+                    let lost = schedule.answer_timeout(failures > 0)
+                        + if failures > 0 { schedule.watch_wait() } else { Duration::ZERO };
+                    let pause = schedule.failed(Failure::Unavailable);
+                    assert!(
+                        lost + pause + CONNECT_AND_ANSWER < MAX_UPDATE_DELAY,
+                        "{mode:?}, {senders} senders: {lost:?} and {pause:?}"
+                    );
+                }
+                // A rejected request is repeated in time too, unless very many senders share discovery.
+                let pause = schedule.failed(Failure::Rejected);
+                assert!(
+                    senders > 50 && mode == Lister::Shared || pause + CONNECT_AND_ANSWER < MAX_UPDATE_DELAY
+                );
+            }
+        }
+    }
+}
+
+#[test]
+fn pauses_are_spread_below_a_ceiling_that_doubles_up_to_a_maximum() {
+    let ceilings = |senders: usize, failure: Failure, expected: &[u64]| {
+        let mut schedule = RequestSchedule::new(Lister::Shared, senders, 1);
+        for ceiling in expected {
+            let ceiling = MIN_BACKOFF_CEILING / 2 + Duration::from_millis(*ceiling);
+            let pauses: Vec<Duration> = (0..400)
+                .map(|seed| {
+                    let failures = schedule.failures;
+                    RequestSchedule { failures, ..RequestSchedule::new(Lister::Shared, senders, seed) }
+                        .failed(failure)
+                })
+                .collect();
+            assert!(
+                pauses.iter().all(|p| *p >= MIN_BACKOFF_CEILING / 2 && *p <= ceiling),
+                "{senders} {failure:?} {ceiling:?}"
+            );
+            assert!(pauses.iter().any(|p| *p < ceiling / 8) && pauses.iter().any(|p| *p > ceiling * 7 / 8));
+            schedule.failed(failure);
+        }
+        schedule.succeeded();
+        assert!(schedule.failed(failure) <= MIN_BACKOFF_CEILING / 2 + Duration::from_millis(expected[0]));
+    };
+    ceilings(11, Failure::Unavailable, &[500, 1_000, 2_000, 2_800, 2_800, 2_800]);
+    ceilings(100, Failure::Unavailable, &[2_800, 2_800, 2_800, 2_800]);
+    ceilings(11, Failure::Rejected, &[500, 1_000, 2_000, 2_800, 2_800]);
+    // Two polling cycles: with that many senders, shorter pauses keep discovery overloaded.
+    ceilings(100, Failure::Rejected, &[9_900, 9_900, 9_900]);
+    ceilings(100_000, Failure::Rejected, &[40_000, 40_000]);
+}
+
+#[test]
+fn pauses_are_bounded_for_any_number_of_senders() {
+    for senders in [0, 1, 2, 100_000, usize::MAX] {
+        let mut schedule = RequestSchedule::new(Lister::Shared, senders, 7);
+        assert!(schedule.initial_delay() <= MAX_POLLING_CYCLE);
+        let pauses: Vec<Duration> = (0..100).map(|_| schedule.failed(Failure::Rejected)).collect();
+        assert!(pauses.iter().all(|pause| *pause >= MIN_BACKOFF_CEILING / 2
+            && *pause <= MAX_BACKOFF_OVERLOADED + MIN_BACKOFF_CEILING));
+    }
+    let mut alone = RequestSchedule::new(Lister::Shared, 1, 7);
+    assert_eq!(alone.initial_delay(), Duration::ZERO, "a single sender does not wait");
+}
+
+/// At the latest this long after an agent was sent an update, the sender is expected to know it; with a watch
+/// open, this long after the end of the watch's wait. A drain is enforced one second later.
+const MAX_AGENT_UPDATE_DELAY: Duration = Duration::from_secs(6);
+const MAX_UPDATE_DELAY_AFTER_WATCH: Duration = Duration::from_secs(2);
+
+#[test]
+fn agent_is_asked_at_once_and_retried_in_time_for_any_number_of_senders() {
+    for senders in [0, 1, 2, 100, 300, 100_000, usize::MAX] {
+        let mut schedule = RequestSchedule::new(Lister::Agent, senders, 7);
+        assert_eq!(schedule.initial_delay(), Duration::ZERO);
+        for _ in 0..1_000 {
+            let pause = schedule.failed(Failure::Unavailable);
+            assert!(pause >= MIN_BACKOFF_CEILING / 2 && pause < Duration::from_millis(500));
+            // A lost watch and the request after it.
+            assert!(schedule.answer_timeout(true) + pause < MAX_UPDATE_DELAY_AFTER_WATCH);
+            // Two lost requests for a full list, and the third one.
+            assert!((schedule.answer_timeout(false) + pause) * 3 < MAX_AGENT_UPDATE_DELAY);
+        }
+        schedule.succeeded();
+        // Soon enough for changes in between to belong to the same watch.
+        assert!(schedule.failed(Failure::Unavailable) < Duration::from_millis(200));
+    }
+}
+
+/// Guards against missing a drain: what an agent has when it recovers is expected to be known at once, and a
+/// drain is enforced one second later.
+#[test]
+fn unavailable_agent_is_retried_often_enough_to_get_its_updates_on_recovery() {
+    for seed in 0..200 {
+        let mut schedule = RequestSchedule::new(Lister::Agent, 300, seed);
+        assert_eq!(schedule.watch_wait(), WATCH_WAIT);
+        schedule.watch_lost();
+        for _ in 0..50 {
+            assert_eq!(schedule.watch_wait(), Duration::ZERO);
+            assert!(
+                schedule.answer_timeout(true) + schedule.failed(Failure::Unavailable)
+                    < Duration::from_secs(1)
+            );
+        }
+        schedule.succeeded();
+        assert_eq!(
+            (schedule.watch_wait(), schedule.answer_timeout(true)),
+            (WATCH_WAIT, ANSWER_TIMEOUT_AGENT)
+        );
+    }
+    let mut shared = RequestSchedule::new(Lister::Shared, 300, 7);
+    shared.failed(Failure::Unavailable);
+    assert_eq!(
+        shared.watch_wait(),
+        RETRY_WATCH_WAIT_SHARED,
+        "still a watch, which continues once it is admitted"
+    );
+}
+
+#[test]
+fn watch_that_returns_prematurely_without_changes_is_not_repeated_at_once() {
+    for senders in [0, 1, 30, 300, usize::MAX] {
+        let agent_pause = RequestSchedule::new(Lister::Agent, senders, 7).premature_return();
+        assert!(
+            agent_pause >= MIN_BACKOFF_CEILING && agent_pause < Duration::from_millis(200),
+            "the pause belongs to the same watch: {agent_pause:?}"
+        );
+        let mut shared = RequestSchedule::new(Lister::Shared, senders, 7);
+        let pauses: Vec<Duration> = (0..400).map(|_| shared.premature_return()).collect();
+        assert!(pauses.iter().all(
+            |pause| *pause >= MIN_BACKOFF_CEILING && *pause <= MIN_BACKOFF_CEILING + MAX_PREMATURE_PAUSE
+        ));
+        assert!(
+            senders < 30 || pauses.iter().max().unwrap() > &Duration::from_secs(1),
+            "{senders} senders: pauses are spread"
+        );
+        assert_eq!(shared.answer_timeout(true), ANSWER_TIMEOUT_AGENT, "not a failure");
+    }
+}
+
+#[test]
+fn timed_out_watch_is_replaced_in_time_in_both_modes() {
+    for mode in [Lister::Agent, Lister::Shared] {
+        for seed in 0..200 {
+            let mut schedule = RequestSchedule::new(mode, 300, seed);
+            schedule.succeeded();
+            assert!(
+                schedule.answer_timeout(true) + schedule.watch_lost() + MIN_BACKOFF_CEILING
+                    < MAX_UPDATE_DELAY_AFTER_WATCH,
+                "{mode:?}"
+            );
+        }
+    }
+    // Discovery is down: it is asked by all senders within the ceiling, but not all at the same time.
+    let mut schedule = RequestSchedule::new(Lister::Shared, 300, 7);
+    schedule.watch_lost();
+    assert_eq!(schedule.answer_timeout(true), RETRY_ANSWER_TIMEOUT_SHARED);
+    let pauses: Vec<Duration> = (0..20).map(|_| schedule.watch_lost()).collect();
+    assert!(pauses.iter().max().unwrap() > &Duration::from_secs(2));
+    assert!(pauses.iter().all(|p| *p <= MIN_BACKOFF_CEILING / 2 + MAX_BACKOFF_SHARED));
+    schedule.succeeded();
+    assert_eq!(
+        (schedule.answer_timeout(true), schedule.answer_timeout(false)),
+        (ANSWER_TIMEOUT_AGENT, ANSWER_TIMEOUT_SHARED)
+    );
+}
--- a/crates/serve/nickelshed/src/inbox.rs
+++ b/crates/serve/nickelshed/src/inbox.rs
@@ -1,46 +1,46 @@
-//! What the parts of the sender say to its core, and what the core answers a client.
-use crate::list::List;
+//! Inputs to the core from the other parts of the sender, and the core's replies to clients.
+use crate::list::EndpointList;
 use nickelshed_journal::{Synced, Taken};
 use nickelshed_policy::api::{AttemptEnd, EndpointId, Outcome, Report};
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What a client is answered.
+/// The reply to a submitted message.
 #[derive(Clone, Copy, Debug)]
 pub enum Reply {
-    TakenOn,
-    /// Handing it in again is harmless; after how long, if that is known.
-    Refused(Option<Duration>),
+    Accepted,
+    /// Submitting it again is harmless, after the given time if it is known.
+    Rejected(Option<Duration>),
     Failed,
-    /// No list has named its destination.
-    NoDestination,
-    /// Its id is that of another message that is held.
+    /// No endpoint list has named the destination.
+    UnknownDestination,
+    /// An open message with different content has the same id.
     Conflict,
 }
 
 pub enum Input {
-    /// A message handed in; `taken.id` is given by the core.
-    Offer {
-        taken: Taken,
-        end: Instant,
+    /// A submitted message; the core assigns `message.id`.
+    Submit {
+        message: Taken,
+        deadline: Instant,
         reply: oneshot::Sender<Reply>,
     },
-    List(List),
-    Ended(Vec<AttemptEnd>),
+    EndpointList(EndpointList),
+    AttemptsEnded(Vec<AttemptEnd>),
     Probed {
         endpoint: EndpointId,
         outcome: Outcome,
         report: Option<Report>,
     },
-    /// The platform has answered for these notices.
-    Noticed(Vec<u64>),
-    /// How a sync of the journal has ended.
+    /// Every sink has received these notices.
+    NoticesDelivered(Vec<u64>),
+    /// The result of a journal sync.
     Synced(Synced),
-    /// So many senders share each limit, by the view of the fleet.
-    Senders(usize),
-    /// The start of this member of the fleet, to be kept for its next process.
-    Start(u32),
-    /// No client can come any more: end once nothing is left to do, and start nothing new after this time.
-    Wind(Instant),
+    /// How many senders share each limit, by the membership view of the fleet.
+    SenderCount(usize),
+    /// The start number of this fleet member, to be persisted for the next process run.
+    StartNumber(u32),
+    /// No further client connects: exit once nothing is left to do, and start no call after this time.
+    Shutdown(Instant),
 }
--- a/crates/serve/nickelshed/src/list.rs
+++ b/crates/serve/nickelshed/src/list.rs
@@ -1,4 +1,4 @@
-//! A list of endpoints in the form in which discovery and the configuration give it.
+//! A list of endpoints as discovery and the configuration provide it.
 use nickelshed_journal::MAX_NAME;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
@@ -17,51 +17,52 @@
 }
 
 #[derive(Deserialize, Clone, Debug, Default)]
-pub struct List {
+pub struct EndpointList {
     #[serde(default)]
     pub generation: u64,
     #[serde(default)]
     pub reset: bool,
-    #[serde(default, deserialize_with = "readable")]
+    #[serde(default, deserialize_with = "readable_instances")]
     pub instances: Vec<Instance>,
 }
 
-impl List {
-    /// The names of what it says of somewhere that it takes nothing new. Of two words on one endpoint that one counts:
-    /// new work breaks a drain, and work that waits for the next list breaks nothing.
-    pub fn shut(&self) -> HashSet<String> {
+impl EndpointList {
+    /// The names of listed instances that are not ready. If a list names an instance both as ready and as not
+    /// ready, the instance counts as not ready: new work would violate a drain, while waiting for the next
+    /// list does no harm.
+    pub fn not_ready_names(&self) -> HashSet<String> {
         self.instances.iter().filter(|i| i.lifecycle != "Ready").map(|i| i.name.clone()).collect()
     }
 
-    /// A list that is all there is.
-    pub fn whole(instances: Vec<Instance>) -> List {
-        List { generation: 0, reset: true, instances }
+    /// A full list: instances missing from it are unavailable.
+    pub fn full(instances: Vec<Instance>) -> EndpointList {
+        EndpointList { generation: 0, reset: true, instances }
     }
 }
 
-/// The entries that can be read; one that can't be does not cost the others.
-fn readable<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<Instance>, D::Error> {
-    let values = Vec::<Value>::deserialize(from)?;
-    let read = |v: &Value| {
-        let read = instance(v);
+/// Reads the valid entries. An invalid entry is logged and skipped without rejecting the others.
+fn readable_instances<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Instance>, D::Error> {
+    let values = Vec::<Value>::deserialize(deserializer)?;
+    let read = |value: &Value| {
+        let read = parse_instance(value);
         if read.is_none() {
-            tracing::warn!(entry = %v, "a list entry can't be read");
+            tracing::warn!(entry = %value, "ignoring an invalid entry of the endpoint list");
         }
         read
     };
     Ok(values.iter().filter_map(read).collect())
 }
 
-fn instance(v: &Value) -> Option<Instance> {
-    let text = |key: &str| v.get(key).and_then(Value::as_str);
+fn parse_instance(value: &Value) -> Option<Instance> {
+    let text = |key: &str| value.get(key).and_then(Value::as_str);
     let name = text("instanceId").filter(|n| n.len() <= MAX_NAME)?;
     Some(Instance {
         name: name.to_string(),
         address: text("hostPort")?.parse().ok()?,
         zone: text("zone").unwrap_or_default().to_string(),
         kind: text("machineType").unwrap_or_default().to_string(),
-        dest: v.get("cell")?.as_u64()?,
+        dest: value.get("cell")?.as_u64()?,
         lifecycle: text("lifecycle")?.to_string(),
-        weight: v.get("weight").and_then(Value::as_f64).unwrap_or(0.0),
+        weight: value.get("weight").and_then(Value::as_f64).unwrap_or(0.0),
     })
 }
--- a/crates/serve/nickelshed/src/main.rs
+++ b/crates/serve/nickelshed/src/main.rs
@@ -1,26 +1,27 @@
-//! The program `nickelshed`: its arguments, its log, and one sender.
+//! The `nickelshed` executable: command line, logging, and one sender.
 use clap::Parser;
-use nickelshed::{Form, Operator};
+use nickelshed::{ConfigSource, Operator};
 use nickelshed_journal::Folder;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Delivers messages to other people's systems.
+/// Delivers messages to systems of other parties.
 ///
-/// As a sidecar of one application it is told all it needs by one file: `nickelshed --config deploy/sidecar.toml`.
-/// On the platform it is told by EDGE_LISTEN, EDGE_DISCOVERY, EDGE_STATE and EDGE_CONFIG.
+/// As the sidecar of one application it reads its whole configuration from one file:
+/// `nickelshed --config deploy/sidecar.toml`.
+/// On the platform it reads EDGE_LISTEN, EDGE_DISCOVERY, EDGE_STATE and EDGE_CONFIG.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// The sidecar's configuration (see deploy/sidecar.toml; nickelshed-ctl writes and checks it)
+    /// The sidecar's configuration (see deploy/sidecar.toml; nickelshed-ctl creates and checks it)
     #[arg(long, value_name = "FILE", conflicts_with = "operator")]
     config: Option<PathBuf>,
-    /// On the platform: what the operator decides beside it (see deploy/operator.toml)
+    /// On the platform: the settings that the operator makes in addition (see deploy/operator.toml)
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
 }
 
-fn operator(path: &Path) -> Result<Operator, String> {
+fn load_operator(path: &Path) -> Result<Operator, String> {
     let bytes = std::fs::read(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     Operator::load(&bytes).map_err(|findings| {
         let text = String::from_utf8_lossy(&bytes);
@@ -28,11 +29,11 @@
     })
 }
 
-fn form(arguments: &Arguments) -> Result<Form, String> {
+fn config_source(arguments: &Arguments) -> Result<ConfigSource, String> {
     match (&arguments.config, &arguments.operator) {
-        (Some(config), _) => Ok(Form::Sidecar(config.clone())),
-        (None, Some(path)) => Ok(Form::Platform(operator(path)?)),
-        (None, None) => Ok(Form::Platform(Operator::default())),
+        (Some(config), _) => Ok(ConfigSource::Sidecar(config.clone())),
+        (None, Some(path)) => Ok(ConfigSource::Platform(load_operator(path)?)),
+        (None, None) => Ok(ConfigSource::Platform(Operator::default())),
     }
 }
 
@@ -40,7 +41,7 @@
     let arguments = Arguments::parse();
     let level = std::env::var("RUST_LOG").ok().and_then(|l| l.parse().ok()).unwrap_or(tracing::Level::INFO);
     tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false).init();
-    match form(&arguments).and_then(|form| nickelshed::run(&form, Folder::new)) {
+    match config_source(&arguments).and_then(|config_source| nickelshed::run(&config_source, Folder::new)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             for line in error.lines() {
--- /dev/null
+++ b/crates/serve/nickelshed/src/socket.rs
@@ -0,0 +1,161 @@
+//! A TCP socket shared between the HTTP library and its owner, who needs to know more than the library
+//! reports: bytes written, the time of the first byte, and unread data.
+use nickelshed_host::Stream;
+use std::cell::{Cell, RefCell};
+use std::future::poll_fn;
+use std::io::{self, IoSlice};
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+/// Maximum size in bytes of a message head in either direction; twice the smallest that the HTTP library
+/// allows.
+pub const MAX_HEAD: usize = 16 << 10;
+/// Maximum number of header lines in a head.
+pub const MAX_HEADERS: usize = 64;
+
+pub struct Socket<S> {
+    stream: S,
+    bytes_written: Cell<u64>,
+    /// When the first byte of the current exchange arrived.
+    first_byte_at: Cell<Option<Instant>>,
+    pub readable: Notify,
+    /// What has been received since `begin_exchange`, up to `MAX_HEAD` bytes.
+    received_head: RefCell<Option<Vec<u8>>>,
+    /// Set until the first byte of a request is written: unread data at that time cannot be the answer to it.
+    must_be_idle: Cell<bool>,
+}
+
+impl<S: Stream> Socket<S> {
+    pub fn new(stream: S) -> Rc<Socket<S>> {
+        Rc::new(Socket {
+            stream,
+            bytes_written: Cell::new(0),
+            first_byte_at: Cell::new(None),
+            readable: Notify::new(),
+            received_head: RefCell::new(None),
+            must_be_idle: Cell::new(false),
+        })
+    }
+
+    pub fn bytes_written(&self) -> u64 {
+        self.bytes_written.get()
+    }
+
+    pub fn first_byte_at(&self) -> Option<Instant> {
+        self.first_byte_at.get()
+    }
+
+    /// Ends the exchange: forgets what has been received.
+    pub fn end_exchange(&self) {
+        self.first_byte_at.set(None);
+        self.received_head.replace(None);
+    }
+
+    /// Restarts the wait for a first byte, after what arrived turned out to be an interim response.
+    pub fn clear_first_byte(&self) {
+        self.first_byte_at.set(None);
+    }
+
+    /// Prepares for a request: records what is received, and fails the first write if unread data is waiting.
+    pub fn begin_exchange(&self) {
+        self.end_exchange();
+        self.received_head.replace(Some(Vec::new()));
+        self.must_be_idle.set(true);
+    }
+
+    /// What has been received since `begin_exchange`; empty if no exchange is active.
+    pub fn received_head(&self) -> Vec<u8> {
+        self.received_head.borrow().clone().unwrap_or_default()
+    }
+
+    /// Whether unread data or the end of the stream is waiting. Asks the operating system, because the
+    /// runtime may not know yet.
+    pub fn has_unread_data(&self) -> bool {
+        self.stream.has_news()
+    }
+
+    /// Shuts down the sending side, then reads and discards data until the other side closes, up to
+    /// `max_bytes`. Closing with unread data would reset the connection, and an answer on its way could be
+    /// lost.
+    pub async fn close(&self, max_bytes: usize) {
+        if self.stream.end_sending().is_err() {
+            return;
+        }
+        let mut buffer = [0; 4096];
+        let mut left = max_bytes;
+        while left > 0 {
+            match poll_fn(|cx| self.stream.poll_read(cx, &mut buffer)).await {
+                Ok(0) | Err(_) => return,
+                Ok(n) => left = left.saturating_sub(n),
+            }
+        }
+    }
+}
+
+/// The side of the socket that the HTTP library uses.
+pub struct SocketIo<S>(pub Rc<Socket<S>>);
+
+impl<S: Stream> AsyncRead for SocketIo<S> {
+    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let socket = &self.0;
+        let n = ready!(socket.stream.poll_read(cx, buf.initialize_unfilled()))?;
+        if n > 0 && socket.first_byte_at.get().is_none() {
+            socket.first_byte_at.set(Some(Instant::now()));
+            socket.readable.notify_one();
+        }
+        if let Some(received) = socket.received_head.borrow_mut().as_mut() {
+            let space = MAX_HEAD.saturating_sub(received.len());
+            received.extend_from_slice(&buf.initialize_unfilled()[..n.min(space)]);
+        }
+        buf.advance(n);
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl<S: Stream> SocketIo<S> {
+    fn write(&self, cx: &mut Context<'_>, buffers: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
+        let socket = &self.0;
+        if socket.must_be_idle.replace(false) && socket.has_unread_data() {
+            // The other side closed, or data follows the previous answer. Sending now would let that data
+            // pass for the answer to this request.
+            return Poll::Ready(Err(io::Error::new(
+                io::ErrorKind::ConnectionAborted,
+                "connection no longer idle",
+            )));
+        }
+        let n = ready!(socket.stream.poll_write(cx, buffers))?;
+        socket.bytes_written.set(socket.bytes_written.get() + n as u64);
+        Poll::Ready(Ok(n))
+    }
+}
+
+impl<S: Stream> AsyncWrite for SocketIo<S> {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        self.write(cx, &[IoSlice::new(buf)])
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bufs: &[IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        self.write(cx, bufs)
+    }
+
+    /// Lets the library write bodies without copying them into a buffer that each connection would keep.
+    fn is_write_vectored(&self) -> bool {
+        true
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(self.0.stream.end_sending())
+    }
+}
