--- a/crates/serve/nickelshed/src/fleet.rs
+++ b/crates/serve/nickelshed/src/fleet.rs
@@ -2,8 +2,7 @@
 //! state file, and tells the core how many senders share each limit.
 mod peer_addresses;
 
-use crate::     
- inbox::Input;
+use crate::inbox::Input;
 use nickelshed_config::sidecar::Membership;
 use nickelshed_fleet::quota::LimitQuota;
 use nickelshed_fleet::{
@@ -126,8 +125,7 @@
                 address: PeerAddresses::placeholder(index)?,
                 site: site.to_string(),
                 version: version(),
-                settings:
-                settings_digest,
+                settings: settings_digest,
             },
             seeds: other_indices.filter_map(PeerAddresses::placeholder).collect(),
             listen: peers.listen,
@@ -229,8 +227,9 @@
             }
         };
         match received {
-            Some((length, from)) => { fleet_member.handle_input(FleetInput::Datagram { from, bytes: &buffer[..length] })
-            } 
+            Some((length, from)) => {
+                fleet_member.handle_input(FleetInput::Datagram { from, bytes: &buffer[..length] })
+            }
             None => fleet_member.handle_input(FleetInput::Timer),
         }
         if Instant::now() >= next_quota_update {
