--- a/crates/decide/nickelshed-policy/src/api.rs
+++ b/crates/decide/nickelshed-policy/src/api.rs
@@ -30,34 +30,34 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Delivered within this time, a message earns its full worth.
-    pub aim: Ns,
+    pub target: Ns,
     /// The aim grows by this multiple of the message's own expected work.
-    pub aim_stretch: f64,
+    pub target_stretch: f64,
     /// From when it was first handed in until it is given up.
     pub deadline: Ns,
     pub effect: Effect,
-    pub scope: DedupScope,
+    pub dedup_scope: DedupScope,
     /// Keyed: how long repeats are dropped, from the first attempt that may have run.
-    pub window: Ns,
-    pub worth: f64,
+    pub dedup_window: Ns,
+    pub value: f64,
     /// Share of the worth left at the deadline.
-    pub late_worth: f64,
+    pub late_value: f64,
     pub in_order: bool,
 }
 
 impl Class {
     /// Worth of a message that is delivered at this age, of so much work. `halves`: see `Settings`.
-    pub fn worth_at(&self, age: Ns, cost: Ns, halves: bool) -> f64 {
-        let aim = (self.aim as f64 + self.aim_stretch * cost as f64).min(self.deadline as f64);
+    pub fn value_at(&self, age: Ns, cost: Ns, halves: bool) -> f64 {
+        let aim = (self.target as f64 + self.target_stretch * cost as f64).min(self.deadline as f64);
         let age = age as f64;
         let share = if age <= aim {
             1.0
         } else if halves {
-            (-((age - aim) / aim)).exp2().max(self.late_worth)
+            (-((age - aim) / aim)).exp2().max(self.late_value)
         } else {
-            1.0 - (1.0 - self.late_worth) * (age - aim) / (self.deadline as f64 - aim).max(1.0)
+            1.0 - (1.0 - self.late_value) * (age - aim) / (self.deadline as f64 - aim).max(1.0)
         };
-        self.worth * share
+        self.value * share
     }
 }
 
@@ -80,10 +80,10 @@
     pub classes: Vec<Class>,
     pub kinds: Vec<Kind>,
     pub tenants: Vec<Tenant>,
-    pub over_share_worth: f64,
+    pub over_quota_value: f64,
     /// Worth halves with each further aim (else it falls evenly to the deadline).
-    pub halves: bool,
-    pub n_instances: usize,
+    pub exponential_decay: bool,
+    pub sender_count: usize,
     pub zone: usize,
     pub tick: Ns,
     /// Calls this sender may have out at once.
@@ -97,18 +97,18 @@
     pub may_probe: bool,
     pub may_cancel: bool,
     pub streams_per_conn: usize,
-    pub idle_close: Ns,
+    pub idle_timeout: Ns,
     pub dial_timeout: Ns,
     /// The list's figure is a rate in calls a second, exact or rough.
-    pub hints: bool,
+    pub rate_hints: bool,
     /// Answers tell of the destination's limit.
-    pub reports: bool,
-    pub rough_hints: bool,
+    pub limit_reports: bool,
+    pub estimated_hints: bool,
     pub start_capacity: f64,
-    pub cold: Ns,
-    pub fall_multiple: f64,
-    pub overload_for: Ns,
-    pub key_rest: Ns,
+    pub slow_start_duration: Ns,
+    pub overload_multiple: f64,
+    pub overload_window: Ns,
+    pub key_hold_off: Ns,
     pub price_handshake: f64,
     pub price_cross_zone: f64,
     pub price_refused: f64,
@@ -132,7 +132,7 @@
     pub zone: usize,
     pub condition: Condition,
     /// Rate in calls a second where `Settings::hints` says so.
-    pub hint: f64,
+    pub rate_hint: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -141,8 +141,8 @@
     pub class: usize,
     pub dest: DestId,
     /// How long it may still be delivered.
-    pub left: Ns,
-    pub cost: Ns,
+    pub time_left: Ns,
+    pub expected_work: Ns,
     pub key: Option<u64>,
     pub tenant: usize,
 }
@@ -151,7 +151,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Report {
     /// Share of the allowance that is left.
-    pub left: f64,
+    pub remaining: f64,
     /// Calls a second from all senders; 0 where there is no limit.
     pub limit: f64,
 }
@@ -189,13 +189,13 @@
     pub outcome: Outcome,
     pub took: Ns,
     /// The message has ended, by this or before.
-    pub done: bool,
+    pub finished: bool,
     /// Told to send nothing to that destination (or route) for so long; 0 if not.
-    pub wait: Ns,
+    pub retry_after: Ns,
     pub report: Option<Report>,
     /// It was lost without a word on a connection that had carried calls before: the other side may just have
     /// closed that one while it was idle.
-    pub kept: bool,
+    pub reused_connection: bool,
 }
 
 /// An attempt made by an earlier process, on this one's clock.
@@ -215,23 +215,23 @@
     /// Where the destination's endpoints are routes apart.
     pub endpoint: Option<EndpointId>,
     /// Nothing has been served there since.
-    pub doubt: bool,
+    pub suspect: bool,
     pub last_failure: Ns,
     /// Calls a second that it was seen to serve this sender.
-    pub proved: f64,
+    pub proven_rate: f64,
 }
 
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A list of endpoints. `whole`: what is missing from it is gone.
     List {
-        whole: bool,
+        full: bool,
         entries: Vec<Entry>,
     },
     Message(Message),
     /// A message that an earlier process of this sender took on; `past` are its attempts so far, all of them
     /// over with that process.
-    Resumed {
+    Recovered {
         message: Message,
         past: Vec<PastAttempt>,
     },
@@ -239,7 +239,7 @@
     Outage(Outage),
     AttemptEnd(AttemptEnd),
     /// The client took the message back; nothing more is owed.
-    Expired {
+    Withdrawn {
         id: MsgId,
     },
     Probed {
@@ -248,7 +248,7 @@
         report: Option<Report>,
     },
     /// So many senders share each limit from now on, by the view of the fleet: each has one part of so many.
-    Senders(usize),
+    SenderCount(usize),
     Timer,
 }
 
@@ -258,9 +258,9 @@
     Send {
         id: MsgId,
         endpoint: EndpointId,
-        limit: Ns,
+        timeout: Ns,
         /// Its first byte must be written before this time, however long a connection takes.
-        by: Ns,
+        write_by: Ns,
     },
     /// Final: handing it in again is harmless.
     Refuse {
@@ -279,7 +279,7 @@
         endpoint: EndpointId,
     },
     /// Closes this sender's idle connections there.
-    Close {
+    CloseIdle {
         endpoint: EndpointId,
     },
     /// Ask for an `Event::Timer` at or after this time.
--- a/crates/decide/nickelshed-policy/src/recovery.rs
+++ b/crates/decide/nickelshed-policy/src/recovery.rs
@@ -39,18 +39,18 @@
 
 /// All that share a limit: this one, if the settings know of none.
 pub fn senders(cfg: &Settings) -> f64 {
-    cfg.n_instances.max(1) as f64
+    cfg.sender_count.max(1) as f64
 }
 
 /// The longest time from one probe to the next: about one probe of the whole fleet in a window.
 fn longest_probe_wait(cfg: &Settings) -> Ns {
-    let others = cfg.n_instances.max(1) as Ns - 1;
-    cfg.overload_for.saturating_mul(others).max(FEW_PROBE_WAIT)
+    let others = cfg.sender_count.max(1) as Ns - 1;
+    cfg.overload_window.saturating_mul(others).max(FEW_PROBE_WAIT)
 }
 
 /// Whether all senders together stand for too much even where each does little.
 fn many(cfg: &Settings) -> bool {
-    cfg.n_instances > FEW
+    cfg.sender_count > FEW
 }
 
 impl Route {
@@ -76,9 +76,9 @@
         let unknown = if many(cfg) { now } else { self.last_failure };
         let back = if self.known_back() { self.returned_at } else { unknown };
         let since = (now - back).max(0);
-        let warm = (since as f64 / cfg.cold.max(1) as f64).min(1.0);
+        let warm = (since as f64 / cfg.slow_start_duration.max(1) as f64).min(1.0);
         let able = cfg.start_capacity + (1.0 - cfg.start_capacity) * warm;
-        (MARGIN * cfg.fall_multiple * able * self.part(cfg, now)).max(0.15 / senders(cfg))
+        (MARGIN * cfg.overload_multiple * able * self.part(cfg, now)).max(0.15 / senders(cfg))
     }
 
     /// Time from one probe to the next, in the mean that of the slow start; `draw` is uniform in 0 to 1.
@@ -93,7 +93,7 @@
         if !many(cfg) {
             return DOUBT_RUN;
         }
-        let expected = self.part(cfg, now).min(arrivals) * cfg.overload_for as f64 / 1e9;
+        let expected = self.part(cfg, now).min(arrivals) * cfg.overload_window as f64 / 1e9;
         ((expected / 2.0) as u32).clamp(1, DOUBT_RUN)
     }
 
@@ -118,7 +118,7 @@
         }
         let entered = !std::mem::replace(&mut self.cold, true);
         self.lone = entered && !sick && symptom.recheck;
-        self.recheck_at = self.lone.then_some(now + (draw * RECHECK * cfg.overload_for as f64) as Ns);
+        self.recheck_at = self.lone.then_some(now + (draw * RECHECK * cfg.overload_window as f64) as Ns);
         self.last_failure = symptom.opens_at.map_or(now, |at| at.max(now));
         if symptom.opens_at.is_some() {
             self.returned_at = self.last_failure;
@@ -136,13 +136,13 @@
         // A probe served sooner than overdue calls were called off tells that it was silent, and not slow.
         let given_up = std::mem::take(&mut self.called_off);
         self.cold |= self.doubt && age < given_up;
-        if self.lone && now - self.last_failure <= cfg.overload_for {
+        if self.lone && now - self.last_failure <= cfg.overload_window {
             self.cold = false;
         }
         if self.cold && !self.known_back() {
             // It came back at some time since the last failure: half of that ago in the mean of many senders.
             let since = now - self.last_failure;
-            let since = if many(cfg) { (since / 2).min(cfg.cold / 2) } else { since };
+            let since = if many(cfg) { (since / 2).min(cfg.slow_start_duration / 2) } else { since };
             self.returned_at = now - since.min(longest_probe_wait(cfg));
         }
         if std::mem::take(&mut self.doubt) && many(cfg) {
@@ -155,12 +155,12 @@
     /// Ends the slow start of a route that is warm.
     pub fn warm_up(&mut self, cfg: &Settings, now: Ns) {
         // It may have come back so much later than was taken for its return.
-        let unsure = longest_probe_wait(cfg).min(cfg.cold / 2);
-        let warm_at = self.returned_at.saturating_add(cfg.cold + unsure);
+        let unsure = longest_probe_wait(cfg).min(cfg.slow_start_duration / 2);
+        let warm_at = self.returned_at.saturating_add(cfg.slow_start_duration + unsure);
         if self.cold && !self.doubt && self.known_back() && now > warm_at {
             self.cold = false;
         }
-        if now - self.last_failure > cfg.overload_for {
+        if now - self.last_failure > cfg.overload_window {
             self.recheck_at = None;
         }
     }
--- a/crates/decide/nickelshed-policy/src/rules.rs
+++ b/crates/decide/nickelshed-policy/src/rules.rs
@@ -121,14 +121,14 @@
         self.now = self.now.max(now);
         for event in events {
             match event {
-                Event::List { whole, entries } => self.list(*whole, entries),
+                Event::List { full: whole, entries } => self.list(*whole, entries),
                 Event::Message(m) => self.take(*m),
-                Event::Resumed { message, past } => self.resume(*message, past, out),
+                Event::Recovered { message, past } => self.resume(*message, past, out),
                 Event::Outage(o) => self.recall(o),
                 Event::AttemptEnd(e) => self.attempt_end(e, out),
-                Event::Expired { id } => self.close(*id),
+                Event::Withdrawn { id } => self.close(*id),
                 Event::Probed { .. } => {}
-                Event::Senders(n) => self.share_among((*n).max(1)),
+                Event::SenderCount(n) => self.share_among((*n).max(1)),
                 // The caller may round a time down: one that is due within the tick has come.
                 Event::Timer => self.timer_at = self.timer_at.filter(|&at| at > self.now + self.cfg.tick),
             }
@@ -168,13 +168,13 @@
         let mut ended = std::mem::take(&mut self.ended);
         ended.sort_unstable();
         ended.dedup();
-        let brief = 3 * self.cfg.idle_close / self.cfg.n_instances.max(3) as Ns;
+        let brief = 3 * self.cfg.idle_timeout / self.cfg.sender_count.max(3) as Ns;
         for id in ended {
             let Some(place) = self.endpoints.get_mut(&id) else { continue };
             let scarce = self.scarce_at.get(&place.kind).is_some_and(|&at| self.now - at < SCARCE);
             if scarce && place.gap >= brief {
                 place.warm = place.in_flight.div_ceil(self.cfg.streams_per_conn);
-                out.push(Action::Close { endpoint: id });
+                out.push(Action::CloseIdle { endpoint: id });
             }
         }
     }
@@ -236,9 +236,9 @@
             (known.dest, known.kind, known.zone) = (dest, kind, zone);
             known.usable = entry.condition == Condition::Ready;
             let id = self.route_of(entry.endpoint);
-            let trust = if self.cfg.rough_hints { ROUGH } else { 1.0 };
-            let told = self.cfg.hints && entry.hint.is_finite();
-            self.route(id).hint = if told { entry.hint.max(0.0) * trust } else { 0.0 };
+            let trust = if self.cfg.estimated_hints { ROUGH } else { 1.0 };
+            let told = self.cfg.rate_hints && entry.rate_hint.is_finite();
+            self.route(id).hint = if told { entry.rate_hint.max(0.0) * trust } else { 0.0 };
             let dest = self.dest(entry.dest);
             if !dest.places.contains(&entry.endpoint) {
                 dest.places.push(entry.endpoint);
@@ -277,7 +277,7 @@
         }
         let now = self.now;
         let class = &self.cfg.classes[message.class];
-        let left = message.left.clamp(0, class.deadline);
+        let left = message.time_left.clamp(0, class.deadline);
         let (born, end) = (now - (class.deadline - left), now + left);
         let taken_on = self.open < self.bound();
         let attempts = Vec::new();
@@ -308,7 +308,7 @@
         }));
         let class = &self.cfg.classes[message.class];
         if let (true, Some(key), true) = (class.in_order, message.key, past.iter().any(|p| p.may_have_run)) {
-            self.keys.entry(key).or_default().rest_until = self.now + self.cfg.key_rest;
+            self.keys.entry(key).or_default().rest_until = self.now + self.cfg.key_hold_off;
         }
         self.end_if_hopeless(message.id, out);
     }
@@ -319,11 +319,11 @@
         let Some(attempt) = held.attempts.get_mut(e.attempt as usize).filter(|a| a.out) else { return };
         attempt.out = false;
         attempt.may_have_run = !e.outcome.never_ran();
-        let (call_id, message, over) = (attempt.call, held.message, held.over || e.done);
+        let (call_id, message, over) = (attempt.call, held.message, held.over || e.finished);
         let class = &self.cfg.classes[message.class];
         if let (true, true, Some(key)) = (class.in_order, e.outcome.may_still_run(), message.key) {
             if let Some(turn) = self.keys.get_mut(&key) {
-                turn.rest_until = now + self.cfg.key_rest;
+                turn.rest_until = now + self.cfg.key_hold_off;
             }
         }
         if let Some(call) = self.calls.get_mut(&call_id) {
@@ -333,10 +333,10 @@
             let dest = self.dests.get_mut(&call.dest).expect("a call's destination is known");
             // Quick errors would read as quick answers: all but a served call books the full aim, so that a
             // class misses there once about half of its calls fail.
-            let took = if e.outcome == Outcome::Served { e.took.max(0) } else { class.aim };
+            let took = if e.outcome == Outcome::Served { e.took.max(0) } else { class.target };
             // What never reached it, and a kept connection that it had closed, tell nothing of its load.
             let unseen = matches!(e.outcome, Outcome::NotSent | Outcome::CalledOff | Outcome::NoConnection);
-            if !unseen && !e.kept {
+            if !unseen && !e.reused_connection {
                 let cells = dest.cells.len() / self.cfg.classes.len();
                 dest.cells[message.class * cells + level].book(now, took as f64);
             }
@@ -364,8 +364,8 @@
             if let Some(route) = self.routes.get_mut(&route_id) {
                 route.in_flight -= last as usize;
                 // Members of one call may come back in several batches, and a wait runs from each of these.
-                if e.wait > 0 {
-                    route.wait_until = route.wait_until.max(now.saturating_add(e.wait));
+                if e.retry_after > 0 {
+                    route.wait_until = route.wait_until.max(now.saturating_add(e.retry_after));
                 }
             }
             if let Some(place) = self.endpoints.get_mut(&e.endpoint).filter(|_| last) {
@@ -429,7 +429,7 @@
                     }
                     _ => report.limit,
                 });
-                left = (report.limit > 0.0).then_some(report.left);
+                left = (report.limit > 0.0).then_some(report.remaining);
             }
         }
         let failed = match e.outcome {
@@ -458,7 +458,7 @@
                 false
             }
             // Turned away before it was looked at: answers tell of the limit there, and this one does not.
-            Outcome::TurnedAway if self.cfg.reports && e.report.is_none() && e.wait == 0 => {
+            Outcome::TurnedAway if self.cfg.limit_reports && e.report.is_none() && e.retry_after == 0 => {
                 self.scarce_at.insert(place.kind, now);
                 place.avoid_until = now + SECOND;
                 route.not_before = route.not_before.max(now + (PERIOD as f64 * jitter) as Ns);
@@ -474,7 +474,7 @@
                 let back = (PERIOD << (route.refusals - 1).min(4)) as f64 * jitter;
                 route.not_before = route.not_before.max(now + back as Ns);
                 // At the limit a refusal is the limit's. Shut: a long wait, plenty left, or refusals only.
-                left.map_or(e.wait >= SHUT_WAIT || route.refusals >= enough, |l| l > 0.4)
+                left.map_or(e.retry_after >= SHUT_WAIT || route.refusals >= enough, |l| l > 0.4)
             }
             Outcome::NoConnection => {
                 place.refused_at = now;
@@ -484,7 +484,7 @@
             }
             // The endpoint may have closed an idle connection: whether it is down a new one will tell. That
             // shows at once; a call out far too long met an outage, and what resets it may be back, cold.
-            Outcome::ConnectionLost if e.kept && !overdue => false,
+            Outcome::ConnectionLost if e.reused_connection && !overdue => false,
             Outcome::ServerError | Outcome::NoAnswer | Outcome::ConnectionLost => {
                 place.avoid_until = now + SECOND;
                 true
@@ -499,7 +499,7 @@
             }
         };
         if failed {
-            let opens_at = (e.wait > 0).then(|| now.saturating_add(e.wait));
+            let opens_at = (e.retry_after > 0).then(|| now.saturating_add(e.retry_after));
             // What resets a call that was out for long may be the return, and resets those of all at once.
             let recheck =
                 opens_at.is_none() && !(age > LEAST_PATIENCE && e.outcome == Outcome::ConnectionLost);
@@ -548,7 +548,7 @@
     /// Others share the limits now: this sender's part of each goes with their number at once.
     fn share_among(&mut self, n: usize) {
         let before = senders(&self.cfg);
-        self.cfg.n_instances = n;
+        self.cfg.sender_count = n;
         let change = before / senders(&self.cfg);
         self.routes.values_mut().for_each(|r| r.share = (r.share * change).min(1.0));
     }
@@ -618,14 +618,14 @@
             Effect::Safe => true,
             Effect::Unsafe => false,
             Effect::Keyed => match to {
-                None => class.scope == DedupScope::All,
+                None => class.dedup_scope == DedupScope::All,
                 Some(to) => may_have_run.all(|a| {
-                    let same = match class.scope {
+                    let same = match class.dedup_scope {
                         DedupScope::All => true,
                         DedupScope::Zone => self.endpoints.get(&to).is_some_and(|p| p.zone == a.zone),
                         DedupScope::Endpoint => a.endpoint == to,
                     };
-                    same && self.now + self.cfg.tick < a.sent.saturating_add(class.window)
+                    same && self.now + self.cfg.tick < a.sent.saturating_add(class.dedup_window)
                 }),
             },
         }
@@ -648,7 +648,7 @@
         if at > held.end {
             0.0
         } else {
-            class.worth_at(at - held.born, held.message.cost, self.cfg.halves)
+            class.value_at(at - held.born, held.message.expected_work, self.cfg.exponential_decay)
         }
     }
 
@@ -713,7 +713,7 @@
         let first = held.attempts.iter().find(|a| a.may_have_run).map_or(self.now, |a| a.sent);
         match class.effect {
             Effect::Safe => held.end,
-            Effect::Keyed => held.end.min(first.saturating_add(class.window)),
+            Effect::Keyed => held.end.min(first.saturating_add(class.dedup_window)),
             Effect::Unsafe => Ns::MIN,
         }
     }
@@ -743,7 +743,7 @@
                 continue;
             }
             let e = &self.endpoints[&place];
-            let warm = if now - e.used_at < self.cfg.idle_close { e.warm } else { e.in_flight };
+            let warm = if now - e.used_at < self.cfg.idle_timeout { e.warm } else { e.in_flight };
             let cold_conn = e.in_flight >= warm * self.cfg.streams_per_conn;
             let far = self.cfg.price_cross_zone > 0.0 && e.zone != self.cfg.zone;
             // Load before warm connections: where one carries many calls, all would take the same endpoint.
@@ -802,7 +802,7 @@
         let place = self.endpoints.get_mut(&endpoint).expect("a candidate's endpoint is known");
         let zone = place.zone;
         place.gap = now.saturating_sub(place.used_at);
-        if place.gap >= self.cfg.idle_close {
+        if place.gap >= self.cfg.idle_timeout {
             place.warm = place.in_flight;
         }
         place.in_flight += 1;
@@ -832,14 +832,14 @@
             let again = now + patience + 2 * self.cfg.tick;
             let useful = again < self.resend_until(&self.messages[&m]);
             let limit = if useful { patience } else { 0 };
-            out.push(Action::Send { id: m, endpoint, limit, by });
+            out.push(Action::Send { id: m, endpoint, timeout: limit, write_by: by });
         }
     }
 
     /// When a message's time left no longer covers a call.
     fn last_call(&self, held: &Held) -> Ns {
         let latency = self.dests[&held.message.dest].latency.mean() as Ns;
-        let aim = self.cfg.classes[held.message.class].aim;
+        let aim = self.cfg.classes[held.message.class].target;
         held.end - (latency / 2).min(aim / 4).max(2 * self.cfg.tick)
     }
 
@@ -878,7 +878,7 @@
 
     /// Whether a message is this sender's by now. Past the bound its client is told so only once it is called
     /// for or has come through the admission wait: until then it may be turned away at no cost to anybody.
-    pub fn takes_on(&self, id: MsgId) -> bool {
+    pub fn is_accepted(&self, id: MsgId) -> bool {
         self.messages.get(&id).is_none_or(|held| held.taken_on)
     }
 
@@ -893,7 +893,7 @@
         let may_have_run = held.attempts.iter().any(|a| a.out || a.may_have_run);
         let spent = held.attempts.len() >= self.cfg.max_attempts as usize;
         if held.taken_on && early && !may_have_run && !spent {
-            RETURNED * class.worth
+            RETURNED * class.value
         } else {
             0.0
         }
@@ -946,7 +946,7 @@
 
 /// How long a call may be out before it is overdue.
 fn patience(cfg: &Settings, dest: &Dest, now: Ns) -> Ns {
-    let aim = cfg.classes.iter().map(|c| c.aim).max().unwrap_or(SECOND).max(LEAST_PATIENCE);
+    let aim = cfg.classes.iter().map(|c| c.target).max().unwrap_or(SECOND).max(LEAST_PATIENCE);
     if dest.latency.aged(now) < MEASURED {
         return aim;
     }
@@ -964,7 +964,7 @@
         for (level, score) in scores.iter_mut().enumerate().skip(1) {
             // An unmeasured level borrows the nearest; an unmeasured class just meets its aim at the cap.
             let meets = match measured.iter().min_by_key(|&&m| (m.abs_diff(level), m)) {
-                Some(&nearest) => cells[nearest].bound(1.0) < settings.aim as f64,
+                Some(&nearest) => cells[nearest].bound(1.0) < settings.target as f64,
                 None => level <= dest.cap,
             };
             if meets {
--- a/crates/decide/nickelshed-policy/src/rules/memory.rs
+++ b/crates/decide/nickelshed-policy/src/rules/memory.rs
@@ -15,7 +15,9 @@
         let named: BTreeSet<RouteId> = endpoints.keys().map(|&e| self.route_of(e)).collect();
         self.routes.retain(|id, r| {
             let seen = r.last_failure.max(r.next_probe).max(r.wait_until);
-            named.contains(id) || r.in_flight > 0 || now < seen.saturating_add(KEEP.max(self.cfg.cold))
+            named.contains(id)
+                || r.in_flight > 0
+                || now < seen.saturating_add(KEEP.max(self.cfg.slow_start_duration))
         });
         let active = &self.active;
         self.dests.retain(|id, dest| {
@@ -34,9 +36,9 @@
         self.routes.iter().filter(|(_, r)| r.doubt || r.cold).map(|(&(dest, endpoint), r)| Outage {
             dest,
             endpoint: (endpoint != EndpointId::MAX).then_some(endpoint),
-            doubt: r.doubt || !r.known_back(),
+            suspect: r.doubt || !r.known_back(),
             last_failure: r.last_failure.max(r.returned_at),
-            proved: r.proved_now(self.now),
+            proven_rate: r.proved_now(self.now),
         })
     }
 
@@ -45,10 +47,10 @@
     pub(super) fn recall(&mut self, o: &Outage) {
         let now = self.now;
         let route = self.route((o.dest, o.endpoint.unwrap_or(EndpointId::MAX)));
-        (route.doubt, route.cold) = (o.doubt, true);
-        route.failures = if o.doubt { DOUBT_RUN } else { 0 };
+        (route.doubt, route.cold) = (o.suspect, true);
+        route.failures = if o.suspect { DOUBT_RUN } else { 0 };
         route.last_failure = o.last_failure.min(now);
-        route.returned_at = if o.doubt { LONG_AGO } else { route.last_failure };
-        (route.proved, route.proved_at) = (o.proved, now);
+        route.returned_at = if o.suspect { LONG_AGO } else { route.last_failure };
+        (route.proved, route.proved_at) = (o.proven_rate, now);
     }
 }
--- a/crates/decide/nickelshed-policy/tests/common/mod.rs
+++ b/crates/decide/nickelshed-policy/tests/common/mod.rs
@@ -7,14 +7,14 @@
 
 pub fn class(effect: Effect) -> Class {
     Class {
-        aim: 2 * SECOND,
-        aim_stretch: 0.0,
+        target: 2 * SECOND,
+        target_stretch: 0.0,
         deadline: 16 * SECOND,
         effect,
-        scope: DedupScope::All,
-        window: 4 * SECOND,
-        worth: 1.0,
-        late_worth: 0.3,
+        dedup_scope: DedupScope::All,
+        dedup_window: 4 * SECOND,
+        value: 1.0,
+        late_value: 0.3,
         in_order: false,
     }
 }
@@ -27,37 +27,47 @@
             Kind { batch: 1, separate_routes: true },
             Kind { batch: 5, separate_routes: false },
         ],
-        n_instances: 2,
+        sender_count: 2,
         tick: 5 * MS,
         slots: 12,
         max_open: 100,
         max_attempts: 8,
         may_cancel: true,
         streams_per_conn: 1,
-        idle_close: 10 * SECOND,
+        idle_timeout: 10 * SECOND,
         dial_timeout: SECOND,
         start_capacity: 0.2,
-        cold: 10 * SECOND,
-        fall_multiple: 2.0,
-        overload_for: 3 * SECOND,
-        key_rest: SECOND,
+        slow_start_duration: 10 * SECOND,
+        overload_multiple: 2.0,
+        overload_window: 3 * SECOND,
+        key_hold_off: SECOND,
         ..Settings::default()
     }
 }
 
 pub fn entry(endpoint: EndpointId, dest: DestId, kind: usize) -> Entry {
-    Entry { endpoint, dest, kind, zone: 0, condition: Condition::Ready, hint: 0.0 }
+    Entry { endpoint, dest, kind, zone: 0, condition: Condition::Ready, rate_hint: 0.0 }
 }
 
 pub fn message(id: MsgId, dest: DestId, class: usize) -> Message {
     let left = 16 * SECOND;
-    Message { id, class, dest, left, cost: 0, key: None, tenant: 0 }
+    Message { id, class, dest, time_left: left, expected_work: 0, key: None, tenant: 0 }
 }
 
 pub fn end(id: MsgId, attempt: u32, endpoint: EndpointId, outcome: Outcome) -> AttemptEnd {
     let took = 100 * MS;
     let done = outcome == Outcome::Served;
-    AttemptEnd { id, attempt, endpoint, outcome, took, done, wait: 0, report: None, kept: false }
+    AttemptEnd {
+        id,
+        attempt,
+        endpoint,
+        outcome,
+        took,
+        finished: done,
+        retry_after: 0,
+        report: None,
+        reused_connection: false,
+    }
 }
 
 pub struct Stand {
@@ -69,7 +79,7 @@
 impl Stand {
     pub fn new(settings: Settings, entries: &[Entry]) -> Stand {
         let mut stand = Stand { sender: Sender::new(settings, 7), now: T0, actions: Vec::new() };
-        stand.give(vec![Event::List { whole: true, entries: entries.to_vec() }]);
+        stand.give(vec![Event::List { full: true, entries: entries.to_vec() }]);
         stand
     }
 
--- a/crates/decide/nickelshed-policy/tests/fleet/mod.rs
+++ b/crates/decide/nickelshed-policy/tests/fleet/mod.rs
@@ -80,35 +80,35 @@
 
     fn settings(&self) -> Settings {
         let class = Class {
-            aim: 3 * SECOND,
-            aim_stretch: 0.0,
+            target: 3 * SECOND,
+            target_stretch: 0.0,
             deadline: DEADLINE,
             effect: self.effect,
-            scope: DedupScope::All,
-            window: DEADLINE,
-            worth: 1.0,
-            late_worth: 0.3,
+            dedup_scope: DedupScope::All,
+            dedup_window: DEADLINE,
+            value: 1.0,
+            late_value: 0.3,
             in_order: false,
         };
         let part = self.capacity * self.batch as f64 / self.senders as f64;
         Settings {
             classes: vec![class],
             kinds: vec![Kind { batch: self.batch, separate_routes: false }],
-            n_instances: self.senders,
+            sender_count: self.senders,
             tick: MS,
             slots: ((part * 0.5) as usize).max(5),
             max_open: ((part * 12.0) as usize).max(20),
             max_attempts: 8,
             may_cancel: true,
             streams_per_conn: 1,
-            idle_close: 5 * SECOND,
+            idle_timeout: 5 * SECOND,
             dial_timeout: SECOND,
-            reports: self.limit_told,
+            limit_reports: self.limit_told,
             start_capacity: self.start_capacity,
-            cold: self.cold,
-            fall_multiple: self.fall_multiple,
-            overload_for: self.window,
-            key_rest: SECOND,
+            slow_start_duration: self.cold,
+            overload_multiple: self.fall_multiple,
+            overload_window: self.window,
+            key_hold_off: SECOND,
             ..Settings::default()
         }
     }
@@ -200,12 +200,12 @@
             kind: 0,
             zone: 0,
             condition: Condition::Ready,
-            hint: 0.0,
+            rate_hint: 0.0,
         };
         let mut senders: Vec<Sender> =
             (0..draw.senders).map(|i| Sender::new(settings.clone(), draw.seed ^ (i as u64) << 20)).collect();
         for sender in &mut senders {
-            sender.handle(0, &[Event::List { whole: true, entries: vec![entry] }], &mut Vec::new());
+            sender.handle(0, &[Event::List { full: true, entries: vec![entry] }], &mut Vec::new());
         }
         let uneven = LogNormal::new(0.0, 0.5).expect("a deviation");
         let weights: Vec<f64> = (0..draw.senders).map(|_| uneven.sample(&mut random)).collect();
@@ -282,8 +282,8 @@
                     id,
                     class: 0,
                     dest: DESTINATION,
-                    left: DEADLINE,
-                    cost: 0,
+                    time_left: DEADLINE,
+                    expected_work: 0,
                     key: None,
                     tenant: 0,
                 };
@@ -309,7 +309,7 @@
         let mut sent: Vec<(MsgId, u32, Ns)> = Vec::new();
         for action in actions {
             match action {
-                Action::Send { id, limit, .. } => sent.push((id, self.next_attempt(id), limit)),
+                Action::Send { id, timeout: limit, .. } => sent.push((id, self.next_attempt(id), limit)),
                 Action::Timer { at } => self.at(at.max(self.now + 1), Happens::Wake { sender }),
                 Action::Cancel { id, attempt } => {
                     let found =
@@ -429,7 +429,7 @@
             How::CalledOff => (Outcome::CalledOff, 0, None),
         };
         let limit = self.draw.capacity;
-        let report = left.filter(|_| self.draw.limit_told).map(|left| Report { left, limit });
+        let report = left.filter(|_| self.draw.limit_told).map(|left| Report { remaining: left, limit });
         let took = self.now - sent;
         let ends: Vec<Event> = messages
             .into_iter()
@@ -441,10 +441,10 @@
                     endpoint: ENDPOINT,
                     outcome,
                     took,
-                    done,
-                    wait,
+                    finished: done,
+                    retry_after: wait,
                     report,
-                    kept: false,
+                    reused_connection: false,
                 })
             })
             .collect();
--- a/crates/decide/nickelshed-policy/tests/module.rs
+++ b/crates/decide/nickelshed-policy/tests/module.rs
@@ -39,7 +39,7 @@
     let burst = (0..9).map(|i| Event::Message(message(1_000 + i, 1, 0))).collect();
     let sent = sends(&s.give(burst)).len();
     assert!(sent < 9, "the cap is under the levels that missed: {sent}");
-    s.give((1_000 + sent as u64..1_009).map(|id| Event::Expired { id }).collect());
+    s.give((1_000 + sent as u64..1_009).map(|id| Event::Withdrawn { id }).collect());
     for id in 1_000..1_000 + sent as u64 {
         s.end(end(id, 0, 1, Outcome::Served));
     }
@@ -83,7 +83,7 @@
 fn two_failures_leave_single_spaced_trials_and_the_ramp_keeps_its_budget_over_any_window() {
     let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
     let limit = 10.0;
-    let report = Some(Report { left: 0.9, limit });
+    let report = Some(Report { remaining: 0.9, limit });
     s.take(message(0, 1, 1));
     s.now += 100 * MS;
     s.end(AttemptEnd { report, ..end(0, 0, 1, Outcome::Served) });
@@ -177,7 +177,7 @@
     assert_eq!(common::finals(&s.end(end(2, 0, 1, Outcome::NoAnswer))), [Action::Fail { id: 2 }]);
     // Told of the end twice, or of what it does not know, it passes over it.
     assert!(common::finals(&s.end(end(2, 0, 1, Outcome::NoAnswer))).is_empty());
-    s.give(vec![Event::Expired { id: 2 }, Event::Expired { id: 99 }]);
+    s.give(vec![Event::Withdrawn { id: 2 }, Event::Withdrawn { id: 99 }]);
 }
 
 #[test]
@@ -195,12 +195,12 @@
     let mut s = Stand::new(settings(), &[entry(1, 1, 0), entry(2, 1, 0)]);
     let draining = Entry { condition: Condition::Draining, ..entry(1, 1, 0) };
     let mut events: Vec<Event> = (0..4).map(|i| Event::Message(message(i, 1, 0))).collect();
-    events.push(Event::List { whole: false, entries: vec![draining] });
+    events.push(Event::List { full: false, entries: vec![draining] });
     let sent = sends(&s.give(events));
     assert_eq!(sent.len(), 4);
     assert!(sent.iter().all(|&(_, e)| e == 2));
     // Missing from a whole list is gone.
-    s.give(vec![Event::List { whole: true, entries: vec![entry(3, 1, 0)] }]);
+    s.give(vec![Event::List { full: true, entries: vec![entry(3, 1, 0)] }]);
     assert_eq!(sends(&s.take(message(9, 1, 0))), [(9, 3)]);
 }
 
@@ -210,7 +210,7 @@
         let mut s = Stand::new(settings(), &[entry(1, 1, kind), entry(2, 1, kind)]);
         let place = sends(&s.take(message(1, 1, 0)))[0].1;
         s.now += 20 * MS;
-        let told = AttemptEnd { wait: 700 * MS, ..end(1, 0, place, Outcome::TurnedAway) };
+        let told = AttemptEnd { retry_after: 700 * MS, ..end(1, 0, place, Outcome::TurnedAway) };
         let told_at = s.now;
         let mut all: Vec<_> = s.end(told).into_iter().map(|a| (told_at, a)).collect();
         s.take(message(2, 1, 0));
@@ -231,7 +231,7 @@
     let sent = sends(&s.give((0..3).map(|i| Event::Message(message(i, 1, 0))).collect()));
     assert_eq!(sent.len(), 3);
     s.now += 20 * MS;
-    let told = |id| AttemptEnd { wait: 600 * MS, ..end(id, 0, 1, Outcome::TurnedAway) };
+    let told = |id| AttemptEnd { retry_after: 600 * MS, ..end(id, 0, 1, Outcome::TurnedAway) };
     s.end(told(0));
     s.end(told(1));
     s.now += 15 * MS;
@@ -268,7 +268,7 @@
     again.extend(plain(&s.pass(1_500 * MS)));
     assert_eq!(sends(&again), [(1, 1)]);
     let mut e = end(1, 1, 1, Outcome::ConnectionLost);
-    e.done = true;
+    e.finished = true;
     s.end(e);
     let over = s.now;
     let next: Vec<_> = s.pass(3 * SECOND).into_iter().filter(|(_, a)| !sends(&[*a]).is_empty()).collect();
@@ -293,33 +293,33 @@
     let room = Settings { max_open: 20, ..settings() };
     let mut s = Stand::new(room.clone(), &[shut, entry(2, 2, 0)]);
     s.give((0..18).map(|i| Event::Message(message(i, 1, 0))).collect());
-    assert!((0..18).all(|id| s.sender.takes_on(id)), "within the bound at once");
+    assert!((0..18).all(|id| s.sender.is_accepted(id)), "within the bound at once");
     s.take(message(18, 2, 0));
-    assert!(s.sender.takes_on(18), "it is called for");
+    assert!(s.sender.is_accepted(18), "it is called for");
     s.take(message(19, 1, 0));
-    assert!(!s.sender.takes_on(19));
+    assert!(!s.sender.is_accepted(19));
     let refused = finals(&plain(&s.pass(210 * MS)));
     assert!(matches!(refused[0], Action::Refuse { id: 19, .. }), "{refused:?}");
 
     let mut s = Stand::new(room, &[shut]);
     s.give((0..19).map(|i| Event::Message(message(i, 1, 0))).collect());
-    assert!(!s.sender.takes_on(18));
-    s.give(vec![Event::Expired { id: 3 }]);
+    assert!(!s.sender.is_accepted(18));
+    s.give(vec![Event::Withdrawn { id: 3 }]);
     assert!(finals(&plain(&s.pass(210 * MS))).is_empty());
-    assert!(s.sender.takes_on(18), "there is room by now, and it has waited");
+    assert!(s.sender.is_accepted(18), "there is room by now, and it has waited");
 }
 
 /// By the terms of service a message that was taken on and is returned early, unrun, costs a part of its worth.
 #[test]
 fn what_was_taken_on_is_returned_after_what_was_not_and_at_no_cost_once_its_time_is_nearly_over() {
     let shut = |e| Entry { condition: Condition::Draining, ..entry(e, DestId::from(e), 0) };
-    let safe = Class { late_worth: 0.1, ..class(Effect::Safe) };
+    let safe = Class { late_value: 0.1, ..class(Effect::Safe) };
     let room = Settings { max_open: 20, classes: vec![safe], ..settings() };
     let mut s = Stand::new(room, &[shut(1), shut(2)]);
     s.give((0..18).map(|i| Event::Message(message(i, 1, 0))).collect());
     s.pass(SECOND);
     // What it may be worth at its turn is little, but more than that of those far back in the other queue.
-    let brief = Message { left: 10_500 * MS, ..message(18, 2, 0) };
+    let brief = Message { time_left: 10_500 * MS, ..message(18, 2, 0) };
     s.take(brief);
     let refused = finals(&plain(&s.pass(300 * MS)));
     assert!(matches!(refused[..], [Action::Refuse { id: 18, .. }]), "{refused:?}");
@@ -327,13 +327,13 @@
     s.take(Message { id: 19, ..brief });
     let refused = finals(&plain(&s.pass(300 * MS)));
     assert!(matches!(refused[..], [Action::Refuse { id: 0..18, .. }]), "{refused:?}");
-    assert!(s.sender.takes_on(19));
+    assert!(s.sender.is_accepted(19));
 }
 
 #[test]
 fn a_known_limit_paces_the_calls() {
     let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
-    let report = Some(Report { left: 0.3, limit: 4.0 });
+    let report = Some(Report { remaining: 0.3, limit: 4.0 });
     s.take(message(0, 1, 0));
     s.now += 100 * MS;
     s.end(AttemptEnd { report, ..end(0, 0, 1, Outcome::Served) });
@@ -355,19 +355,20 @@
 
 #[test]
 fn absurd_input_is_bounded_and_passed_over() {
-    let cfg = Settings { slots: 0, max_open: 0, tick: 0, cold: 0, n_instances: 0, ..settings() };
+    let cfg =
+        Settings { slots: 0, max_open: 0, tick: 0, slow_start_duration: 0, sender_count: 0, ..settings() };
     let mut s = Stand::new(cfg, &[entry(1, 1, 99)]);
     s.take(message(1, 1, 0));
-    s.take(Message { left: -5, ..message(2, 7, 0) });
+    s.take(Message { time_left: -5, ..message(2, 7, 0) });
     s.take(message(3, 1, 77));
     s.end(end(42, 3, 9, Outcome::Served));
-    s.give(vec![Event::List { whole: true, entries: vec![] }]);
+    s.give(vec![Event::List { full: true, entries: vec![] }]);
     let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
     for (i, limit) in [-3.0, f64::NAN, f64::INFINITY, 0.0, 1e300].into_iter().enumerate() {
         let id = i as MsgId;
         assert_eq!(sends(&s.take(message(id, 1, 0))).len(), 1, "traffic goes on after limit {limit}");
         s.now += 20 * MS;
-        let report = Some(Report { left: f64::NAN, limit });
+        let report = Some(Report { remaining: f64::NAN, limit });
         s.end(AttemptEnd { report, ..end(id, 0, 1, Outcome::Served) });
         s.now -= 10 * MS;
     }
@@ -490,9 +491,12 @@
     let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
     s.take(message(1, 1, 0));
     s.now += 100 * MS;
-    assert!(!s.end(end(1, 0, 1, Outcome::Served)).contains(&Action::Close { endpoint: 1 }), "none was short");
+    assert!(
+        !s.end(end(1, 0, 1, Outcome::Served)).contains(&Action::CloseIdle { endpoint: 1 }),
+        "none was short"
+    );
     // Where connections ran short, many senders may each keep one only for a moment.
-    let mut s = Stand::new(Settings { n_instances: 500, ..settings() }, &[entry(1, 1, 0)]);
+    let mut s = Stand::new(Settings { sender_count: 500, ..settings() }, &[entry(1, 1, 0)]);
     assert!(closes_after(&mut s, &[Outcome::NoConnection]));
 }
 
@@ -515,8 +519,8 @@
         }
         let (sent_id, place) = sent[0];
         s.now += 100 * MS;
-        let e = AttemptEnd { done: true, ..end(sent_id, 0, place, outcome) };
-        closed = s.end(e).contains(&Action::Close { endpoint: 1 });
+        let e = AttemptEnd { finished: true, ..end(sent_id, 0, place, outcome) };
+        closed = s.end(e).contains(&Action::CloseIdle { endpoint: 1 });
         s.now += SECOND;
     }
     closed
@@ -526,8 +530,8 @@
 fn an_outage_that_refuses_connections_is_no_lack_of_them() {
     // Each of a fleet would else close its connection behind every call for a minute, and make a new one for the next.
     // The destination takes so much that trials follow soon.
-    let cfg = Settings { n_instances: 100, hints: true, ..settings() };
-    let mut s = Stand::new(cfg, &[Entry { hint: 10_000.0, ..entry(1, 1, 0) }]);
+    let cfg = Settings { sender_count: 100, rate_hints: true, ..settings() };
+    let mut s = Stand::new(cfg, &[Entry { rate_hint: 10_000.0, ..entry(1, 1, 0) }]);
     assert!(!closes_after(&mut s, &[Outcome::NoConnection; 3]));
 }
 
@@ -535,12 +539,12 @@
 #[test]
 fn a_limit_is_shared_by_as_many_as_the_view_tells() {
     let sent_in_ten_seconds = |changes: &[usize]| {
-        let mut s = Stand::new(Settings { n_instances: 4, ..settings() }, &[entry(1, 1, 0)]);
-        let report = Some(Report { left: 0.3, limit: 12.0 });
+        let mut s = Stand::new(Settings { sender_count: 4, ..settings() }, &[entry(1, 1, 0)]);
+        let report = Some(Report { remaining: 0.3, limit: 12.0 });
         s.take(message(0, 1, 1));
         s.now += 20 * MS;
         s.end(AttemptEnd { report, ..end(0, 0, 1, Outcome::Served) });
-        changes.iter().for_each(|&n| _ = s.give(vec![Event::Senders(n)]));
+        changes.iter().for_each(|&n| _ = s.give(vec![Event::SenderCount(n)]));
         s.give((1..200).map(|i| Event::Message(message(i, 1, 1))).collect());
         let (mut sent, until) = (0, s.now + 10 * SECOND);
         while s.now < until {
@@ -560,9 +564,9 @@
 
 #[test]
 fn a_told_limit_that_is_far_from_the_one_held_counts_at_once() {
-    let told = |limit| Some(Report { left: 0.3, limit });
+    let told = |limit| Some(Report { remaining: 0.3, limit });
     let sent_in_ten_seconds = |limits: &[f64]| {
-        let mut s = Stand::new(Settings { n_instances: 10, ..settings() }, &[entry(1, 1, 0)]);
+        let mut s = Stand::new(Settings { sender_count: 10, ..settings() }, &[entry(1, 1, 0)]);
         for (id, &limit) in (1..).zip(limits) {
             let sent = sends(&s.take(message(id, 1, 1)));
             assert_eq!(sent.len(), 1, "one token is saved up");
@@ -591,10 +595,10 @@
 
 #[test]
 fn a_share_grows_past_some_equal_parts_only_where_work_waits() {
-    let free = Some(Report { left: 1.0, limit: 100.0 });
+    let free = Some(Report { remaining: 1.0, limit: 100.0 });
     // Answers with room left, with and without work that waits for them; then a clump.
     let burst_after = |waiting: bool| {
-        let mut s = Stand::new(Settings { n_instances: 100, slots: 100, ..settings() }, &[entry(1, 1, 0)]);
+        let mut s = Stand::new(Settings { sender_count: 100, slots: 100, ..settings() }, &[entry(1, 1, 0)]);
         for round in 0..30 {
             let count = if waiting { 4 } else { 1 };
             let mut sent =
@@ -617,9 +621,9 @@
 
 #[test]
 fn a_refusal_at_the_limit_leaves_an_equal_share_and_time_without_news_gives_it_back() {
-    let many = Settings { n_instances: 50, ..settings() };
+    let many = Settings { sender_count: 50, ..settings() };
     let mut s = Stand::new(many, &[entry(1, 1, 0)]);
-    let full = Some(Report { left: 0.0, limit: 10.0 });
+    let full = Some(Report { remaining: 0.0, limit: 10.0 });
     s.take(message(1, 1, 1));
     s.now += 50 * MS;
     s.end(AttemptEnd { report: full, ..end(1, 0, 1, Outcome::TurnedAway) });
@@ -629,7 +633,7 @@
     let all = s.pass(11 * SECOND);
     assert_eq!(sends(&plain(&all)).len(), 1);
     s.now += 50 * MS;
-    let free = Some(Report { left: 1.0, limit: 10.0 });
+    let free = Some(Report { remaining: 1.0, limit: 10.0 });
     s.end(AttemptEnd { report: free, ..end(1, 1, 1, Outcome::Served) });
     s.now += 40 * SECOND;
     let burst = (10..16).map(|i| Event::Message(message(i, 1, 1))).collect();
@@ -642,9 +646,9 @@
 
 #[test]
 fn refusals_with_nothing_left_are_the_limit_s_however_many_and_however_long_the_wait() {
-    let cfg = Settings { fall_multiple: 0.1, ..settings() };
+    let cfg = Settings { overload_multiple: 0.1, ..settings() };
     let mut s = Stand::new(cfg, &[entry(1, 1, 0)]);
-    let full = Some(Report { left: 0.0, limit: 20.0 });
+    let full = Some(Report { remaining: 0.0, limit: 20.0 });
     for id in 0..6 {
         let mut sent = sends(&s.take(message(id, 1, 1)));
         while sent.is_empty() {
@@ -654,8 +658,8 @@
         let (id, place) = sent[0];
         let e = AttemptEnd {
             report: full,
-            done: true,
-            wait: 1_600 * MS,
+            finished: true,
+            retry_after: 1_600 * MS,
             ..end(id, 0, place, Outcome::TurnedAway)
         };
         s.end(e);
@@ -681,11 +685,11 @@
     let limit = 4.0;
     let mut times = Vec::new();
     for seed in 0..n as u64 {
-        let cfg = Settings { n_instances: n, ..settings() };
+        let cfg = Settings { sender_count: n, ..settings() };
         let mut s =
             Stand { sender: nickelshed_policy::rules::Sender::new(cfg, seed), now: T0, actions: Vec::new() };
-        s.give(vec![Event::List { whole: true, entries: vec![entry(1, 1, 0)] }]);
-        let report = Some(Report { left: 0.9, limit });
+        s.give(vec![Event::List { full: true, entries: vec![entry(1, 1, 0)] }]);
+        let report = Some(Report { remaining: 0.9, limit });
         // Three lost calls put it in doubt; then it is back, and everything is served at once.
         s.give((0..9).map(|i| Event::Message(message(i, 1, 1))).collect());
         s.now += 50 * MS;
@@ -716,14 +720,14 @@
 fn an_endpoint_that_is_moved_repeated_or_gone_with_calls_out_breaks_nothing() {
     let mut s = Stand::new(settings(), &[entry(1, 1, 0), entry(1, 1, 0)]);
     assert_eq!(sends(&s.take(message(1, 1, 1))), [(1, 1)]);
-    s.give(vec![Event::List { whole: false, entries: vec![entry(1, 2, 1)] }]);
+    s.give(vec![Event::List { full: false, entries: vec![entry(1, 2, 1)] }]);
     assert!(sends(&s.take(message(2, 1, 1))).is_empty(), "it serves another destination now");
     assert_eq!(sends(&s.take(message(3, 2, 1))), [(3, 1)]);
-    s.give(vec![Event::List { whole: true, entries: vec![] }]);
+    s.give(vec![Event::List { full: true, entries: vec![] }]);
     s.pass(15 * SECOND);
     s.end(end(1, 0, 1, Outcome::Served));
     s.end(end(3, 0, 1, Outcome::Served));
-    s.give(vec![Event::List { whole: true, entries: vec![entry(1, 1, 0)] }]);
+    s.give(vec![Event::List { full: true, entries: vec![entry(1, 1, 0)] }]);
     assert_eq!(sends(&s.take(message(4, 1, 1))), [(4, 1)], "back again");
 }
 
@@ -732,22 +736,22 @@
     let mut s = Stand::new(settings(), &[entry(1, 1, 1)]);
     s.take(message(1, 1, 1));
     s.now += 20 * MS;
-    s.end(AttemptEnd { wait: 100 * SECOND, done: true, ..end(1, 0, 1, Outcome::TurnedAway) });
-    s.give(vec![Event::List { whole: true, entries: vec![] }]);
+    s.end(AttemptEnd { retry_after: 100 * SECOND, finished: true, ..end(1, 0, 1, Outcome::TurnedAway) });
+    s.give(vec![Event::List { full: true, entries: vec![] }]);
     s.take(message(2, 9, 1));
     s.pass(15 * SECOND);
     s.now += 30 * SECOND;
     s.take(message(3, 9, 1));
     s.pass(15 * SECOND);
-    s.give(vec![Event::List { whole: true, entries: vec![entry(1, 1, 1)] }]);
+    s.give(vec![Event::List { full: true, entries: vec![entry(1, 1, 1)] }]);
     assert!(sends(&s.take(message(4, 1, 1))).is_empty(), "the wait is still on");
 }
 
 #[test]
 fn a_message_that_ends_as_its_unlisted_destination_is_forgotten_does_not_break_the_round() {
     let mut s = Stand::new(settings(), &[]);
-    let late = Message { left: 0, ..message(0, 99, 2) };
-    let ends = s.give(vec![Event::Resumed { message: late, past: Vec::new() }]);
+    let late = Message { time_left: 0, ..message(0, 99, 2) };
+    let ends = s.give(vec![Event::Recovered { message: late, past: Vec::new() }]);
     assert!(matches!(finals(&ends)[..], [Action::Refuse { id: 0, .. }]));
     s.pass(11 * SECOND);
 }
@@ -757,14 +761,17 @@
     let past = |sent: Ns, may_have_run| PastAttempt { endpoint: Some(1), sent, may_have_run };
     let resume = |class: usize, past: Vec<PastAttempt>| {
         let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
-        s.give(vec![Event::Resumed { message: message(0, 1, class), past }])
+        s.give(vec![Event::Recovered { message: message(0, 1, class), past }])
     };
     // Unsafe: may have run, so it fails; never ran, so it goes.
     assert_eq!(finals(&resume(2, vec![past(T0 - SECOND, true)])), [Action::Fail { id: 0 }]);
     assert_eq!(sends(&resume(2, vec![past(T0 - SECOND, false)])), [(0, 1)]);
     // Keyed with a window of 4 s.
     let within = resume(0, vec![past(T0 - 3 * SECOND, true), past(T0 - SECOND, false)]);
-    assert!(within.iter().any(|a| matches!(a, Action::Send { by, .. } if *by == T0 + SECOND)), "{within:?}");
+    assert!(
+        within.iter().any(|a| matches!(a, Action::Send { write_by: by, .. } if *by == T0 + SECOND)),
+        "{within:?}"
+    );
     assert!(sends(&resume(0, vec![past(T0 - 5 * SECOND, true)])).is_empty());
     // All eight attempts were used.
     assert!(sends(&resume(0, vec![past(T0 - SECOND, false); 8])).is_empty());
@@ -779,7 +786,7 @@
                 break;
             }
             s.now += 50 * MS;
-            s.end(AttemptEnd { kept, ..end(id, 0, 1, Outcome::ConnectionLost) });
+            s.end(AttemptEnd { reused_connection: kept, ..end(id, 0, 1, Outcome::ConnectionLost) });
         }
         sends(&s.give((10..14).map(|id| Event::Message(message(id, 1, 2))).collect())).len()
     };
@@ -899,7 +906,7 @@
     }
     let seen: Vec<Outage> = s.sender.outages().collect();
     let [outage] = seen[..] else { panic!("{seen:?}") };
-    assert!(outage.doubt && outage.proved > 4.0 && outage.endpoint.is_none(), "{outage:?}");
+    assert!(outage.suspect && outage.proven_rate > 4.0 && outage.endpoint.is_none(), "{outage:?}");
     // What a new process sends at once, with much held: one trial where it was told, else all that its cap lets.
     let burst = |told: &[Outage]| {
         let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
@@ -908,15 +915,15 @@
     };
     assert_eq!((burst(&[]), burst(&seen)), (9, 1));
     // Cold and in doubt no more: along the ramp, one at a time.
-    let cold = [Outage { doubt: false, last_failure: T0 - SECOND, ..outage }];
+    let cold = [Outage { suspect: false, last_failure: T0 - SECOND, ..outage }];
     assert_eq!(burst(&cold), 1);
     // Long over.
-    let warm = [Outage { doubt: false, last_failure: T0 - 20 * SECOND, ..outage }];
+    let warm = [Outage { suspect: false, last_failure: T0 - 20 * SECOND, ..outage }];
     assert_eq!(burst(&warm), 9);
     // Before its list is there, or for what is listed no more, it is kept all the same.
     let mut s = Stand::new(settings(), &[]);
     s.give(vec![Event::Outage(outage)]);
-    s.give(vec![Event::List { whole: true, entries: vec![entry(1, 1, 0)] }]);
+    s.give(vec![Event::List { full: true, entries: vec![entry(1, 1, 0)] }]);
     assert_eq!(sends(&s.give((0..30).map(|i| Event::Message(message(i, 1, 1))).collect())).len(), 1);
 }
 
@@ -975,7 +982,7 @@
 }
 
 fn untried(id: MsgId, left: Ns) -> Event {
-    Event::Resumed { message: Message { left, ..message(id, 1, 0) }, past: Vec::new() }
+    Event::Recovered { message: Message { time_left: left, ..message(id, 1, 0) }, past: Vec::new() }
 }
 
 /// What an earlier process took on and never called for was promised first, and nobody else has it.
@@ -983,11 +990,11 @@
 fn what_a_restart_found_untried_goes_before_what_is_new_and_the_least_time_first() {
     let mut s = Stand::new(settings(), &[Entry { condition: Condition::Draining, ..entry(1, 1, 0) }]);
     let tried = PastAttempt { endpoint: Some(1), sent: T0 - SECOND, may_have_run: false };
-    let before = Event::Resumed { message: message(3, 1, 0), past: vec![tried] };
+    let before = Event::Recovered { message: message(3, 1, 0), past: vec![tried] };
     let events =
         vec![untried(1, 9 * SECOND), untried(2, 3 * SECOND), before, Event::Message(message(4, 1, 0))];
     assert!(sends(&s.give(events)).is_empty());
-    let list = Event::List { whole: true, entries: vec![entry(1, 1, 0)] };
+    let list = Event::List { full: true, entries: vec![entry(1, 1, 0)] };
     let order: Vec<MsgId> = sends(&s.give(vec![list])).into_iter().map(|(id, _)| id).collect();
     assert_eq!(order[..2], [2, 1], "{order:?}");
     assert_eq!(order.len(), 4);
@@ -1015,7 +1022,7 @@
 #[test]
 fn what_is_resumed_with_little_time_is_called_while_that_covers_the_moment() {
     let brief = Settings {
-        classes: vec![Class { deadline: 60 * MS, aim: 40 * MS, ..class(Effect::Unsafe) }],
+        classes: vec![Class { deadline: 60 * MS, target: 40 * MS, ..class(Effect::Unsafe) }],
         ..settings()
     };
     let mut s = Stand::new(brief, &[entry(1, 1, 0)]);
@@ -1029,7 +1036,10 @@
 #[test]
 fn turned_away_without_the_report_that_answers_carry_is_want_of_connections() {
     let run = |reports: bool| {
-        let mut s = Stand::new(Settings { reports, n_instances: 100, ..settings() }, &[entry(1, 1, 0)]);
+        let mut s = Stand::new(
+            Settings { limit_reports: reports, sender_count: 100, ..settings() },
+            &[entry(1, 1, 0)],
+        );
         s.take(message(0, 1, 2));
         let mut attempts = 0;
         let mut closes = 0;
@@ -1037,7 +1047,7 @@
             s.now += 30 * MS;
             let mut actions = s.end(end(0, n, 1, Outcome::TurnedAway));
             actions.extend(plain(&s.pass(400 * MS)));
-            closes += actions.iter().filter(|a| matches!(a, Action::Close { .. })).count();
+            closes += actions.iter().filter(|a| matches!(a, Action::CloseIdle { .. })).count();
             if sends(&actions).is_empty() {
                 break;
             }
--- a/crates/decide/nickelshed-policy/tests/repeat_window.rs
+++ b/crates/decide/nickelshed-policy/tests/repeat_window.rs
@@ -6,14 +6,14 @@
 const WINDOW: Ns = SECOND;
 
 fn with_window() -> Settings {
-    Settings { classes: vec![Class { window: WINDOW, ..class(Effect::Keyed) }], ..settings() }
+    Settings { classes: vec![Class { dedup_window: WINDOW, ..class(Effect::Keyed) }], ..settings() }
 }
 
 /// What a process does that finds a message whose first byte was written so long ago by the one before.
 fn after_restart(ago: Ns) -> Vec<Action> {
     let mut stand = Stand::new(with_window(), &[entry(1, 1, 0)]);
     let past = vec![PastAttempt { endpoint: Some(1), sent: T0 - ago, may_have_run: true }];
-    let mut actions = stand.give(vec![Event::Resumed { message: message(1, 1, 0), past }]);
+    let mut actions = stand.give(vec![Event::Recovered { message: message(1, 1, 0), past }]);
     actions.extend(plain(&stand.pass(20 * SECOND)));
     actions
 }
@@ -26,7 +26,7 @@
         let actions = after_restart(ago);
         assert_eq!(!sends(&actions).is_empty(), again, "{ago} ns after its first byte");
         for action in &actions {
-            if let Action::Send { by, .. } = action {
+            if let Action::Send { write_by: by, .. } = action {
                 assert!(*by <= T0 - ago + WINDOW, "its repeat may come later than the key is known");
             }
         }
@@ -43,7 +43,7 @@
     let mut stand = Stand::new(with_window(), &[entry(1, 1, 0)]);
     stand.take(message(1, 1, 0));
     stand.now += 100 * MS;
-    let turned_away = AttemptEnd { wait: 2 * SECOND, ..end(2, 0, 1, Outcome::TurnedAway) };
+    let turned_away = AttemptEnd { retry_after: 2 * SECOND, ..end(2, 0, 1, Outcome::TurnedAway) };
     stand.give(vec![Event::Message(message(2, 1, 0))]);
     stand.end(turned_away);
     stand.end(end(1, 0, 1, Outcome::ConnectionLost));
--- a/crates/serve/nickelshed/src/calls.rs
+++ b/crates/serve/nickelshed/src/calls.rs
@@ -194,7 +194,10 @@
                     if let Some(idle) = kept.filter(|_| outcome == Outcome::ConnectionLost) {
                         self.pool.distrust(endpoint, idle);
                     }
-                    let lost = |m| AttemptEnd { kept: kept.is_some(), ..end(m, endpoint, outcome, started) };
+                    let lost = |m| AttemptEnd {
+                        reused_connection: kept.is_some(),
+                        ..end(m, endpoint, outcome, started)
+                    };
                     return self.report(members.iter().map(lost).collect()).await;
                 }
                 Ok(answer) => break (link, answer),
@@ -332,7 +335,17 @@
     let done = outcome == Outcome::Served;
     let took = started.elapsed().as_nanos() as Ns;
     let (id, attempt) = (m.taken.id, m.attempt);
-    AttemptEnd { id, attempt, endpoint, outcome, took, done, wait: 0, report: None, kept: false }
+    AttemptEnd {
+        id,
+        attempt,
+        endpoint,
+        outcome,
+        took,
+        finished: done,
+        retry_after: 0,
+        report: None,
+        reused_connection: false,
+    }
 }
 
 /// The protocol's table: outcome, and whether the message is over. What it does not name may have run.
@@ -369,7 +382,7 @@
     };
     let tell = |m: &Member| {
         let (outcome, done) = state(m);
-        AttemptEnd { done, wait, report, ..end(m, endpoint, outcome, started) }
+        AttemptEnd { finished: done, retry_after: wait, report, ..end(m, endpoint, outcome, started) }
     };
     members.iter().map(tell).collect()
 }
@@ -425,5 +438,5 @@
         let value = pairs.find(|(key, _)| *key == name).and_then(|(_, v)| v.trim().parse::<f64>().ok());
         value.filter(|v| v.is_finite() && *v >= 0.0)
     };
-    Some(Report { left: value("x0")?, limit: value("x1")? })
+    Some(Report { remaining: value("x0")?, limit: value("x1")? })
 }
--- a/crates/serve/nickelshed/src/config/platform.rs
+++ b/crates/serve/nickelshed/src/config/platform.rs
@@ -80,7 +80,7 @@
             let site = around.zones.get(settings.zone).map_or("", String::as_str);
             let digest = crc32fast::hash(file.settings.to_string().as_bytes());
             let name = file.name.as_deref()?;
-            Fellowship::on_platform(name, site, notes, number, settings.n_instances, digest)
+            Fellowship::on_platform(name, site, notes, number, settings.sender_count, digest)
         };
         let fleet = file.notes().filter(|_| around.notes).and_then(member);
         Ok(Config {
--- a/crates/serve/nickelshed/src/config/sidecar.rs
+++ b/crates/serve/nickelshed/src/config/sidecar.rs
@@ -62,7 +62,7 @@
     let seed = std::collections::hash_map::RandomState::new().build_hasher().finish();
     let digest = crc32fast::hash(format!("{settings:?}").as_bytes());
     let member = |m| {
-        let (application, planned) = (&sidecar.application, settings.n_instances);
+        let (application, planned) = (&sidecar.application, settings.sender_count);
         crate::fleet::Fellowship::read(m, application, folder, seed, planned, digest)
     };
     let fleet = sidecar.fleet.as_ref().map(member).transpose()?;
--- a/crates/serve/nickelshed/src/core.rs
+++ b/crates/serve/nickelshed/src/core.rs
@@ -232,10 +232,10 @@
             self.client.pool.place(endpoint, instance.address, instance.dest, separate, ready);
             let (dest, hint) = (instance.dest, instance.weight);
             self.dests.insert(dest);
-            entries.push(Entry { endpoint, dest, kind, zone, condition, hint });
+            entries.push(Entry { endpoint, dest, kind, zone, condition, rate_hint: hint });
         }
         self.forget_endpoints(now);
-        Event::List { whole, entries }
+        Event::List { full: whole, entries }
     }
 
     fn forget_endpoints(&mut self, now: Instant) {
@@ -269,13 +269,13 @@
                 }
                 Input::Ended(ends) => {
                     for end in ends {
-                        let (ms, wait) = (end.took / MS, end.wait / MS);
-                        let (left, limit) = end.report.map_or((-1.0, -1.0), |r| (r.left, r.limit));
+                        let (ms, wait) = (end.took / MS, end.retry_after / MS);
+                        let (left, limit) = end.report.map_or((-1.0, -1.0), |r| (r.remaining, r.limit));
                         tracing::debug!(
                             end.id, end.attempt, end.endpoint, ?end.outcome, ms, wait, left, limit, "attempt ended"
                         );
                         if let (Some(room), Some(report)) = (&self.room, &end.report) {
-                            room.told(report.left);
+                            room.told(report.remaining);
                         }
                         let late = self.is_late(&end, now);
                         endings.extend(late.then_some((end.id, Ending::GivenUp)));
@@ -296,7 +296,7 @@
                     self.journal.synced(synced, wall);
                     self.carry_out_kept();
                 }
-                Input::Senders(senders) => round.events.push(Event::Senders(senders)),
+                Input::Senders(senders) => round.events.push(Event::SenderCount(senders)),
                 Input::Start(start) => {
                     let kept = self.journal.keep_beside(crate::fleet::START, format!("{start}\n").as_bytes());
                     if let Err(error) = kept {
@@ -316,7 +316,7 @@
         let mut refused = Vec::new();
         for action in actions {
             match action {
-                Action::Send { id, endpoint, limit, by } => {
+                Action::Send { id, endpoint, timeout: limit, write_by: by } => {
                     let known = self.endpoints.get(&endpoint);
                     let (Some(held), Some(known)) = (self.held.get_mut(&id), known) else { continue };
                     let (name, kind) = (known.name.clone(), known.kind);
@@ -355,7 +355,7 @@
                 Action::Probe { endpoint } => {
                     tokio::task::spawn_local(self.client.clone().probe(endpoint));
                 }
-                Action::Close { endpoint } => self.client.pool.close_idle(endpoint),
+                Action::CloseIdle { endpoint } => self.client.pool.close_idle(endpoint),
                 Action::Timer { at } => self.timer = Some(self.timer.map_or(at, |t| t.min(at))),
             }
         }
@@ -364,7 +364,7 @@
             self.forget(o.taken.id);
             o.answer(reply);
         }
-        let (offered, undecided) = offered.into_iter().partition(|(id, _)| self.sender.takes_on(*id));
+        let (offered, undecided) = offered.into_iter().partition(|(id, _)| self.sender.is_accepted(*id));
         self.undecided = undecided;
         let mut effects = Effects::default();
         for &(id, ending) in &endings {
@@ -404,7 +404,7 @@
                 round.offered.insert(id, o);
             } else {
                 self.forget(id);
-                round.events.push(Event::Expired { id });
+                round.events.push(Event::Withdrawn { id });
                 o.answer(Reply::Refused(Some(effects::FULL)));
             }
         }
@@ -465,7 +465,7 @@
         let tenant = position(&self.around.tenants, &taken.tenant).unwrap_or(0);
         self.traces.insert(taken.trace.clone(), id);
         self.held.insert(id, Held { taken, end, attempts });
-        Message { id, class, dest, left, cost: 0, key: None, tenant }
+        Message { id, class, dest, time_left: left, expected_work: 0, key: None, tenant }
     }
 
     /// Its notice, which is owed until the platform has answered it.
@@ -487,7 +487,7 @@
         if !self.held.contains_key(&end.id) {
             return;
         }
-        if end.done {
+        if end.finished {
             if !late {
                 records.push(Record::Ended(end.id));
                 self.forget(end.id);
--- a/crates/serve/nickelshed/src/core/effects.rs
+++ b/crates/serve/nickelshed/src/core/effects.rs
@@ -37,7 +37,7 @@
         self.leave_out(&mut effects.calls, |m| kept && !is_new(&m.taken.id));
         for (id, o) in offered {
             self.forget(id);
-            self.next.push(Event::Expired { id });
+            self.next.push(Event::Withdrawn { id });
             o.answer(Reply::Refused(Some(FULL)));
         }
     }
@@ -76,7 +76,7 @@
                 // The client has left without its answer: it may hand the message in again elsewhere, and a call that
                 // this round decided on would run it twice.
                 unheard.insert(id);
-                self.next.push(Event::Expired { id });
+                self.next.push(Event::Withdrawn { id });
                 self.forget(id);
                 self.write_owed(&[Record::Ended(id)]);
             }
--- a/crates/serve/nickelshed/src/core/outages.rs
+++ b/crates/serve/nickelshed/src/core/outages.rs
@@ -81,10 +81,10 @@
             Some(e) => Some(name(e)?),
             None => None,
         };
-        let ago = (now - o.last_failure).clamp(0, if o.doubt { DOUBT } else { Ns::MAX });
+        let ago = (now - o.last_failure).clamp(0, if o.suspect { DOUBT } else { Ns::MAX });
         let last_failure = (wall - ago / MS) / 100;
-        let proved = (o.proved.clamp(0.0, 1e6) * 10.0) as u32;
-        Some(Kept { dest: o.dest, endpoint, doubt: o.doubt, last_failure, proved })
+        let proved = (o.proven_rate.clamp(0.0, 1e6) * 10.0) as u32;
+        Some(Kept { dest: o.dest, endpoint, doubt: o.suspect, last_failure, proved })
     }
 
     /// What an earlier process has kept, as the module is told it: after the list, which names the endpoints.
@@ -98,7 +98,8 @@
             };
             let last_failure = now - ago.saturating_mul(MS).min(CLOCK_START);
             let proved = f64::from(k.proved) / 10.0;
-            let outage = Outage { dest: k.dest, endpoint, doubt: k.doubt, last_failure, proved };
+            let outage =
+                Outage { dest: k.dest, endpoint, suspect: k.doubt, last_failure, proven_rate: proved };
             (ago < OLD_MS).then_some(Event::Outage(outage))
         };
         kept.into_iter().filter_map(event).collect()
--- a/crates/serve/nickelshed/src/core/resume.rs
+++ b/crates/serve/nickelshed/src/core/resume.rs
@@ -51,7 +51,7 @@
                 self.untried.found(taken.id, left <= 0);
             }
             let message = self.hold(taken, class, left, now + left, attempts);
-            events.push(Event::Resumed { message, past });
+            events.push(Event::Recovered { message, past });
         }
         if !self.journal.live().is_empty() {
             tracing::info!(
--- a/crates/serve/nickelshed/src/lib.rs
+++ b/crates/serve/nickelshed/src/lib.rs
@@ -217,7 +217,7 @@
     let pool = Rc::new(connections::Pool::new(
         host.clone(),
         settings.dial_timeout,
-        settings.idle_close,
+        settings.idle_timeout,
         sockets.calls,
     ));
     spawn_local(pool.clone().keep());
@@ -229,7 +229,7 @@
         Endpoints::Listed => (None, None),
     };
     spawn_local(reload(form.clone(), signals.hangups, place, core_in.clone()));
-    let mut asking = discovery::Asking::new(config.around.lister, settings.n_instances, config.seed);
+    let mut asking = discovery::Asking::new(config.around.lister, settings.sender_count, config.seed);
     let held = (!config.known.instances.is_empty())
         .then(|| discovery::Held { generation: config.known.generation, ask_after: asking.first() });
     let mut news_within = Duration::ZERO;
--- a/crates/tools/nickelshed-config/src/compile.rs
+++ b/crates/tools/nickelshed-config/src/compile.rs
@@ -53,9 +53,9 @@
             .iter()
             .map(|t| api::Tenant { quota_per_s: quota(s.traffic.rate, t.share.0) })
             .collect(),
-        over_share_worth: s.traffic.over_share_worth.0,
-        halves: s.traffic.late == Late::Halves,
-        n_instances: s.senders as usize,
+        over_quota_value: s.traffic.over_share_worth.0,
+        exponential_decay: s.traffic.late == Late::Halves,
+        sender_count: s.senders as usize,
         zone,
         tick: s.rules.tick.ns(),
         slots: s.limits.slots as usize,
@@ -68,16 +68,16 @@
         may_cancel: s.rules.cancel,
         // HTTP/1.1 carries one call at a time.
         streams_per_conn: 1,
-        idle_close: s.connections.idle.ns(),
+        idle_timeout: s.connections.idle.ns(),
         dial_timeout: s.connections.dial.ns(),
-        reports: false,
-        hints,
-        rough_hints: hints,
+        limit_reports: false,
+        rate_hints: hints,
+        estimated_hints: hints,
         start_capacity: s.rules.start_capacity.0,
-        cold: s.rules.cold.ns(),
-        fall_multiple: s.rules.overload_multiple,
-        overload_for: s.rules.overload_for.ns(),
-        key_rest: s.rules.key_rest.ns(),
+        slow_start_duration: s.rules.cold.ns(),
+        overload_multiple: s.rules.overload_multiple,
+        overload_window: s.rules.overload_for.ns(),
+        key_hold_off: s.rules.key_rest.ns(),
         price_handshake: s.prices.handshake,
         price_cross_zone: s.prices.cross_zone,
         price_refused: s.prices.refused,
@@ -109,22 +109,22 @@
 
 fn class(c: &Class) -> api::Class {
     api::Class {
-        aim: c.wanted_within.ns(),
-        aim_stretch: c.wanted_stretch,
+        target: c.wanted_within.ns(),
+        target_stretch: c.wanted_stretch,
         deadline: c.abandoned_after.ns(),
         effect: match c.effect {
             Effect::Safe => api::Effect::Safe,
             Effect::Keyed => api::Effect::Keyed,
             Effect::Unsafe => api::Effect::Unsafe,
         },
-        scope: match c.repeat_scope {
+        dedup_scope: match c.repeat_scope {
             Scope::Destination => api::DedupScope::All,
             Scope::Zone => api::DedupScope::Zone,
             Scope::Endpoint => api::DedupScope::Endpoint,
         },
-        window: c.repeat_window.unwrap_or_default().ns(),
-        worth: c.worth,
-        late_worth: c.late_worth.0,
+        dedup_window: c.repeat_window.unwrap_or_default().ns(),
+        value: c.worth,
+        late_value: c.late_worth.0,
         in_order: c.in_order,
     }
 }
--- a/crates/tools/nickelshed-simhost/src/host.rs
+++ b/crates/tools/nickelshed-simhost/src/host.rs
@@ -204,7 +204,7 @@
                 let table = tables.get(&slot).ok_or(format!("ANNOUNCE field Slot names no TABLE: {slot}"))?;
                 let entries =
                     table.iter().map(|e| Entry { endpoint: self.endpoint(&e.name), ..e.entry }).collect();
-                self.events.push(Event::List { whole, entries });
+                self.events.push(Event::List { full: whole, entries });
             }
             "WORK_ITEM" => {
                 let name = f.text("Ref")?;
@@ -212,8 +212,8 @@
                     id: self.next_id,
                     class: f.parse("Cls")?,
                     dest: f.parse("ToExchange")?,
-                    left: f.parse("TimeLeftNs")?,
-                    cost: f.parse_or("CostNs", 0)?,
+                    time_left: f.parse("TimeLeftNs")?,
+                    expected_work: f.parse_or("CostNs", 0)?,
                     key: if f.find("PartitionKey").is_some() { Some(f.parse("PartitionKey")?) } else { None },
                     tenant: f.parse_or("UserGroup", 0)?,
                 };
@@ -225,7 +225,7 @@
             "ELAPSED" => self.events.push(Event::Timer),
             "EXPIRED" => {
                 if let Some(&id) = self.ids.get(f.text("Ref")?) {
-                    self.events.push(Event::Expired { id });
+                    self.events.push(Event::Withdrawn { id });
                     self.end(id);
                 }
             }
@@ -246,15 +246,15 @@
                     endpoint: self.endpoint(f.text("Endpoint")?),
                     outcome,
                     took: f.parse("WaitTimeNs")?,
-                    done: f.parse_or::<u8>("DoneFlag", 0)? != 0,
-                    wait: if outcome == Outcome::TurnedAway { wait.saturating_mul(MS) } else { 0 },
+                    finished: f.parse_or::<u8>("DoneFlag", 0)? != 0,
+                    retry_after: if outcome == Outcome::TurnedAway { wait.saturating_mul(MS) } else { 0 },
                     report: self.report(f)?,
-                    kept: false,
+                    reused_connection: false,
                 };
                 self.events.push(Event::AttemptEnd(end));
                 if let Some(held) = self.held.get_mut(&id) {
                     held.out = held.out.saturating_sub(1);
-                    held.over |= end.done;
+                    held.over |= end.finished;
                 }
                 self.forget(id);
             }
@@ -286,7 +286,7 @@
         let at = |column: Option<usize>| column.and_then(|c| row.get(c)).copied();
         Ok(match (at(self.around.x0), at(self.around.x1)) {
             (None, None) => None,
-            (left, limit) => Some(Report { left: left.unwrap_or(0.0), limit: limit.unwrap_or(0.0) }),
+            (left, limit) => Some(Report { remaining: left.unwrap_or(0.0), limit: limit.unwrap_or(0.0) }),
         })
     }
 
@@ -311,7 +311,7 @@
         let place = |id: EndpointId| self.endpoint_names[id as usize].as_str();
         // Writing to a String cannot fail; a message without a name is over, and nothing is owed for it.
         let _ = match action {
-            Action::Send { id, endpoint, limit, .. } => {
+            Action::Send { id, endpoint, timeout: limit, .. } => {
                 let Some(n) = name(id) else { return };
                 let _ = writeln!(reply, "DELIVER\tRef={n}\tEndpoint={}\tLimitNs={limit}", place(endpoint));
                 if let Some(held) = self.held.get_mut(&id) {
@@ -336,7 +336,7 @@
                 writeln!(reply, "RETRACT\tRef={n}\tShot={attempt}")
             }
             Action::Probe { endpoint } => writeln!(reply, "HEALTH_CHECK\tEndpoint={}", place(endpoint)),
-            Action::Close { endpoint } => writeln!(reply, "DROP_CONNS\tEndpoint={}", place(endpoint)),
+            Action::CloseIdle { endpoint } => writeln!(reply, "DROP_CONNS\tEndpoint={}", place(endpoint)),
             Action::Timer { at } => writeln!(reply, "TIMER\tMomentNs={at}\tKeyBack=0"),
         };
     }
@@ -355,7 +355,7 @@
         kind: f.parse_or("Shape", 0)?,
         zone: f.parse_or("FailureDomain", 0)?,
         condition,
-        hint: f.parse_or("PowerHint", 0.0)?,
+        rate_hint: f.parse_or("PowerHint", 0.0)?,
     };
     Ok(WireEntry { name: f.text("Endpoint")?.to_string(), entry })
 }
