--- a/crates/decide/nickelshed-policy/src/api.rs
+++ b/crates/decide/nickelshed-policy/src/api.rs
@@ -1,15 +1,15 @@
-//! The interface of the decision module: settings, events, actions. Data only, no decisions.
+//! The interface of the decision module: settings, events and actions. Data only, no decisions.
 
-/// A point in time or a span, in nanoseconds. The clock starts anywhere and only rises.
+/// A point in time or a duration, in nanoseconds. Times are monotonic and their origin is arbitrary.
 pub type Ns = i64;
 pub const MS: Ns = 1_000_000;
 pub const SECOND: Ns = 1_000 * MS;
 
-/// The caller's number for a message; never used again once the message has ended.
+/// The caller's id for a message; it is not reused after the message has finished.
 pub type MsgId = u64;
-/// The caller's number for an endpoint; stays the same as long as the sender runs.
+/// The caller's id for an endpoint; it stays the same for as long as the sender runs.
 pub type EndpointId = u32;
-/// Number of a destination (one partner's system).
+/// The id of a destination (one partner's system).
 pub type DestId = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,49 +29,51 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Delivered within this time, a message earns its full worth.
+    /// A message that is delivered within this time earns its full value.
     pub target: Ns,
-    /// The aim grows by this multiple of the message's own expected work.
+    /// The target grows by this multiple of the message's own expected work.
     pub target_stretch: f64,
-    /// From when it was first handed in until it is given up.
+    /// Time from the first submission until the message expires.
     pub deadline: Ns,
     pub effect: Effect,
     pub dedup_scope: DedupScope,
-    /// Keyed: how long repeats are dropped, from the first attempt that may have run.
+    /// Keyed messages: how long repeats are dropped, counted from the first attempt that may have run.
     pub dedup_window: Ns,
     pub value: f64,
-    /// Share of the worth left at the deadline.
+    /// Fraction of the value that is left at the deadline.
     pub late_value: f64,
+    /// Messages with the same key are sent one at a time, in order of submission.
     pub in_order: bool,
 }
 
 impl Class {
-    /// Worth of a message that is delivered at this age, of so much work. `halves`: see `Settings`.
-    pub fn value_at(&self, age: Ns, cost: Ns, halves: bool) -> f64 {
-        let aim = (self.target as f64 + self.target_stretch * cost as f64).min(self.deadline as f64);
+    /// Returns the value of a message that is delivered at this age. `exponential_decay`: see `Settings`.
+    pub fn value_at(&self, age: Ns, expected_work: Ns, exponential_decay: bool) -> f64 {
+        let target =
+            (self.target as f64 + self.target_stretch * expected_work as f64).min(self.deadline as f64);
         let age = age as f64;
-        let share = if age <= aim {
+        let fraction = if age <= target {
             1.0
-        } else if halves {
-            (-((age - aim) / aim)).exp2().max(self.late_value)
+        } else if exponential_decay {
+            (-((age - target) / target)).exp2().max(self.late_value)
         } else {
-            1.0 - (1.0 - self.late_value) * (age - aim) / (self.deadline as f64 - aim).max(1.0)
+            1.0 - (1.0 - self.late_value) * (age - target) / (self.deadline as f64 - target).max(1.0)
         };
-        self.value * share
+        self.value * fraction
     }
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Kind {
-    /// Messages in one call at most.
+    /// Maximum number of messages in one call.
     pub batch: usize,
-    /// Each endpoint has its own limit, pace and outages.
+    /// Each endpoint has its own limit, pacing and outages.
     pub separate_routes: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Messages a second over all senders that earn their full worth.
+    /// Messages a second, over all senders, that earn their full value.
     pub quota_per_s: f64,
 }
 
@@ -80,40 +82,49 @@
     pub classes: Vec<Class>,
     pub kinds: Vec<Kind>,
     pub tenants: Vec<Tenant>,
+    /// Fraction of its value that a message beyond its tenant's quota earns.
     pub over_quota_value: f64,
-    /// Worth halves with each further aim (else it falls evenly to the deadline).
+    /// The value halves with each further target time; otherwise it falls linearly until the deadline.
     pub exponential_decay: bool,
+    /// How many senders share each limit, this one included.
     pub sender_count: usize,
     pub zone: usize,
+    /// Resolution of the caller's clock and timers.
     pub tick: Ns,
-    /// Calls this sender may have out at once.
+    /// Maximum number of calls in flight from this sender.
     pub slots: usize,
-    /// Messages it may hold, sent or not.
+    /// Maximum number of open messages, queued or in flight.
     pub max_open: usize,
     pub max_attempts: u32,
-    /// Clients heed no longer time than this to come again after.
+    /// Clients do not honor a longer backoff than this.
     pub max_retry_after: Ns,
     pub may_duplicate: bool,
     pub may_probe: bool,
     pub may_cancel: bool,
     pub streams_per_conn: usize,
+    /// Connections that are idle for this long are closed.
     pub idle_timeout: Ns,
     pub dial_timeout: Ns,
-    /// The list's figure is a rate in calls a second, exact or rough.
+    /// The list's figure for an endpoint is a rate in calls a second, exact or estimated.
     pub rate_hints: bool,
-    /// Answers tell of the destination's limit.
+    /// Answers report the destination's limit.
     pub limit_reports: bool,
     pub estimated_hints: bool,
+    /// Fraction of its capacity that a destination has right after an outage.
     pub start_capacity: f64,
+    /// Time from the recovery of a destination until it has its full capacity.
     pub slow_start_duration: Ns,
+    /// Load, as a multiple of its current capacity, at which a recovering destination collapses.
     pub overload_multiple: f64,
+    /// How long the load must last for that.
     pub overload_window: Ns,
+    /// Classes in order: how long a key is held off after an attempt that may still run.
     pub key_hold_off: Ns,
     pub price_handshake: f64,
     pub price_cross_zone: f64,
     pub price_refused: f64,
     pub price_waste: f64,
-    /// For each zone: points for a message that a separate route there takes on.
+    /// For each zone: points for a message that a separate route there accepts.
     pub route_fee: Vec<f64>,
 }
 
@@ -131,7 +142,7 @@
     pub kind: usize,
     pub zone: usize,
     pub condition: Condition,
-    /// Rate in calls a second where `Settings::hints` says so.
+    /// Rate in calls a second if `Settings::rate_hints` is set; otherwise without meaning.
     pub rate_hint: f64,
 }
 
@@ -140,19 +151,20 @@
     pub id: MsgId,
     pub class: usize,
     pub dest: DestId,
-    /// How long it may still be delivered.
+    /// Time left until it expires.
     pub time_left: Ns,
+    /// How long the destination is expected to work on it; 0 if unknown.
     pub expected_work: Ns,
     pub key: Option<u64>,
     pub tenant: usize,
 }
 
-/// What an answer told of the destination's limit.
+/// The destination's limit, as an answer reports it.
 #[derive(Clone, Copy, Debug)]
 pub struct Report {
-    /// Share of the allowance that is left.
+    /// Fraction of the allowance that remains.
     pub remaining: f64,
-    /// Calls a second from all senders; 0 where there is no limit.
+    /// Calls a second from all senders; 0 if there is no limit.
     pub limit: f64,
 }
 
@@ -169,12 +181,12 @@
 }
 
 impl Outcome {
-    /// It proves that the attempt had no effect.
+    /// Returns whether the outcome proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent)
     }
 
-    /// The attempt may run on after this outcome.
+    /// Returns whether the destination may still be working on the attempt.
     pub fn may_still_run(self) -> bool {
         matches!(self, Outcome::NoAnswer | Outcome::ConnectionLost | Outcome::CalledOff)
     }
@@ -188,33 +200,33 @@
     pub endpoint: EndpointId,
     pub outcome: Outcome,
     pub took: Ns,
-    /// The message has ended, by this or before.
+    /// The message has finished, with this attempt or before.
     pub finished: bool,
-    /// Told to send nothing to that destination (or route) for so long; 0 if not.
+    /// How long the destination (or route) asked not to be called; 0 if it did not.
     pub retry_after: Ns,
     pub report: Option<Report>,
-    /// It was lost without a word on a connection that had carried calls before: the other side may just have
-    /// closed that one while it was idle.
+    /// The connection was lost without an answer and had carried calls before: the other side may have closed
+    /// it only because it was idle.
     pub reused_connection: bool,
 }
 
-/// An attempt made by an earlier process, on this one's clock.
+/// An attempt made by an earlier process, with times on this one's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct PastAttempt {
-    /// None once the list no longer names it.
+    /// None if the list no longer names it.
     pub endpoint: Option<EndpointId>,
     pub sent: Ns,
     pub may_have_run: bool,
 }
 
-/// What is known of a route that is out, or not yet warm again: a process that starts again must know it, or it
-/// would push over what comes back.
+/// A route that is unavailable or in slow start. A process that restarts must know it, or it would overload
+/// the recovering destination.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outage {
     pub dest: DestId,
-    /// Where the destination's endpoints are routes apart.
+    /// Set where each endpoint of the destination is a route of its own.
     pub endpoint: Option<EndpointId>,
-    /// Nothing has been served there since.
+    /// Nothing has been served there since the last failure.
     pub suspect: bool,
     pub last_failure: Ns,
     /// Calls a second that it was seen to serve this sender.
@@ -223,22 +235,22 @@
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A list of endpoints. `whole`: what is missing from it is gone.
+    /// A list of endpoints. An endpoint that is missing from a full list is gone.
     List {
         full: bool,
         entries: Vec<Entry>,
     },
     Message(Message),
-    /// A message that an earlier process of this sender took on; `past` are its attempts so far, all of them
-    /// over with that process.
+    /// A message that an earlier process of this sender accepted. `past` are its attempts so far; all of them
+    /// ended with that process.
     Recovered {
         message: Message,
         past: Vec<PastAttempt>,
     },
-    /// What an earlier process of this sender knew; its times on this one's clock.
+    /// An outage that an earlier process of this sender saw, with times on this one's clock.
     Outage(Outage),
     AttemptEnd(AttemptEnd),
-    /// The client took the message back; nothing more is owed.
+    /// The message was taken back, and needs no further action.
     Withdrawn {
         id: MsgId,
     },
@@ -247,27 +259,28 @@
         outcome: Outcome,
         report: Option<Report>,
     },
-    /// So many senders share each limit from now on, by the view of the fleet: each has one part of so many.
+    /// The number of senders that share each limit has changed, as fleet membership shows it.
     SenderCount(usize),
     Timer,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Sends to one endpoint in one reply share a call, up to `Kind::batch`. `limit` 0: until the client gives up.
+    /// Sends to one endpoint that are returned together share calls of up to `Kind::batch` messages.
     Send {
         id: MsgId,
         endpoint: EndpointId,
+        /// 0: no limit but the expiry of the message.
         timeout: Ns,
-        /// Its first byte must be written before this time, however long a connection takes.
+        /// Its first byte must be written before this time, however long it takes to connect.
         write_by: Ns,
     },
-    /// Final: handing it in again is harmless.
+    /// Final: it is safe to submit the message again, after `backoff`.
     Refuse {
         id: MsgId,
         backoff: Ns,
     },
-    /// Final: it may have taken effect.
+    /// Final: the message may have taken effect.
     Fail {
         id: MsgId,
     },
@@ -278,11 +291,11 @@
     Probe {
         endpoint: EndpointId,
     },
-    /// Closes this sender's idle connections there.
+    /// Close this sender's idle connections to the endpoint.
     CloseIdle {
         endpoint: EndpointId,
     },
-    /// Ask for an `Event::Timer` at or after this time.
+    /// Send an `Event::Timer` at or after this time.
     Timer {
         at: Ns,
     },
--- a/crates/decide/nickelshed-policy/src/state.rs
+++ b/crates/decide/nickelshed-policy/src/state.rs
@@ -1,7 +1,7 @@
-//! What a sender remembers: plain records. Every decision and every tuned value is in `rules.rs`.
+//! The records that a sender keeps: plain data. The decisions and their constants are in `rules.rs`.
 
 use crate::api::*;
-use crate::stat::Stat;
+use crate::stat::DecayingStat;
 use std::collections::VecDeque;
 
 pub const LONG_AGO: Ns = Ns::MIN / 2;
@@ -11,40 +11,42 @@
     pub zone: usize,
     pub call: u64,
     pub sent: Ns,
-    pub out: bool,
+    pub in_flight: bool,
     pub may_have_run: bool,
 }
 
-pub struct Held {
+/// A message that has not finished, or has attempts in flight.
+pub struct OpenMessage {
     pub message: Message,
     pub arrived: Ns,
-    /// When its client first handed it in.
-    pub born: Ns,
-    pub end: Ns,
+    /// When its client first submitted it.
+    pub submitted_at: Ns,
+    pub expires_at: Ns,
     pub attempts: Vec<Attempt>,
-    pub over: bool,
-    /// An earlier process took it on, and no call was made for it yet.
-    pub owed: bool,
-    /// Its client may be told that it is taken on.
-    pub taken_on: bool,
+    pub finished: bool,
+    /// Recovered from an earlier process, and no call has been made for it yet.
+    pub unattempted: bool,
+    /// Its client may be told that it is accepted.
+    pub accepted: bool,
 }
 
-impl Held {
-    pub fn out(&self) -> bool {
-        self.attempts.iter().any(|a| a.out)
+impl OpenMessage {
+    pub fn is_in_flight(&self) -> bool {
+        self.attempts.iter().any(|a| a.in_flight)
     }
 }
 
 #[derive(Default)]
-/// One call out: all its messages share one slot and one fate.
+/// One call in flight: all its messages share one slot and one connection.
 pub struct Call {
     pub dest: DestId,
     pub endpoint: EndpointId,
     pub route: RouteId,
     pub level: usize,
     pub sent: Ns,
-    pub left: usize,
-    pub judged: bool,
+    /// Messages whose attempt has not ended.
+    pub pending: usize,
+    pub evaluated: bool,
     pub overdue: bool,
     pub probe: bool,
     pub messages: Vec<MsgId>,
@@ -59,12 +61,12 @@
     pub usable: bool,
     pub in_flight: usize,
     pub used_at: Ns,
-    /// From the call before to the last one.
-    pub gap: Ns,
-    /// Most calls seen in flight since the last idle close: about the connections that are warm.
-    pub warm: usize,
+    /// Time without use before the last call.
+    pub idle_time: Ns,
+    /// Estimate: the most calls seen in flight since connections were last closed as idle.
+    pub conns: usize,
     pub served_at: Ns,
-    /// When it last took no connection.
+    /// When it last refused a connection.
     pub refused_at: Ns,
     pub avoid_until: Ns,
 }
@@ -72,35 +74,35 @@
 /// What shares one limit and one outage: a destination, or one endpoint where routes are separate.
 #[derive(Default)]
 pub struct Route {
-    /// Reported limit in calls a second (0: none), as far as told.
+    /// Last reported limit in calls a second; `Some(0.0)` means that there is none.
     pub limit: Option<f64>,
-    pub hint: f64,
-    /// This sender's share of the limit when last told (`share_now`).
-    pub share: f64,
+    pub rate_hint: f64,
+    /// Fraction of the limit that this sender uses, as of `share_at`; see `share_now`.
+    pub limit_share: f64,
     pub share_at: Ns,
     pub tokens: f64,
-    pub filled_at: Ns,
-    pub wait_until: Ns,
-    pub not_before: Ns,
+    pub refilled_at: Ns,
+    pub retry_after_until: Ns,
+    pub backoff_until: Ns,
     pub failures: u32,
-    pub refusals: u32,
-    pub failing: f64,
-    pub doubt: bool,
-    pub cold: bool,
-    /// The longest that an overdue call was out which was called off, since the route served last.
-    pub called_off: Ns,
-    /// The last failure that tells of an outage; in the future where a shut route told when it opens.
+    pub rejections: u32,
+    pub failure_ratio: f64,
+    pub suspect: bool,
+    pub in_slow_start: bool,
+    /// Longest time in flight of an overdue call that was cancelled since the route last served.
+    pub longest_cancelled: Ns,
+    /// The last failure that indicates an outage; in the future if the destination announced its return.
     pub last_failure: Ns,
-    /// When it came back, as far as known; before `last_failure` while nothing was served since.
-    pub returned_at: Ns,
-    /// Cold by one failure alone, which an answer soon after it takes back; when one call may look for that.
-    pub lone: bool,
+    /// Estimated time of recovery; before `last_failure` until something is served.
+    pub recovered_at: Ns,
+    /// In slow start by one failure alone, which a prompt success revokes; when one call may check that.
+    pub isolated: bool,
     pub recheck_at: Option<Ns>,
-    pub next_probe: Ns,
-    pub served: Stat,
-    /// The most calls a second that it has served this sender.
-    pub proved: f64,
-    pub proved_at: Ns,
+    pub next_probe_at: Ns,
+    pub served: DecayingStat,
+    /// The highest rate, in calls a second, at which it has served this sender.
+    pub proven_rate: f64,
+    pub proven_at: Ns,
     pub in_flight: usize,
 }
 
@@ -108,24 +110,24 @@
 pub struct Dest {
     pub cap: usize,
     pub in_flight: usize,
-    pub held: Vec<MsgId>,
-    pub places: Vec<EndpointId>,
-    /// When it is looked at next, by `Sender::agenda`.
-    pub look_at: Ns,
+    pub queue: Vec<MsgId>,
+    pub endpoints: Vec<EndpointId>,
+    /// When `Sender::agenda` has it evaluated next.
+    pub due_at: Ns,
     /// Latency per class and level, arrivals per class, and latency of all calls.
-    pub cells: Vec<Stat>,
-    pub arrivals: Vec<Stat>,
-    pub latency: Stat,
-    /// Messages served: the rate at which held ones may expect their turn.
-    pub served: Stat,
+    pub latency_by_level: Vec<DecayingStat>,
+    pub arrivals: Vec<DecayingStat>,
+    pub latency: DecayingStat,
+    /// Messages served: the rate at which queued ones can expect to be served.
+    pub served: DecayingStat,
 }
 
 #[derive(Default)]
-pub struct KeyTurn {
+pub struct KeyQueue {
     pub queue: VecDeque<MsgId>,
-    pub rest_until: Ns,
+    pub hold_off_until: Ns,
 }
 
 pub type RouteId = (DestId, EndpointId);
-/// A call that may be made: destination, endpoint, messages and worth.
-pub type Plan = (DestId, EndpointId, Vec<MsgId>, f64);
+/// A call that may be made: destination, endpoint, messages, and value per nanosecond of slot time.
+pub type Candidate = (DestId, EndpointId, Vec<MsgId>, f64);
