--- a/crates/decide/nickelshed-policy/tests/common/mod.rs
+++ b/crates/decide/nickelshed-policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small stand for the module: settings, one sender, and the actions of its last call.
+//! Test harness for the decision module: settings, one sender, and the actions of its last batch.
 #![allow(dead_code)]
 use nickelshed_policy::api::*;
 use nickelshed_policy::rules::Sender;
@@ -54,7 +54,7 @@
     Message { id, class, dest, time_left: left, expected_work: 0, key: None, tenant: 0 }
 }
 
-pub fn end(id: MsgId, attempt: u32, endpoint: EndpointId, outcome: Outcome) -> AttemptEnd {
+pub fn attempt_end(id: MsgId, attempt: u32, endpoint: EndpointId, outcome: Outcome) -> AttemptEnd {
     let took = 100 * MS;
     let done = outcome == Outcome::Served;
     AttemptEnd {
@@ -70,43 +70,43 @@
     }
 }
 
-pub struct Stand {
+pub struct Harness {
     pub sender: Sender,
     pub now: Ns,
     pub actions: Vec<Action>,
 }
 
-impl Stand {
-    pub fn new(settings: Settings, entries: &[Entry]) -> Stand {
-        let mut stand = Stand { sender: Sender::new(settings, 7), now: T0, actions: Vec::new() };
-        stand.give(vec![Event::List { full: true, entries: entries.to_vec() }]);
-        stand
+impl Harness {
+    pub fn new(settings: Settings, entries: &[Entry]) -> Harness {
+        let mut harness = Harness { sender: Sender::new(settings, 7), now: T0, actions: Vec::new() };
+        harness.handle(vec![Event::List { full: true, entries: entries.to_vec() }]);
+        harness
     }
 
-    pub fn give(&mut self, events: Vec<Event>) -> Vec<Action> {
+    pub fn handle(&mut self, events: Vec<Event>) -> Vec<Action> {
         self.actions.clear();
         self.sender.handle(self.now, &events, &mut self.actions);
         self.actions.clone()
     }
 
-    /// Lets time pass in ticks, collecting all actions with their times.
-    pub fn pass(&mut self, span: Ns) -> Vec<(Ns, Action)> {
+    /// Advances the time in ticks and returns all actions with their times.
+    pub fn advance(&mut self, span: Ns) -> Vec<(Ns, Action)> {
         let until = self.now + span;
         let mut all = Vec::new();
         while self.now < until {
             self.now += 5 * MS;
             let now = self.now;
-            all.extend(self.give(vec![Event::Timer]).into_iter().map(|a| (now, a)));
+            all.extend(self.handle(vec![Event::Timer]).into_iter().map(|a| (now, a)));
         }
         all
     }
 
-    pub fn take(&mut self, message: Message) -> Vec<Action> {
-        self.give(vec![Event::Message(message)])
+    pub fn submit(&mut self, message: Message) -> Vec<Action> {
+        self.handle(vec![Event::Message(message)])
     }
 
-    pub fn end(&mut self, e: AttemptEnd) -> Vec<Action> {
-        self.give(vec![Event::AttemptEnd(e)])
+    pub fn end_attempt(&mut self, e: AttemptEnd) -> Vec<Action> {
+        self.handle(vec![Event::AttemptEnd(e)])
     }
 }
 
@@ -118,10 +118,10 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn finals(actions: &[Action]) -> Vec<Action> {
+pub fn final_actions(actions: &[Action]) -> Vec<Action> {
     actions.iter().copied().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).collect()
 }
 
-pub fn plain(timed: &[(Ns, Action)]) -> Vec<Action> {
+pub fn without_times(timed: &[(Ns, Action)]) -> Vec<Action> {
     timed.iter().map(|&(_, a)| a).collect()
 }
