--- a/crates/decide/nickelshed-policy/tests/cold_return.rs
+++ b/crates/decide/nickelshed-policy/tests/cold_return.rs
@@ -1,76 +1,87 @@
-//! Property: what a whole fleet sends to a server that is back cold stays within what the server stands.
+//! Property: all senders of a fleet that saw an outage together do not overload the recovering server.
 //!
-//! Between 1 and 1,024 decision modules meet one model server in virtual time. Everything else is drawn: settings,
-//! demand, the kind and the length of the outage, whether a limit is told, effects and messages in a call.
-//! `NICKELSHED_DRAWS=20` plays twenty times as many draws; `--nocapture` prints the distribution.
+//! Between 1 and 1,024 decision modules call one model server in virtual time. Everything else is random:
+//! settings, demand, the kind and the duration of the outage, whether the limit is reported, effects, and
+//! messages in a call. `NICKELSHED_DRAWS=20` runs twenty times as many scenarios; `--nocapture` prints the
+//! distribution of the results.
 mod fleet;
 
-use fleet::{Draw, Played};
+use fleet::{RunResult, Scenario};
 
-/// Senders, and returns drawn with so many.
-const SIZES: [(usize, u64); 9] =
+/// Fleet sizes, and the number of scenarios for each.
+const FLEET_SIZES: [(usize, u64); 9] =
     [(1, 300), (2, 300), (4, 200), (5, 200), (20, 80), (30, 60), (100, 24), (350, 8), (1_024, 3)];
 
-fn times() -> u64 {
+fn scenario_multiplier() -> u64 {
     std::env::var("NICKELSHED_DRAWS").ok().and_then(|text| text.parse().ok()).unwrap_or(1)
 }
 
-fn percentile(sorted: &[f64], part: f64) -> f64 {
-    sorted[((sorted.len() - 1) as f64 * part) as usize]
+fn percentile(sorted: &[f64], fraction: f64) -> f64 {
+    sorted[((sorted.len() - 1) as f64 * fraction) as usize]
 }
 
-/// Of short outages so many of a hundred may end in a push: a sender may see too few failures in them to tell an outage
-/// from a failure that stands alone, or hear a wait that a limit could have told as well.
-const SHORT_PUSHED_PERCENT: usize = 10;
+/// Percentage of short outages that may end in an overload: a sender may see too few failures in them to tell
+/// an outage from an isolated failure, or get a retry-after that a rate limit could have caused as well.
+const SHORT_OVERLOADED_MAX_PERCENT: usize = 10;
 
-/// Shorter than the window; for the few senders whose slow start takes more evidence, than two of it.
-fn is_short(draw: &Draw) -> bool {
-    draw.lasts < if draw.senders > 4 { draw.window } else { 2 * draw.window }
+/// Shorter than the overload window, or than two in a small fleet, whose slow start needs more failures.
+fn is_short(scenario: &Scenario) -> bool {
+    scenario.duration
+        < if scenario.senders > 4 { scenario.overload_window } else { 2 * scenario.overload_window }
 }
 
 #[test]
-fn the_sum_of_all_senders_that_saw_an_outage_stays_below_the_fall() {
-    let (mut pushed, mut short, mut short_pushed) = (Vec::new(), 0, 0);
-    for (senders, draws) in SIZES {
-        let plays: Vec<(Draw, Played)> = (0..draws * times())
+fn senders_that_saw_an_outage_together_do_not_overload_the_recovering_server() {
+    let (mut overloaded, mut short, mut short_overloaded) = (Vec::new(), 0, 0);
+    for (senders, scenarios) in FLEET_SIZES {
+        let runs: Vec<(Scenario, RunResult)> = (0..scenarios * scenario_multiplier())
             .map(|seed| {
-                let draw = Draw::new(senders, seed);
-                let played = fleet::play(&draw);
-                (draw, played)
+                let scenario = Scenario::new(senders, seed);
+                let result = fleet::run(&scenario);
+                (scenario, result)
             })
             .collect();
-        report(senders, &plays);
-        for (draw, played) in plays {
-            let is_short = is_short(&draw);
+        report(senders, &runs);
+        for (scenario, result) in runs {
+            let is_short = is_short(&scenario);
             short += usize::from(is_short);
-            short_pushed += usize::from(is_short && played.broken);
-            if played.broken {
-                println!("pushed over: {draw:?} {played:?}");
+            short_overloaded += usize::from(is_short && result.is_violation);
+            if result.is_violation {
+                println!("overloaded: {scenario:?} {result:?}");
             }
-            if played.broken && !is_short {
-                pushed.push(draw);
+            if result.is_violation && !is_short {
+                overloaded.push(scenario);
             }
         }
     }
-    println!("short outages: {short}, of which {short_pushed} ended in a push");
-    assert!(pushed.is_empty(), "{} returns pushed over, the first {:?}", pushed.len(), pushed[0]);
-    assert!(short_pushed * 100 <= short * SHORT_PUSHED_PERCENT, "{short_pushed} of {short} short ones");
+    println!("short outages: {short}, of which {short_overloaded} ended in an overload");
+    assert!(
+        overloaded.is_empty(),
+        "{} recoveries overloaded, the first {:?}",
+        overloaded.len(),
+        overloaded[0]
+    );
+    assert!(
+        short_overloaded * 100 <= short * SHORT_OVERLOADED_MAX_PERCENT,
+        "{short_overloaded} of {short} short outages overloaded"
+    );
 }
 
-fn report(senders: usize, plays: &[(Draw, Played)]) {
-    let mut loads: Vec<f64> = plays.iter().map(|(_, p)| p.informed_load).collect();
+fn report(senders: usize, runs: &[(Scenario, RunResult)]) {
+    let mut loads: Vec<f64> = runs.iter().map(|(_, p)| p.informed_load).collect();
     loads.sort_by(f64::total_cmp);
     let mean =
-        |value: fn(&Played) -> f64| plays.iter().map(|(_, p)| value(p)).sum::<f64>() / plays.len() as f64;
+        |value: fn(&RunResult) -> f64| runs.iter().map(|(_, p)| value(p)).sum::<f64>() / runs.len() as f64;
     println!(
-        "{senders:>5} senders, {:>5} returns: greatest window of those that saw it / fall: p50 {:.2} p99 {:.2} max {:.2}; \
-         messages served while cold {:.2} of those handed in, calls {:.2} of what it can; pushed {}",
-        plays.len(),
+        "{senders:>5} senders, {:>5} recoveries: most calls in a window by senders that saw the outage / \
+         overload bound: p50 {:.2} p99 {:.2} max {:.2}; in slow start, messages served / submitted {:.2}, \
+         calls served / capacity {:.2}; overloaded {}",
+        runs.len(),
         percentile(&loads, 0.5),
         percentile(&loads, 0.99),
         percentile(&loads, 1.0),
-        mean(|p| p.served_of_asked),
-        mean(|p| p.served_of_able),
-        plays.iter().filter(|(_, p)| p.broken).count(),
+        mean(|p| p.served_of_submitted),
+        mean(|p| p.served_of_capacity),
+        runs.iter().filter(|(_, p)| p.is_violation).count(),
     );
 }
--- a/crates/decide/nickelshed-policy/tests/repeat_window.rs
+++ b/crates/decide/nickelshed-policy/tests/repeat_window.rs
@@ -10,8 +10,7 @@
     Settings { classes: vec![Class { dedup_window: DEDUP_WINDOW, ..class(Effect::Keyed) }], ..settings() }
 }
 
-/// Returns the actions of a process that recovers a message, of which an earlier one wrote the first byte `ago`
-/// before.
+/// Recovers a message whose first byte an earlier process wrote `ago` before, and returns all actions.
 fn after_restart(ago: Ns) -> Vec<Action> {
     let mut harness = Harness::new(with_dedup_window(), &[entry(1, 1, 0)]);
     let past = vec![PastAttempt { endpoint: Some(1), sent: T0 - ago, may_have_run: true }];
