--- a/crates/decide/nickelshed-policy/src/api.rs
+++ b/crates/decide/nickelshed-policy/src/api.rs
@@ -250,7 +250,7 @@
     /// An outage that an earlier process of this sender saw, with times on this one's clock.
     Outage(Outage),
     AttemptEnd(AttemptEnd),
-    /// The message was taken back, and needs no further action.
+    /// The caller withdrew the message, which needs no final action.
     Withdrawn {
         id: MsgId,
     },
--- a/crates/decide/nickelshed-policy/tests/fleet/mod.rs
+++ b/crates/decide/nickelshed-policy/tests/fleet/mod.rs
@@ -119,9 +119,9 @@
 pub struct RunResult {
     /// Most calls in any window from senders that saw the outage, as a fraction of the overload bound.
     pub informed_load: f64,
-    /// The server collapsed, and senders that saw the outage made over two thirds of the calls in that window.
+    /// The server collapsed, and over two thirds of that window were calls of senders that saw the outage.
     pub is_violation: bool,
-    /// Fraction of the messages submitted in slow start that were served.
+    /// Messages served in slow start, as a fraction of those submitted in it.
     pub served_of_submitted: f64,
     /// Calls served in slow start, as a fraction of those that the server could serve.
     pub served_of_capacity: f64,
