--- a/crates/decide/nickelshed-policy/src/state.rs
+++ b/crates/decide/nickelshed-policy/src/state.rs
@@ -91,7 +91,7 @@
     pub in_slow_start: bool,
     /// Longest time in flight of an overdue call that was cancelled since the route last served.
     pub longest_cancelled: Ns,
-    /// The last failure that indicates an outage; in the future if the destination announced its return.
+    /// The last failure that indicates an outage; in the future if it announced when the outage ends.
     pub last_failure: Ns,
     /// Estimated time of recovery; before `last_failure` until something is served.
     pub recovered_at: Ns,
