--- a/crates/serve/nickelshed/src/calls.rs
+++ b/crates/serve/nickelshed/src/calls.rs
@@ -221,7 +221,7 @@
                         self.pool.limit_idle_time(endpoint, idle);
                     }
                     let to_lost_end = |m| AttemptEnd {
-                        kept: reused_idle.is_some(),
+                        reused_connection: reused_idle.is_some(),
                         ..attempt_end(m, endpoint, outcome, started_at)
                     };
                     return self.report(entries.iter().map(to_lost_end).collect()).await;
@@ -372,7 +372,17 @@
     let done = outcome == Outcome::Served;
     let took = started_at.elapsed().as_nanos() as Ns;
     let (id, attempt) = (entry.message.id, entry.attempt);
-    AttemptEnd { id, attempt, endpoint, outcome, took, done, wait: 0, report: None, kept: false }
+    AttemptEnd {
+        id,
+        attempt,
+        endpoint,
+        outcome,
+        took,
+        finished: done,
+        retry_after: 0,
+        report: None,
+        reused_connection: false,
+    }
 }
 
 /// Maps a response to the outcome of the attempt and whether the message is finished, as the protocol defines
@@ -415,7 +425,12 @@
     };
     let to_end = |m: &CallEntry| {
         let (outcome, done) = state(m);
-        AttemptEnd { done, wait, report, ..attempt_end(m, endpoint, outcome, started_at) }
+        AttemptEnd {
+            finished: done,
+            retry_after: wait,
+            report,
+            ..attempt_end(m, endpoint, outcome, started_at)
+        }
     };
     entries.iter().map(to_end).collect()
 }
@@ -471,5 +486,5 @@
         let value = pairs.find(|(key, _)| *key == name).and_then(|(_, v)| v.trim().parse::<f64>().ok());
         value.filter(|v| v.is_finite() && *v >= 0.0)
     };
-    Some(Report { left: value("x0")?, limit: value("x1")? })
+    Some(Report { remaining: value("x0")?, limit: value("x1")? })
 }
--- a/crates/serve/nickelshed/src/config/platform.rs
+++ b/crates/serve/nickelshed/src/config/platform.rs
@@ -84,7 +84,7 @@
             let site = context.zones.get(settings.zone).map_or("", String::as_str);
             let settings_digest = crc32fast::hash(file.settings.to_string().as_bytes());
             let name = file.name.as_deref()?;
-            FleetConfig::from_platform(name, site, peers, seed, settings.n_instances, settings_digest)
+            FleetConfig::from_platform(name, site, peers, seed, settings.sender_count, settings_digest)
         };
         let fleet = file.platform_peers().filter(|_| context.notes).and_then(fleet_config);
         Ok(Config {
--- a/crates/serve/nickelshed/src/config/sidecar.rs
+++ b/crates/serve/nickelshed/src/config/sidecar.rs
@@ -63,7 +63,7 @@
     let seed = std::collections::hash_map::RandomState::new().build_hasher().finish();
     let settings_digest = crc32fast::hash(format!("{settings:?}").as_bytes());
     let fleet_config = |membership| {
-        let (application, configured_senders) = (&sidecar.application, settings.n_instances);
+        let (application, configured_senders) = (&sidecar.application, settings.sender_count);
         crate::fleet::FleetConfig::from_sidecar(
             membership,
             application,
--- a/crates/serve/nickelshed/src/core.rs
+++ b/crates/serve/nickelshed/src/core.rs
@@ -262,10 +262,10 @@
             );
             let (dest, hint) = (instance.dest, instance.weight);
             self.known_dests.insert(dest);
-            entries.push(Entry { endpoint, dest, kind, zone, condition, hint });
+            entries.push(Entry { endpoint, dest, kind, zone, condition, rate_hint: hint });
         }
         self.forget_closed_endpoints(now);
-        Event::List { whole: is_full, entries }
+        Event::List { full: is_full, entries }
     }
 
     fn forget_closed_endpoints(&mut self, now: Instant) {
@@ -305,14 +305,14 @@
                 }
                 Input::AttemptsEnded(ends) => {
                     for end in ends {
-                        let (ms, wait) = (end.took / MS, end.wait / MS);
-                        let (left, limit) = end.report.map_or((-1.0, -1.0), |r| (r.left, r.limit));
+                        let (ms, wait) = (end.took / MS, end.retry_after / MS);
+                        let (left, limit) = end.report.map_or((-1.0, -1.0), |r| (r.remaining, r.limit));
                         tracing::debug!(
                             end.id, end.attempt, end.endpoint, ?end.outcome, ms, wait, left, limit,
                             "attempt ended"
                         );
                         if let (Some(headroom), Some(report)) = (&self.headroom, &end.report) {
-                            headroom.record(report.left);
+                            headroom.record(report.remaining);
                         }
                         let is_late = self.is_late_success(&end, now);
                         endings.extend(is_late.then_some((end.id, Ending::GivenUp)));
@@ -333,7 +333,7 @@
                     self.journal.synced(synced, wall_ms);
                     self.run_durable_effects();
                 }
-                Input::SenderCount(senders) => iteration.events.push(Event::Senders(senders)),
+                Input::SenderCount(senders) => iteration.events.push(Event::SenderCount(senders)),
                 Input::StartNumber(start) => {
                     let persisted =
                         self.journal.keep_beside(crate::fleet::START_FILE, format!("{start}\n").as_bytes());
@@ -357,7 +357,7 @@
         let mut rejected = Vec::new();
         for action in actions {
             match action {
-                Action::Send { id, endpoint, limit, by } => {
+                Action::Send { id, endpoint, timeout: limit, write_by: by } => {
                     let info = self.endpoints.get(&endpoint);
                     let (Some(open), Some(info)) = (self.open_messages.get_mut(&id), info) else { continue };
                     let (name, kind) = (info.name.clone(), info.kind);
@@ -399,7 +399,7 @@
                 Action::Probe { endpoint } => {
                     tokio::task::spawn_local(self.executor.clone().probe(endpoint));
                 }
-                Action::Close { endpoint } => self.executor.pool.close_idle(endpoint),
+                Action::CloseIdle { endpoint } => self.executor.pool.close_idle(endpoint),
                 Action::Timer { at } => self.timer = Some(self.timer.map_or(at, |t| t.min(at))),
             }
         }
@@ -408,7 +408,8 @@
             self.remove_message(submission.message.id);
             submission.answer(reply);
         }
-        let (submissions, undecided) = submissions.into_iter().partition(|(id, _)| self.policy.takes_on(*id));
+        let (submissions, undecided) =
+            submissions.into_iter().partition(|(id, _)| self.policy.is_accepted(*id));
         self.undecided = undecided;
         let mut effects = Effects::default();
         for &(id, ending) in &endings {
@@ -458,7 +459,7 @@
                 iteration.submissions.insert(id, submission);
             } else {
                 self.remove_message(id);
-                iteration.events.push(Event::Expired { id });
+                iteration.events.push(Event::Withdrawn { id });
                 submission.answer(Reply::Rejected(Some(effects::DISK_FULL_RETRY_AFTER)));
             }
         }
@@ -542,7 +543,7 @@
         let tenant = position(&self.context.tenants, &message.tenant).unwrap_or(0);
         self.ids_by_trace.insert(message.trace.clone(), id);
         self.open_messages.insert(id, OpenMessage { message, deadline, attempts });
-        Message { id, class, dest, left: time_left, cost: 0, key: None, tenant }
+        Message { id, class, dest, time_left, expected_work: 0, key: None, tenant }
     }
 
     /// Builds the notice of a message. It stays pending until every sink has received it.
@@ -570,7 +571,7 @@
         if !self.open_messages.contains_key(&end.id) {
             return;
         }
-        if end.done {
+        if end.finished {
             if !is_late {
                 records.push(Record::Ended(end.id));
                 self.remove_message(end.id);
--- a/crates/serve/nickelshed/src/core/effects.rs
+++ b/crates/serve/nickelshed/src/core/effects.rs
@@ -40,7 +40,7 @@
         self.retain_calls(&mut effects.calls, |entry| written && !is_new(&entry.message.id));
         for (id, submission) in submissions {
             self.remove_message(id);
-            self.next_events.push(Event::Expired { id });
+            self.next_events.push(Event::Withdrawn { id });
             submission.answer(Reply::Rejected(Some(DISK_FULL_RETRY_AFTER)));
         }
     }
@@ -81,7 +81,7 @@
                 // The client disconnected without its reply and may submit the message elsewhere; a call
                 // decided in this iteration would then run it twice.
                 unanswered.insert(id);
-                self.next_events.push(Event::Expired { id });
+                self.next_events.push(Event::Withdrawn { id });
                 self.remove_message(id);
                 self.append_reserved(&[Record::Ended(id)]);
             }
--- a/crates/serve/nickelshed/src/core/outages.rs
+++ b/crates/serve/nickelshed/src/core/outages.rs
@@ -88,13 +88,13 @@
             None => None,
         };
         let age = (now - outage.last_failure)
-            .clamp(0, if outage.doubt { MAX_SUSPECT_FAILURE_AGE } else { Ns::MAX });
+            .clamp(0, if outage.suspect { MAX_SUSPECT_FAILURE_AGE } else { Ns::MAX });
         let last_failure_ds = (wall_ms - age / MS) / 100;
-        let proved_per_10s = (outage.proved.clamp(0.0, 1e6) * 10.0) as u32;
+        let proved_per_10s = (outage.proven_rate.clamp(0.0, 1e6) * 10.0) as u32;
         Some(PersistedOutage {
             dest: outage.dest,
             endpoint,
-            suspect: outage.doubt,
+            suspect: outage.suspect,
             last_failure_ds,
             proved_per_10s,
         })
@@ -112,7 +112,13 @@
             };
             let last_failure = now - age.saturating_mul(MS).min(CLOCK_ORIGIN);
             let proved = f64::from(stored.proved_per_10s) / 10.0;
-            let outage = Outage { dest: stored.dest, endpoint, doubt: stored.suspect, last_failure, proved };
+            let outage = Outage {
+                dest: stored.dest,
+                endpoint,
+                suspect: stored.suspect,
+                last_failure,
+                proven_rate: proved,
+            };
             (age < MAX_AGE_MS).then_some(Event::Outage(outage))
         };
         persisted.into_iter().filter_map(event).collect()
--- a/crates/serve/nickelshed/src/core/recovery.rs
+++ b/crates/serve/nickelshed/src/core/recovery.rs
@@ -53,7 +53,7 @@
                 self.unattempted.add(accepted.id, time_left <= 0);
             }
             let message = self.register_message(accepted, class, time_left, now + time_left, attempts);
-            events.push(Event::Resumed { message, past });
+            events.push(Event::Recovered { message, past });
         }
         if !self.journal.live().is_empty() {
             tracing::info!(
--- a/crates/serve/nickelshed/src/lib.rs
+++ b/crates/serve/nickelshed/src/lib.rs
@@ -232,7 +232,7 @@
     let pool = Rc::new(connections::Pool::new(
         host.clone(),
         settings.dial_timeout,
-        settings.idle_close,
+        settings.idle_timeout,
         sockets.calls,
     ));
     spawn_local(pool.clone().run_maintenance());
@@ -245,7 +245,7 @@
     };
     spawn_local(reload(source.clone(), signals.reloads, address_tx, core_tx.clone()));
     let mut schedule =
-        discovery::RequestSchedule::new(config.context.lister, settings.n_instances, config.seed);
+        discovery::RequestSchedule::new(config.context.lister, settings.sender_count, config.seed);
     let cached_list = (!config.initial_list.instances.is_empty()).then(|| discovery::CachedList {
         generation: config.initial_list.generation,
         poll_after: schedule.initial_delay(),
