--- a/bench/journal-compare/src/main.rs
+++ b/bench/journal-compare/src/main.rs
@@ -82,32 +82,32 @@
 struct Journal(nj::Journal<nj::Folder>);
 
 fn open_journal(path: &Path, durability: nj::Durability) -> Journal {
-    let options = nj::Options { disk: 1_000_000_000, max_attempts: 8, durability };
+    let options = nj::Options { disk_limit_bytes: 1_000_000_000, max_attempts: 8, durability };
     Journal(nj::Journal::open(nj::Folder::new(path), options, &Budget::new(4e3), 0).unwrap().0)
 }
 
 impl Store for Journal {
     fn round(&mut self, taken: std::ops::Range<u64>, ended: std::ops::Range<u64>) {
         let take = |id| {
-            nj::Record::Taken(Rc::new(nj::Taken {
+            nj::Record::Accepted(Rc::new(nj::AcceptedMessage {
                 id,
                 class: "alert-prognozy".into(),
                 tenant: "rolnictwo".into(),
                 dest: id % 30,
                 trace: format!("{id:016x}"),
                 key: None,
-                since: 0,
-                end: 16_000,
+                accepted_at_ms: 0,
+                deadline_ms: 16_000,
                 body: Bytes::from_static(body(id)),
-                share: None,
+                memory_share: None,
             }))
         };
-        let records: Vec<_> = taken.map(take).chain(ended.map(nj::Record::Ended)).collect();
+        let records: Vec<_> = taken.map(take).chain(ended.map(nj::Record::Finished)).collect();
         self.0.append(&records, 1).unwrap();
-        while let Some(sync) = self.0.sync() {
-            self.0.synced(sync.run(), 1);
+        while let Some(sync) = self.0.start_sync() {
+            self.0.finish_sync(sync.run(), 1);
         }
-        assert_eq!(self.0.kept(), self.0.last());
+        assert_eq!(self.0.durable_commit(), self.0.last_commit());
     }
 
     fn load(path: &Path) -> usize {
--- a/crates/proof/nickelshed-crashtest/src/main.rs
+++ b/crates/proof/nickelshed-crashtest/src/main.rs
@@ -1,13 +1,15 @@
-//! The sender as it is, but for its storage: at one chosen file operation the whole process stands still, so that
-//! whoever started it can kill it exactly there. Fail points live here and in no program that is delivered.
+//! The sender with a storage that can halt the whole process at a chosen file operation, so that a test can
+//! kill it exactly there. Fault injection is part of this package only, not of any released program.
 //!
-//! `HALT=kind,number,part`: which operation of that kind is the last, counted from the first removal of a segment,
-//! which is when copying has begun. Kinds: `append`, `copy` (a write of what was copied), `header`, `create`, `remove`,
-//! `truncate`, `rename`. `part` is what has been done of it, in 256ths; of one that is no write, all or nothing.
+//! `HALT=kind,number,part`: halts at the operation with this number among those of this kind, counted from
+//! the first removal of a segment, which shows that compaction is running. Kinds: `append`, `copy` (a write
+//! of compaction), `header`, `create`, `remove`, `truncate`, `rename`. `part` is the fraction of a write that
+//! is done before the halt, in 256ths. Other operations are done if it is 256, and not otherwise.
 //!
-//! `STALL=file`: while that file is there, a write stands still, and goes on once it is gone.
+//! `STALL=file`: while this file exists, writes block. They continue once it is removed.
 //!
-//! `CAPACITY=file`: while that file is there, it holds the number of bytes that the folder's files may take together.
+//! `CAPACITY=file`: while this file exists, it contains the total size in bytes that the files of the folder
+//! may take.
 use nickelshed::{Form, Operator};
 use nickelshed_journal::{Folder, Storage};
 use std::cell::Cell;
@@ -16,83 +18,104 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-struct Halting {
+struct FaultInjectingFolder {
     folder: Folder,
-    /// None: it never stands still.
-    at: Option<Point>,
-    counting: Cell<bool>,
-    count: Cell<u64>,
-    capacity: Option<PathBuf>,
-    stall: Option<PathBuf>,
+    /// None if the process never halts.
+    halt_point: Option<HaltPoint>,
+    is_counting: Cell<bool>,
+    operation_count: Cell<u64>,
+    capacity_file: Option<PathBuf>,
+    stall_file: Option<PathBuf>,
 }
 
-struct Point {
-    kind: String,
+struct HaltPoint {
+    operation: String,
     number: u64,
-    part: usize,
+    part_256ths: usize,
 }
 
-fn point(text: &str) -> Option<Point> {
-    let mut words = text.split(',');
-    let kind = words.next()?.to_string();
-    Some(Point { kind, number: words.next()?.parse().ok()?, part: words.next()?.parse().ok()? })
+fn parse_halt_point(value: &str) -> Option<HaltPoint> {
+    let mut fields = value.split(',');
+    let operation = fields.next()?.to_string();
+    Some(HaltPoint {
+        operation,
+        number: fields.next()?.parse().ok()?,
+        part_256ths: fields.next()?.parse().ok()?,
+    })
 }
 
-/// What a write is for, by its first bytes: a segment's header, or a frame whose first record is a copy or a floor.
-fn kind(bytes: &[u8]) -> &'static str {
-    const FIRST_RECORD: usize = 24;
+/// Classifies a write by its first bytes: a segment header, or a frame whose first record was written by
+/// compaction.
+fn classify_write(bytes: &[u8]) -> &'static str {
+    const FIRST_RECORD_OFFSET: usize = 24;
     match bytes {
         [b'n', b's', b'j', b'l', ..] => "header",
-        _ if bytes.get(FIRST_RECORD).is_some_and(|tag| *tag >= 5) => "copy",
+        _ if bytes.get(FIRST_RECORD_OFFSET).is_some_and(|tag| *tag >= 5) => "copy",
         _ => "append",
     }
 }
 
-impl Halting {
-    fn new(path: &Path) -> Halting {
-        let at = std::env::var("HALT").ok();
-        let at = at.map(|word| point(&word).expect("HALT is kind,number,part"));
-        let [capacity, stall] = ["CAPACITY", "STALL"].map(|name| std::env::var_os(name).map(PathBuf::from));
-        let (counting, count) = (Cell::new(false), Cell::new(0));
-        Halting { folder: Folder::new(path), at, counting, count, capacity, stall }
-    }
-
-    /// How much of the operation that begins now is still done, if it is the last.
-    fn last(&self, kind: &str) -> Option<usize> {
-        let at = self.at.as_ref().filter(|at| at.kind == kind && self.counting.get())?;
-        let count = self.count.replace(self.count.get() + 1);
-        (count == at.number).then_some(at.part)
+impl FaultInjectingFolder {
+    fn new(path: &Path) -> FaultInjectingFolder {
+        let halt_point = std::env::var("HALT").ok();
+        let halt_point = halt_point.map(|value| parse_halt_point(&value).expect("HALT is kind,number,part"));
+        let [capacity_file, stall_file] =
+            ["CAPACITY", "STALL"].map(|name| std::env::var_os(name).map(PathBuf::from));
+        let (is_counting, operation_count) = (Cell::new(false), Cell::new(0));
+        FaultInjectingFolder {
+            folder: Folder::new(path),
+            halt_point,
+            is_counting,
+            operation_count,
+            capacity_file,
+            stall_file,
+        }
     }
 
-    /// How many of these bytes the disk has room for.
-    fn fits(&self, bytes: &[u8], offset: u64, file: &<Folder as Storage>::File) -> io::Result<usize> {
-        let capacity = self.capacity.as_ref().and_then(|path| std::fs::read_to_string(path).ok());
-        let Some(capacity) = capacity.and_then(|text| text.trim().parse::<u64>().ok()) else {
+    /// Counts an operation. If the process is to halt there, returns the part of it to do before.
+    fn part_before_halt(&self, operation: &str) -> Option<usize> {
+        let halt_point = self
+            .halt_point
+            .as_ref()
+            .filter(|halt_point| halt_point.operation == operation && self.is_counting.get())?;
+        let operation_index = self.operation_count.replace(self.operation_count.get() + 1);
+        (operation_index == halt_point.number).then_some(halt_point.part_256ths)
+    }
+
+    /// Returns how many of these bytes fit on the disk.
+    fn bytes_that_fit(
+        &self,
+        bytes: &[u8],
+        offset: u64,
+        file: &<Folder as Storage>::File,
+    ) -> io::Result<usize> {
+        let capacity_text = self.capacity_file.as_ref().and_then(|path| std::fs::read_to_string(path).ok());
+        let Some(capacity_bytes) = capacity_text.and_then(|text| text.trim().parse::<u64>().ok()) else {
             return Ok(bytes.len());
         };
-        let used: u64 = self.folder.list()?.iter().map(|(_, length)| length).sum();
-        let grows = (offset + bytes.len() as u64).saturating_sub(file.metadata()?.len());
-        let missing = (used + grows).saturating_sub(capacity.max(used));
-        Ok(bytes.len() - missing.min(bytes.len() as u64) as usize)
+        let used_bytes: u64 = self.folder.list()?.iter().map(|(_, length)| length).sum();
+        let growth_bytes = (offset + bytes.len() as u64).saturating_sub(file.metadata()?.len());
+        let missing_bytes = (used_bytes + growth_bytes).saturating_sub(capacity_bytes.max(used_bytes));
+        Ok(bytes.len() - missing_bytes.min(bytes.len() as u64) as usize)
     }
 
-    fn run<T>(&self, what: &str, does: impl FnOnce() -> io::Result<T>) -> io::Result<T> {
-        let Some(part) = self.last(what) else { return does() };
-        if part >= 256 {
-            let _ = does();
+    fn run_or_halt<T>(&self, operation: &str, perform: impl FnOnce() -> io::Result<T>) -> io::Result<T> {
+        let Some(part_256ths) = self.part_before_halt(operation) else { return perform() };
+        if part_256ths >= 256 {
+            let _ = perform();
         }
-        halt(what)
+        halt(operation)
     }
 }
 
-fn halt(what: &str) -> ! {
-    eprintln!("halted at {what}");
+fn halt(operation: &str) -> ! {
+    eprintln!("halted at {operation}");
     loop {
         std::thread::sleep(Duration::from_secs(3_600));
     }
 }
 
-impl Storage for Halting {
+impl Storage for FaultInjectingFolder {
     type File = <Folder as Storage>::File;
 
     fn lock(&mut self) -> io::Result<()> {
@@ -103,12 +126,12 @@
         self.folder.list()
     }
 
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
-        self.folder.read(name, most)
+    fn read(&self, name: &str, limit: u64) -> io::Result<Vec<u8>> {
+        self.folder.read(name, limit)
     }
 
     fn create(&self, name: &str) -> io::Result<Self::File> {
-        self.run("create", || self.folder.create(name))
+        self.run_or_halt("create", || self.folder.create(name))
     }
 
     fn open(&self, name: &str) -> io::Result<Self::File> {
@@ -116,53 +139,53 @@
     }
 
     fn write_at(&self, file: &Self::File, bytes: &[u8], offset: u64) -> io::Result<usize> {
-        if let Some(stall) = self.stall.as_ref().filter(|path| path.exists()) {
+        if let Some(stall_file) = self.stall_file.as_ref().filter(|path| path.exists()) {
             eprintln!("stalls");
-            while stall.exists() {
+            while stall_file.exists() {
                 std::thread::sleep(Duration::from_millis(5));
             }
         }
-        let kind = kind(bytes);
-        if let Some(part) = self.last(kind) {
-            let some = &bytes[..bytes.len() * part.min(256) / 256];
-            if !some.is_empty() {
-                let _ = self.folder.write_all_at(file, some, offset);
+        let operation = classify_write(bytes);
+        if let Some(part_256ths) = self.part_before_halt(operation) {
+            let done = &bytes[..bytes.len() * part_256ths.min(256) / 256];
+            if !done.is_empty() {
+                let _ = self.folder.write_all_at(file, done, offset);
             }
-            halt(kind)
+            halt(operation)
         }
-        match self.fits(bytes, offset, file)? {
+        match self.bytes_that_fit(bytes, offset, file)? {
             0 if !bytes.is_empty() => Err(io::ErrorKind::StorageFull.into()),
-            fits => self.folder.write_at(file, &bytes[..fits], offset),
+            fitting => self.folder.write_at(file, &bytes[..fitting], offset),
         }
     }
 
-    fn reserve(&self, file: &Self::File, length: u64) -> io::Result<()> {
-        self.folder.reserve(file, length)
+    fn preallocate(&self, file: &Self::File, length: u64) -> io::Result<()> {
+        self.folder.preallocate(file, length)
     }
 
     fn truncate(&self, file: &Self::File, length: u64) -> io::Result<()> {
-        self.run("truncate", || self.folder.truncate(file, length))
+        self.run_or_halt("truncate", || self.folder.truncate(file, length))
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        self.run("rename", || self.folder.rename(from, to))
+        self.run_or_halt("rename", || self.folder.rename(from, to))
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
         if name.starts_with("segment-") {
-            self.counting.set(true);
+            self.is_counting.set(true);
         }
-        self.run("remove", || self.folder.remove(name))
+        self.run_or_halt("remove", || self.folder.remove(name))
     }
 
-    fn folder(&self) -> io::Result<Self::File> {
-        self.folder.folder()
+    fn folder_handle(&self) -> io::Result<Self::File> {
+        self.folder.folder_handle()
     }
 }
 
 fn main() -> ExitCode {
     tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).init();
-    match nickelshed::run(&Form::Platform(Operator::default()), Halting::new) {
+    match nickelshed::run(&Form::Platform(Operator::default()), FaultInjectingFolder::new) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!(%error, "cannot go on");
--- a/crates/proof/nickelshed-crashtest/tests/kill.rs
+++ b/crates/proof/nickelshed-crashtest/tests/kill.rs
@@ -1,8 +1,9 @@
-//! The sender under 200 messages a second, killed by SIGKILL at a chosen file operation of copying, and started again:
-//! every message that it had answered for has exactly one final answer, and no attempt beyond its class.
+//! Kills a sender that accepts 200 messages a second with SIGKILL at a chosen file operation during
+//! compaction, and restarts it. Every acknowledged message must have exactly one final result, and no more
+//! attempts than its class allows.
 //!
-//! CI plays a few dozen points. All of them:
-//! `CRASH_POINTS=400 cargo test --release -p nickelshed-crashtest`
+//! CI runs a few dozen points. To run all of them: `CRASH_POINTS=400 cargo test --release -p
+//! nickelshed-crashtest`
 use nickelshed_testkit::*;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,236 +12,255 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nickelshed-crashtest");
 const SEED: u64 = 0x6b69_6c6c;
-/// In CI; as many as go through in half a minute.
-const POINTS: u64 = 36;
-/// What the process stands still in.
-const KINDS: [&str; 6] = ["copy", "remove", "copy", "create", "header", "append"];
-const SLOTS: usize = 16;
+/// Number of points in CI, which takes about half a minute.
+const DEFAULT_POINT_COUNT: u64 = 36;
+/// The operations at which the process halts.
+const HALT_OPERATIONS: [&str; 6] = ["copy", "remove", "copy", "create", "header", "append"];
+const MAX_CALLS_IN_FLIGHT: usize = 16;
 
-/// One start, kill and start again. Returns what the process stood still at.
+/// Starts, kills and restarts a sender once. Returns the log line of the halt.
 fn kill_at(point: u64, random: &mut fastrand::Rng) -> String {
-    let part = [0, 1, 100, 255, 256][random.usize(..5)];
-    let kind = KINDS[point as usize % KINDS.len()];
-    let number = random.u64(..if kind == "append" { 200 } else { 14 });
+    let part_256ths = [0, 1, 100, 255, 256][random.usize(..5)];
+    let operation = HALT_OPERATIONS[point as usize % HALT_OPERATIONS.len()];
+    let operation_number = random.u64(..if operation == "append" { 200 } else { 14 });
     let endpoint = Peer::new(|_| ok());
-    let waiting = || closed(9);
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7), waiting()]));
-    let mut node = Node::with(PROGRAM, &discovery, json!([]), |c| {
-        c["limits"]["disk_mb"] = json!(0.5);
-        c["settings"]["Limits"]["MaxOpen"] = json!(400);
-        c["settings"]["FamilyInfo"]["CallsOut"] = json!(SLOTS);
+    let closed_destination = || closed(9);
+    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7), closed_destination()]));
+    let mut sender = Node::with(PROGRAM, &discovery, json!([]), |config| {
+        config["limits"]["disk_mb"] = json!(0.5);
+        config["settings"]["Limits"]["MaxOpen"] = json!(400);
+        config["settings"]["FamilyInfo"]["CallsOut"] = json!(MAX_CALLS_IN_FLIGHT);
     });
-    node.environment("HALT", &format!("{kind},{number},{part}"));
-    node.kill();
-    node.restart();
-    let mut taken_on = BTreeSet::new();
-    let mut next = 0;
-    // 200 a second, most of them delivered at once, every 10th held until after the restart.
-    let mut load = |node: &Node, most: usize, taken_on: &mut BTreeSet<String>| {
-        let began = Instant::now();
-        let first = next;
-        while next - first < most && !node.log().contains("halted") {
-            let dest = if next % 10 == 0 { 9 } else { 7 };
-            let class = if next % 3 == 0 { "order" } else { "alert" };
-            let id = format!("{class}-{next}");
-            next += 1;
-            // One that is under way as the process stands still gets no answer, and nothing is owed for it.
-            if node.try_hand_in(class, &id, dest, 16_000, &[7; 1_024]) == Some(202) {
-                taken_on.insert(id);
+    sender.environment("HALT", &format!("{operation},{operation_number},{part_256ths}"));
+    sender.kill();
+    sender.restart();
+    let mut accepted_ids = BTreeSet::new();
+    let mut next_message = 0;
+    // 200 messages a second. Most are delivered at once; every 10th stays queued until after the restart.
+    let mut submit_messages = |sender: &Node, max_messages: usize, accepted_ids: &mut BTreeSet<String>| {
+        let started_at = Instant::now();
+        let first_message = next_message;
+        while next_message - first_message < max_messages && !sender.log().contains("halted") {
+            let dest = if next_message % 10 == 0 { 9 } else { 7 };
+            let class = if next_message % 3 == 0 { "order" } else { "alert" };
+            let id = format!("{class}-{next_message}");
+            next_message += 1;
+            // A submission in progress at the halt gets no response, so nothing is promised for it.
+            if sender.try_hand_in(class, &id, dest, 16_000, &[7; 1_024]) == Some(202) {
+                accepted_ids.insert(id);
             }
-            let due = began + Duration::from_millis(5) * (next - first) as u32;
-            std::thread::sleep(due.saturating_duration_since(Instant::now()));
+            let due_at = started_at + Duration::from_millis(5) * (next_message - first_message) as u32;
+            std::thread::sleep(due_at.saturating_duration_since(Instant::now()));
         }
     };
-    load(&node, 6_000, &mut taken_on);
-    node.until("it stands still", || node.log().contains("halted"));
-    let at = node.log().lines().filter(|l| l.starts_with("halted")).map(str::to_string).collect::<String>();
-    node.kill();
-    node.environment("HALT", "none,0,0");
+    submit_messages(&sender, 6_000, &mut accepted_ids);
+    sender.until("the process halts", || sender.log().contains("halted"));
+    let halt_line = sender
+        .log()
+        .lines()
+        .filter(|line| line.starts_with("halted"))
+        .map(str::to_string)
+        .collect::<String>();
+    sender.kill();
+    sender.environment("HALT", "none,0,0");
     discovery.set(json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 9)]));
-    let log = node.log().len();
-    node.restart();
-    node.forget_log();
-    load(&node, 60, &mut taken_on);
-    let what = format!("point {point}: {kind} {number}, part {part}, {at}; seed {SEED:#x}");
-    let ends = || {
-        let mut ends: BTreeMap<String, (usize, BTreeSet<String>)> = BTreeMap::new();
+    let log_length = sender.log().len();
+    sender.restart();
+    sender.forget_log();
+    submit_messages(&sender, 60, &mut accepted_ids);
+    let case = format!(
+        "point {point}: {operation} {operation_number}, part {part_256ths}, {halt_line}; seed {SEED:#x}"
+    );
+    let collect_results = || {
+        let mut results: BTreeMap<String, (usize, BTreeSet<String>)> = BTreeMap::new();
         for call in endpoint.seen() {
-            ends.entry(call.id().to_string()).or_default().0 += 1;
+            results.entry(call.id().to_string()).or_default().0 += 1;
         }
         for notice in discovery.notices() {
             let outcome = notice["outcome"].as_str().unwrap().to_string();
-            ends.entry(notice["message"].as_str().unwrap().to_string()).or_default().1.insert(outcome);
+            results.entry(notice["message"].as_str().unwrap().to_string()).or_default().1.insert(outcome);
         }
-        ends
+        results
     };
-    node.until("every message has its end", || {
-        let ends = ends();
-        taken_on.iter().all(|id| ends.contains_key(id))
+    sender.until("every message has a result", || {
+        let results = collect_results();
+        accepted_ids.iter().all(|id| results.contains_key(id))
     });
-    // What an attempt too many would need to show itself.
-    assert_eq!(node.hand_in("alert", "last", 7, 16_000, b"."), 202);
+    // One more round trip, during which any excess attempt would arrive.
+    assert_eq!(sender.hand_in("alert", "last", 7, 16_000, b"."), 202);
     endpoint.wait_for("last", 1);
-    let ends = ends();
-    let mut again = 0;
-    for id in &taken_on {
-        let (calls, outcomes) = &ends[id];
-        assert!(outcomes.len() <= 1, "{what}: {id} ended as {outcomes:?}");
+    let results = collect_results();
+    let mut repeated_calls = 0;
+    for id in &accepted_ids {
+        let (calls, outcomes) = &results[id];
+        assert!(outcomes.len() <= 1, "{case}: {id} ended as {outcomes:?}");
         if id.starts_with("order") {
-            assert!(*calls <= 1, "{what}: {id} may not be repeated, and was called for {calls} times");
+            assert!(*calls <= 1, "{case}: {id} may not be repeated, and was attempted {calls} times");
             let handed_back = outcomes.contains("handed_back");
-            assert!(!(handed_back && *calls > 0), "{what}: {id} ran and was handed back");
+            assert!(!(handed_back && *calls > 0), "{case}: {id} was attempted and returned as unexecuted");
         } else {
-            // Out when the process was killed: once more under its key.
+            // In flight when the process was killed: sent once more with the same idempotency key.
             assert!(
                 *calls <= 2 && !(*calls > 0 && outcomes.contains("handed_back")),
-                "{what}: {id}: {calls}"
+                "{case}: {id}: {calls}"
             );
-            again += calls.saturating_sub(1);
+            repeated_calls += calls.saturating_sub(1);
         }
     }
-    assert!(again <= SLOTS, "{what}: {again} were repeated, more than could be out at once");
-    assert!(taken_on.len() > 100 && log > 0, "{what}: {} taken on", taken_on.len());
-    at
+    assert!(
+        repeated_calls <= MAX_CALLS_IN_FLIGHT,
+        "{case}: {repeated_calls} calls were repeated, more than can be in flight at once"
+    );
+    assert!(accepted_ids.len() > 100 && log_length > 0, "{case}: {} accepted", accepted_ids.len());
+    halt_line
 }
 
 #[test]
-fn killed_at_any_point_of_copying_every_message_has_one_end() {
-    let points =
-        std::env::var("CRASH_POINTS").map_or(POINTS, |p| p.parse().expect("CRASH_POINTS is a number"));
-    println!("seed {SEED:#x}, {points} points");
-    let next = AtomicU64::new(0);
-    let kinds = KINDS.map(|kind| (kind, AtomicUsize::new(0)));
+fn a_process_killed_at_any_point_of_compaction_gives_every_message_one_result() {
+    let point_count = std::env::var("CRASH_POINTS")
+        .map_or(DEFAULT_POINT_COUNT, |value| value.parse().expect("CRASH_POINTS is a number"));
+    println!("seed {SEED:#x}, {point_count} points");
+    let next_point = AtomicU64::new(0);
+    let halt_counts = HALT_OPERATIONS.map(|operation| (operation, AtomicUsize::new(0)));
     std::thread::scope(|scope| {
         for _ in 0..6 {
             scope.spawn(|| loop {
-                let point = next.fetch_add(1, Ordering::SeqCst);
-                if point >= points {
+                let point = next_point.fetch_add(1, Ordering::SeqCst);
+                if point >= point_count {
                     return;
                 }
                 let mut random = fastrand::Rng::with_seed(SEED ^ (point << 20));
-                let at = kill_at(point, &mut random);
-                for (kind, count) in &kinds {
-                    count.fetch_add(usize::from(at.ends_with(kind)), Ordering::SeqCst);
+                let halt_line = kill_at(point, &mut random);
+                for (operation, count) in &halt_counts {
+                    count.fetch_add(usize::from(halt_line.ends_with(operation)), Ordering::SeqCst);
                 }
             });
         }
     });
-    println!("{kinds:?}");
-    assert!(kinds.iter().all(|(_, count)| count.load(Ordering::SeqCst) > 0), "each kind was met");
+    println!("{halt_counts:?}");
+    assert!(
+        halt_counts.iter().all(|(_, count)| count.load(Ordering::SeqCst) > 0),
+        "not every kind of operation was reached"
+    );
 }
 
-/// A second process on a folder in use does not start, says why, and harms nothing.
+/// A second process on the same folder must refuse to start, report the reason, and do no harm.
 #[test]
-fn two_processes_on_one_folder() {
+fn a_second_process_on_one_folder_is_refused() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([closed(7)]));
-    let mut node = Node::start(PROGRAM, &discovery);
-    assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
-    let (success, log) = node.start_second();
+    let mut sender = Node::start(PROGRAM, &discovery);
+    assert_eq!(sender.hand_in("order", "m", 7, 16_000, b"x"), 202);
+    let (success, log) = sender.start_second();
     assert!(!success && log.contains("another process runs on this folder"), "{log}");
-    node.kill();
+    sender.kill();
     discovery.set(json!([ready("e-1", endpoint.address, 7)]));
-    node.restart();
+    sender.restart();
     endpoint.wait_for("m", 1);
 }
 
 #[test]
-fn sigterm_in_the_middle_of_copying_leaves_the_rest_to_the_next_process() {
+fn after_sigterm_during_compaction_the_next_process_delivers_open_messages() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7), closed(9)]));
-    let mut node = Node::with(PROGRAM, &discovery, json!([]), |c| c["limits"]["disk_mb"] = json!(0.4));
-    let mut held = Vec::new();
+    let mut sender =
+        Node::with(PROGRAM, &discovery, json!([]), |config| config["limits"]["disk_mb"] = json!(0.4));
+    let mut open_ids = Vec::new();
     for i in 0..400 {
         let (dest, id) = if i % 40 == 0 { (9, format!("held-{i}")) } else { (7, format!("m-{i}")) };
-        assert_eq!(node.hand_in("order", &id, dest, 16_000, &[1; 1_024]), 202);
+        assert_eq!(sender.hand_in("order", &id, dest, 16_000, &[1; 1_024]), 202);
         if dest == 9 {
-            held.push(id);
+            open_ids.push(id);
         }
     }
-    let first = node.segments().remove(0);
-    assert!(!first.ends_with("segment-0000000000000001"), "copying has begun: {first:?}");
-    node.terminate();
-    assert!(node.wait_exit().success(), "{}", node.log());
+    let oldest_segment = sender.segments().remove(0);
+    assert!(!oldest_segment.ends_with("segment-0000000000000001"), "no compaction yet: {oldest_segment:?}");
+    sender.terminate();
+    assert!(sender.wait_exit().success(), "{}", sender.log());
     discovery.set(json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 9)]));
-    node.restart();
-    for id in &held {
+    sender.restart();
+    for id in &open_ids {
         endpoint.wait_for(id, 1);
     }
-    assert_eq!(node.hand_in("order", "last", 7, 16_000, b"x"), 202);
+    assert_eq!(sender.hand_in("order", "last", 7, 16_000, b"x"), 202);
     endpoint.wait_for("last", 1);
-    for id in &held {
+    for id in &open_ids {
         assert_eq!(endpoint.wait_for(id, 1).len(), 1, "{id}");
     }
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
 
-/// The disk fills in the middle of copying, to a byte: new work is refused with a time, what is held goes on, and
-/// once there is room taking on resumes by itself. Nothing is lost, doubled or damaged.
+/// The disk fills up during compaction: new messages are rejected with a Retry-After, and open ones finish.
+/// Once there is space, messages are accepted again. No message is lost or repeated, and no data is damaged.
 #[test]
-fn a_disk_that_fills_and_empties_again() {
+fn on_a_full_disk_new_messages_are_rejected_and_open_ones_finish() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7), closed(9)]));
-    let mut node = Node::with(PROGRAM, &discovery, json!([]), |c| c["limits"]["disk_mb"] = json!(0.5));
-    let capacity = node.folder.join("capacity");
-    node.environment("CAPACITY", capacity.to_str().unwrap());
-    node.kill();
-    node.restart();
-    let mut taken_on = Vec::new();
-    let mut hand_in = |node: &Node, dest: u64| {
-        let id = format!("order-{}", taken_on.len());
-        let (status, headers) = node.hand_in_full("order", &id, dest, 16_000, &[7; 1_024]);
+    let mut sender =
+        Node::with(PROGRAM, &discovery, json!([]), |config| config["limits"]["disk_mb"] = json!(0.5));
+    let capacity = sender.folder.join("capacity");
+    sender.environment("CAPACITY", capacity.to_str().unwrap());
+    sender.kill();
+    sender.restart();
+    let mut accepted_ids = Vec::new();
+    let mut submit = |sender: &Node, dest: u64| {
+        let id = format!("order-{}", accepted_ids.len());
+        let (status, headers) = sender.hand_in_full("order", &id, dest, 16_000, &[7; 1_024]);
         if status == 202 {
-            taken_on.push(id);
+            accepted_ids.push(id);
         }
         (status, headers)
     };
-    let mut copied = false;
+    let mut has_compacted = false;
     for i in 0..3_000 {
-        assert_eq!(hand_in(&node, if i % 40 == 0 { 9 } else { 7 }).0, 202);
-        copied = !node.segments()[0].ends_with("segment-0000000000000001");
-        if copied && i > 100 {
+        assert_eq!(submit(&sender, if i % 40 == 0 { 9 } else { 7 }).0, 202);
+        has_compacted = !sender.segments()[0].ends_with("segment-0000000000000001");
+        if has_compacted && i > 100 {
             break;
         }
     }
-    assert!(copied, "copying has begun");
-    std::fs::write(&capacity, (node.on_disk() / 512 * 512).to_string()).unwrap();
-    let mut refused = None;
+    assert!(has_compacted, "no compaction yet");
+    std::fs::write(&capacity, (sender.on_disk() / 512 * 512).to_string()).unwrap();
+    let mut rejection = None;
     for _ in 0..2_000 {
-        let (status, headers) = hand_in(&node, 7);
+        let (status, headers) = submit(&sender, 7);
         if status != 202 {
-            refused = Some((status, headers));
+            rejection = Some((status, headers));
             break;
         }
     }
-    let (status, headers) = refused.expect("a full disk refuses");
+    let (status, headers) = rejection.expect("a message rejected on the full disk");
     assert_eq!(status, 503);
-    let after: f64 = headers["retry-after"].parse().unwrap();
-    assert!(after > 0.0);
-    // What is held goes on, on a disk that is full.
+    let retry_after: f64 = headers["retry-after"].parse().unwrap();
+    assert!(retry_after > 0.0);
+    // Open messages can finish on a full disk.
     discovery.set(json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 9)]));
     let id_of = |i: usize| format!("order-{i}");
     endpoint.wait_for(&id_of(0), 1);
     std::fs::remove_file(&capacity).unwrap();
-    let until = Instant::now() + BOUND;
-    while hand_in(&node, 7).0 != 202 {
-        assert!(Instant::now() < until, "{}", node.log());
+    let deadline = Instant::now() + BOUND;
+    while submit(&sender, 7).0 != 202 {
+        assert!(Instant::now() < deadline, "{}", sender.log());
         std::thread::sleep(Duration::from_millis(50));
     }
-    node.kill();
-    node.restart();
-    assert!(!node.log().contains("damaged"), "{}", node.log());
-    let seen = endpoint.wait("every message", |seen| {
-        let ids: BTreeSet<&str> = seen.iter().map(|r| r.id()).collect();
-        let given_up = discovery.notices().len();
-        ids.len() + given_up >= taken_on.len()
-            && taken_on.iter().filter(|id| !ids.contains(id.as_str())).count() <= given_up
+    sender.kill();
+    sender.restart();
+    assert!(!sender.log().contains("damaged"), "{}", sender.log());
+    let received = endpoint.wait("every message", |received| {
+        let ids: BTreeSet<&str> = received.iter().map(|request| request.id()).collect();
+        let failure_count = discovery.notices().len();
+        ids.len() + failure_count >= accepted_ids.len()
+            && accepted_ids.iter().filter(|id| !ids.contains(id.as_str())).count() <= failure_count
     });
-    for id in &taken_on {
-        let calls = seen.iter().filter(|r| r.id() == id).count();
-        let notices: Vec<_> = discovery.notices().into_iter().filter(|n| n["message"] == *id).collect();
-        assert!(calls <= 1, "{id} was called for {calls} times");
+    for id in &accepted_ids {
+        let calls = received.iter().filter(|request| request.id() == id).count();
+        let notices: Vec<_> =
+            discovery.notices().into_iter().filter(|notice| notice["message"] == *id).collect();
+        assert!(calls <= 1, "{id} was attempted {calls} times");
         assert!(calls == 1 || !notices.is_empty(), "{id} is lost");
-        assert!(calls == 0 || notices.iter().all(|n| n["outcome"] == "given_up"), "{id}: {notices:?}");
+        assert!(
+            calls == 0 || notices.iter().all(|notice| notice["outcome"] == "given_up"),
+            "{id}: {notices:?}"
+        );
     }
 }
--- a/crates/proof/nickelshed-crashtest/tests/stall.rs
+++ b/crates/proof/nickelshed-crashtest/tests/stall.rs
@@ -1,4 +1,4 @@
-//! The sender's one thread, kept in a write by a disk that hangs while the world goes on.
+//! The sender's single thread is blocked in a write by a hanging disk, while events continue to arrive.
 use nickelshed_testkit::*;
 use serde_json::{json, Value};
 use std::sync::{Arc, Condvar, Mutex};
@@ -6,54 +6,64 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nickelshed-crashtest");
 
-/// What discovery has: a version and its list.
-type Shared = Arc<(Mutex<(u64, Value)>, Condvar)>;
+/// State of the fake discovery server: the list and its version.
+type SharedList = Arc<(Mutex<(u64, Value)>, Condvar)>;
 
-/// A watch is answered the moment that the list is newer, and not before: what is told lies on the sender's socket.
-fn answers_when_newer(shared: &Shared, request: &Request) -> Reply {
-    let (lock, news) = &**shared;
-    let index = request.first.split_once("index=").and_then(|(_, r)| r.split(['&', ' ']).next());
-    let index = index.and_then(|i| i.parse::<u64>().ok());
+/// Answers a watch as soon as the list is newer than the requested version, and not before. So the answer is
+/// already in the sender's socket buffer when the disk continues.
+fn answer_when_newer(shared_list: &SharedList, request: &Request) -> Reply {
+    let (lock, list_changed) = &**shared_list;
+    let requested_version =
+        request.first.split_once("index=").and_then(|(_, rest)| rest.split(['&', ' ']).next());
+    let requested_version = requested_version.and_then(|version| version.parse::<u64>().ok());
     let state = lock.lock().unwrap();
-    let (state, late) = news.wait_timeout_while(state, BOUND, |s| index.is_some_and(|i| i >= s.0)).unwrap();
-    assert!(!late.timed_out());
+    let (state, wait_result) = list_changed
+        .wait_timeout_while(state, BOUND, |state| requested_version.is_some_and(|version| version >= state.0))
+        .unwrap();
+    assert!(!wait_result.timed_out());
     answer("200 OK", "", &json!({"generation": state.0, "reset": true, "instances": state.1}).to_string())
 }
 
-/// A drain is told while the thread stands in a write of the very round that has decided to call there. The call has
-/// not begun, so it must not: the list on the socket is read before its first byte.
+/// A drain of an endpoint is notified while the thread is blocked in the commit of a call to that endpoint. The
+/// call has not started, so it must be dropped: the sender has to read the list from its socket before it sends
+/// the first byte of the call.
 #[test]
-fn a_drain_told_while_the_disk_hangs_is_kept_by_the_call_that_waited_for_it() {
-    let (old, new) = (Peer::new(|_| ok()), Peer::new(|_| ok()));
-    let first = json!([ready("e-1", old.address, 7)]);
-    let discovery = Discovery::new(first.clone());
-    let shared: Shared = Arc::new((Mutex::new((1, first)), Condvar::new()));
-    let script = shared.clone();
-    discovery.peer.script(move |request| answers_when_newer(&script, request));
-    let mut node = Node::with(PROGRAM, &discovery, json!([]), |_| {});
-    let stall = node.folder.join("stall");
-    node.environment("STALL", stall.to_str().unwrap());
-    node.kill();
-    // Lets go of the watch that died with the process.
-    shared.0.lock().unwrap().0 = 2;
-    shared.1.notify_all();
-    node.restart();
-    // It has the list once it knows that there is no destination 9, and that writes nothing.
-    node.until("it has the list", || node.hand_in("alert", "nowhere", 9, 16_000, b"x") != 503);
-    std::fs::write(&stall, "").unwrap();
+fn a_drain_notified_while_the_disk_hangs_stops_a_call_that_has_not_started() {
+    let (draining_endpoint, new_endpoint) = (Peer::new(|_| ok()), Peer::new(|_| ok()));
+    let first_list = json!([ready("e-1", draining_endpoint.address, 7)]);
+    let discovery = Discovery::new(first_list.clone());
+    let shared_list: SharedList = Arc::new((Mutex::new((1, first_list)), Condvar::new()));
+    let list_for_server = shared_list.clone();
+    discovery.peer.script(move |request| answer_when_newer(&list_for_server, request));
+    let mut sender = Node::with(PROGRAM, &discovery, json!([]), |_| {});
+    let stall_file = sender.folder.join("stall");
+    sender.environment("STALL", stall_file.to_str().unwrap());
+    sender.kill();
+    // Releases the watch of the killed process.
+    shared_list.0.lock().unwrap().0 = 2;
+    shared_list.1.notify_all();
+    sender.restart();
+    // The sender has the list once it rejects destination 9 as unknown. That response involves no write.
+    sender.until("the sender has the list", || sender.hand_in("alert", "nowhere", 9, 16_000, b"x") != 503);
+    std::fs::write(&stall_file, "").unwrap();
     std::thread::scope(|scope| {
-        // Nobody hears before the disk goes on; the client does not wait so long, which changes nothing here.
-        scope.spawn(|| node.try_hand_in("alert", "during", 7, 16_000, b"x"));
-        node.until("it stands in a write", || node.log().contains("stalls"));
-        let list =
-            json!([instance("e-1", old.address, 7, "plain", "Terminating"), ready("e-2", new.address, 7)]);
-        *shared.0.lock().unwrap() = (3, list);
-        shared.1.notify_all();
-        // Longer than what passes for a step, and than the grace for drains.
+        // The response arrives only after the stall, and the client times out before. That does not affect
+        // this test.
+        scope.spawn(|| sender.try_hand_in("alert", "during", 7, 16_000, b"x"));
+        sender.until("the sender blocks in a write", || sender.log().contains("stalls"));
+        let list = json!([
+            instance("e-1", draining_endpoint.address, 7, "plain", "Terminating"),
+            ready("e-2", new_endpoint.address, 7)
+        ]);
+        *shared_list.0.lock().unwrap() = (3, list);
+        shared_list.1.notify_all();
+        // Longer than the threshold of the stall detector and the grace period for drains.
         std::thread::sleep(Duration::from_millis(1_500));
-        std::fs::remove_file(&stall).unwrap();
+        std::fs::remove_file(&stall_file).unwrap();
     });
-    let got = |peer: &Peer| peer.seen().iter().any(|r| r.id() == "during");
-    node.until("it is delivered", || got(&old) || got(&new));
-    assert!(!got(&old), "it went to what had been told to drain");
+    let has_received = |server: &Peer| server.seen().iter().any(|request| request.id() == "during");
+    sender.until("the message is delivered", || {
+        has_received(&draining_endpoint) || has_received(&new_endpoint)
+    });
+    assert!(!has_received(&draining_endpoint), "the message went to the draining endpoint");
 }
--- a/crates/proof/nickelshed-lab/src/folder.rs
+++ b/crates/proof/nickelshed-lab/src/folder.rs
@@ -1,6 +1,6 @@
 //! A sender's folder in the lab: the testkit's disk, with its process's life in between.
 use crate::life::Life;
-use nickelshed_journal::{Handle, Storage};
+use nickelshed_journal::{FileHandle, Storage};
 use nickelshed_testkit::{Disk, DiskFile};
 use std::io;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
 #[derive(Clone)]
 pub struct File(DiskFile);
 
-impl Handle for File {
+impl FileHandle for File {
     fn sync(&self) -> io::Result<()> {
         self.0.sync()
     }
@@ -60,8 +60,8 @@
         self.whole(|disk| disk.open(name)).map(File)
     }
 
-    fn reserve(&self, file: &File, length: u64) -> io::Result<()> {
-        self.whole(|disk| disk.reserve(&file.0, length))
+    fn preallocate(&self, file: &File, length: u64) -> io::Result<()> {
+        self.whole(|disk| disk.preallocate(&file.0, length))
     }
 
     fn write_at(&self, file: &File, bytes: &[u8], offset: u64) -> io::Result<usize> {
@@ -83,7 +83,7 @@
         self.whole(|disk| disk.remove(name))
     }
 
-    fn folder(&self) -> io::Result<File> {
-        self.whole(Disk::folder).map(File)
+    fn folder_handle(&self) -> io::Result<File> {
+        self.whole(Disk::folder_handle).map(File)
     }
 }
--- a/crates/proof/nickelshed-testkit/src/disk.rs
+++ b/crates/proof/nickelshed-testkit/src/disk.rs
@@ -1,6 +1,6 @@
 //! A folder in memory whose every operation can be made to fail, be cut short, or be the last one; and what is left
 //! of it when the process or the machine is lost.
-use nickelshed_journal::{Handle, Storage};
+use nickelshed_journal::{FileHandle, Storage};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -256,7 +256,7 @@
     }
 }
 
-impl Handle for File {
+impl FileHandle for File {
     fn sync(&self) -> io::Result<()> {
         let mut state = self.state.lock().unwrap();
         let state = &mut *state;
@@ -349,7 +349,7 @@
         error.map_or(Ok(length), Err)
     }
 
-    fn reserve(&self, file: &File, length: u64) -> io::Result<()> {
+    fn preallocate(&self, file: &File, length: u64) -> io::Result<()> {
         let mut state = self.state();
         state.whole("reserve", true)?;
         let inode = file.inode.ok_or(io::ErrorKind::IsADirectory)?;
@@ -390,7 +390,7 @@
         Ok(())
     }
 
-    fn folder(&self) -> io::Result<File> {
+    fn folder_handle(&self) -> io::Result<File> {
         self.state().whole("open folder", false)?;
         Ok(File { state: self.state.clone(), inode: None })
     }
--- a/crates/serve/nickelshed-journal/benches/before.rs
+++ b/crates/serve/nickelshed-journal/benches/before.rs
@@ -1,9 +1,11 @@
-//! The journal as it was before it had a version, for the comparison only.
+//! The legacy journal, kept as the baseline of the benchmark.
 //!
-//! What the sender has taken on, kept in `$EDGE_STATE` so that it outlasts the process.
+//! It stores the messages that the sender has accepted in `$EDGE_STATE`, so that they survive the end of the
+//! process.
 //!
-//! One file of records, each framed by its length and a checksum. It is rewritten with what still lives once
-//! it would pass half of the disk's limit, so that both files together stay under it.
+//! One file of records, each framed by its length and a checksum. It is rewritten with the live messages
+//! before it would exceed half of the disk limit, so that the old and the new file together stay below the
+//! limit.
 use bytes::Bytes;
 use nickelshed_budget::{Budget, Share};
 use serde::{Deserialize, Serialize};
@@ -15,9 +17,9 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A message as it was taken on: all that a call needs after a restart.
+/// A message as it was accepted, with everything that a call needs after a restart.
 #[derive(Serialize, Deserialize, Debug)]
-pub struct Taken {
+pub struct AcceptedMessage {
     #[serde(rename = "i")]
     pub id: u64,
     #[serde(rename = "c")]
@@ -32,29 +34,29 @@
     pub key: Option<String>,
     /// Deadline, Unix time in milliseconds.
     #[serde(rename = "t")]
-    pub end: i64,
+    pub deadline_ms: i64,
     #[serde(skip)]
     pub body: Bytes,
-    /// Its part of the memory.
+    /// The memory budget used by the body.
     #[serde(skip)]
-    pub share: Option<Share>,
+    pub memory_share: Option<Share>,
 }
 
-impl Taken {
-    /// Whether it is the same message, handed in again.
-    pub fn is_same(&self, other: &Taken) -> bool {
+impl AcceptedMessage {
+    /// Whether `other` is a repeated submission of this message.
+    pub fn is_same_submission(&self, other: &AcceptedMessage) -> bool {
         let (a, b) = (self, other);
         a.dest == b.dest && a.class == b.class && a.tenant == b.tenant && a.key == b.key && a.body == b.body
     }
 }
 
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Begun {
+pub struct AttemptRecord {
     #[serde(rename = "n")]
     pub number: u32,
     /// Unix time in milliseconds.
     #[serde(rename = "t")]
-    pub at: i64,
+    pub started_at_ms: i64,
     #[serde(rename = "e")]
     pub endpoint: String,
     #[serde(skip)]
@@ -72,93 +74,95 @@
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub enum Record {
     #[serde(rename = "T")]
-    Taken(Rc<Taken>),
+    Accepted(Rc<AcceptedMessage>),
     #[serde(rename = "B")]
-    Begun(u64, Begun),
-    /// This attempt is known not to have run.
+    AttemptStarted(u64, AttemptRecord),
+    /// The attempt with this number is known not to have run.
     #[serde(rename = "N")]
-    NeverRan(u64, u32),
-    /// Its notice is under way. Written before the notice, so that a message whose client may hand it in
-    /// again is not sent by the next process too.
+    AttemptNeverRan(u64, u32),
+    /// The ending is chosen and its notice is about to be sent. This is written before the notice, so that
+    /// after a restart the sender does not send a message that its client may already have submitted again.
     #[serde(rename = "D")]
-    Decided(u64, Ending),
+    EndingDecided(u64, Ending),
     #[serde(rename = "E")]
-    Ended(u64),
+    Finished(u64),
 }
 
-pub struct Live {
-    pub taken: Rc<Taken>,
-    pub attempts: Vec<Begun>,
+pub struct LiveMessage {
+    pub message: Rc<AcceptedMessage>,
+    pub attempts: Vec<AttemptRecord>,
     pub ending: Option<Ending>,
-    /// What it may come to in the file, records to come included.
-    claim: u64,
+    /// Bound of its size in the file, including records still to be written.
+    reserved_bytes: u64,
 }
 
 pub struct Journal {
     path: PathBuf,
     file: File,
-    size: u64,
-    /// Each of the two files stays under this.
-    bound: u64,
-    claimed: u64,
+    file_bytes: u64,
+    /// Limit of each of the two files.
+    max_file_bytes: u64,
+    total_reserved_bytes: u64,
     max_attempts: u64,
-    live: BTreeMap<u64, Live>,
+    live: BTreeMap<u64, LiveMessage>,
 }
 
 #[allow(dead_code)]
-/// Bodies hold at most so much.
-pub const MAX_BODY: usize = 64 << 10;
-const FRAME: usize = 8;
-/// Upper bounds for a record of an attempt with its end, and for the end of a message.
-const PER_ATTEMPT: u64 = 160;
-const PER_END: u64 = 160;
-/// Names of endpoints longer than this would break the bound above.
-pub const MAX_NAME: usize = 64;
-/// Longest record that is read back: a body of 64 KiB and its headers.
-const MAX_RECORD: usize = 256 << 10;
+/// Maximum size of a message body.
+pub const MAX_BODY_BYTES: usize = 64 << 10;
+const RECORD_HEADER_BYTES: usize = 8;
+/// Upper bounds of the records of an attempt with its end, and of the records that finish a message.
+const MAX_ATTEMPT_RECORDS_BYTES: u64 = 160;
+const MAX_FINISH_RECORDS_BYTES: u64 = 160;
+/// Longer endpoint names would break the bound above.
+pub const MAX_ENDPOINT_NAME_BYTES: usize = 64;
+/// Maximum length of a record that is read: a body of 64 KiB and its headers.
+const MAX_RECORD_BYTES: usize = 256 << 10;
 
 pub fn wall_ms() -> i64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as i64)
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since_epoch| since_epoch.as_millis() as i64)
 }
 
 fn encode(record: &Record, buffer: &mut Vec<u8>) {
     let head = serde_json::to_vec(record).expect("records are plain data");
-    let body: &[u8] = if let Record::Taken(t) = record { &t.body } else { &[] };
+    let body: &[u8] = if let Record::Accepted(message) = record { &message.body } else { &[] };
     let start = buffer.len();
     buffer.extend_from_slice(&((4 + head.len() + body.len()) as u32).to_le_bytes());
     buffer.extend_from_slice(&[0; 4]);
     buffer.extend_from_slice(&(head.len() as u32).to_le_bytes());
     buffer.extend_from_slice(&head);
     buffer.extend_from_slice(body);
-    let sum = crc32fast::hash(&buffer[start + FRAME..]);
-    buffer[start + 4..start + FRAME].copy_from_slice(&sum.to_le_bytes());
+    let checksum = crc32fast::hash(&buffer[start + RECORD_HEADER_BYTES..]);
+    buffer[start + 4..start + RECORD_HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// The record at the start of `bytes` and its length; None where it is torn or damaged.
+/// Decodes the record at the start of `bytes` and returns it with its length, or None if it is torn or
+/// damaged.
 fn decode(bytes: &[u8], budget: &Budget) -> Option<(Record, usize)> {
-    let word = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?) as usize);
-    let length = word(0)?;
-    if !(4..=MAX_RECORD).contains(&length) {
+    let read_u32 =
+        |offset: usize| Some(u32::from_le_bytes(bytes.get(offset..offset + 4)?.try_into().ok()?) as usize);
+    let length = read_u32(0)?;
+    if !(4..=MAX_RECORD_BYTES).contains(&length) {
         return None;
     }
-    let payload = bytes.get(FRAME..FRAME + length)?;
-    if crc32fast::hash(payload) as usize != word(4)? {
+    let payload = bytes.get(RECORD_HEADER_BYTES..RECORD_HEADER_BYTES + length)?;
+    if crc32fast::hash(payload) as usize != read_u32(4)? {
         return None;
     }
-    let (head, body) = payload[4..].split_at_checked(word(FRAME)?)?;
+    let (head, body) = payload[4..].split_at_checked(read_u32(RECORD_HEADER_BYTES)?)?;
     let mut record = serde_json::from_slice(head).ok()?;
-    if let Record::Taken(taken) = &mut record {
-        let taken = Rc::get_mut(taken)?;
-        taken.body = Bytes::copy_from_slice(body);
-        taken.share = Some(budget.owe(body.len()));
+    if let Record::Accepted(message) = &mut record {
+        let message = Rc::get_mut(message)?;
+        message.body = Bytes::copy_from_slice(body);
+        message.memory_share = Some(budget.owe(body.len()));
     }
-    Some((record, FRAME + length))
+    Some((record, RECORD_HEADER_BYTES + length))
 }
 
 impl Journal {
     pub fn open(folder: &Path, disk_mb: f64, max_attempts: u32, budget: &Budget) -> io::Result<Journal> {
         let path = folder.join("journal");
-        // A rewrite that was cut short: the old file still holds everything.
+        // An interrupted rewrite: the main file is still complete.
         let _ = fs::remove_file(folder.join("journal.new"));
         let bytes = match fs::read(&path) {
             Ok(bytes) => bytes,
@@ -166,115 +170,132 @@
             Err(e) => return Err(e),
         };
         let file = OpenOptions::new().create(true).truncate(false).write(true).open(&path)?;
-        // Files count in whole blocks; a part stays free for that and for the folder itself.
-        let bound = ((disk_mb * 1e6 * 0.94 / 2.0) as u64 / 512).saturating_sub(4) * 512;
+        // Files count in whole blocks; a fraction stays free for that and for the folder itself.
+        let max_file_bytes = ((disk_mb * 1e6 * 0.94 / 2.0) as u64 / 512).saturating_sub(4) * 512;
         let max_attempts = max_attempts.min(1_000) as u64;
-        let mut journal =
-            Journal { path, file, size: 0, bound, claimed: 0, max_attempts, live: BTreeMap::new() };
-        let mut at = 0;
-        while let Some((record, length)) = decode(&bytes[at..], budget) {
-            journal.note(&record);
-            at += length;
+        let mut journal = Journal {
+            path,
+            file,
+            file_bytes: 0,
+            max_file_bytes,
+            total_reserved_bytes: 0,
+            max_attempts,
+            live: BTreeMap::new(),
+        };
+        let mut offset = 0;
+        while let Some((record, length)) = decode(&bytes[offset..], budget) {
+            journal.apply(&record);
+            offset += length;
         }
-        // What was torn by the end of the process before had not been answered for yet.
-        if at < bytes.len() {
-            tracing::warn!(kept = at, cut = bytes.len() - at, "the journal's tail is torn");
-            journal.file.set_len(at as u64)?;
+        // A write torn by the end of the previous process had not been acknowledged.
+        if offset < bytes.len() {
+            tracing::warn!(kept = offset, cut = bytes.len() - offset, "the journal's tail is torn");
+            journal.file.set_len(offset as u64)?;
         }
-        journal.size = at as u64;
+        journal.file_bytes = offset as u64;
         Ok(journal)
     }
 
-    pub fn live(&self) -> &BTreeMap<u64, Live> {
+    pub fn live(&self) -> &BTreeMap<u64, LiveMessage> {
         &self.live
     }
 
-    fn claim(&self, taken: &Taken) -> u64 {
-        let texts = taken.class.len() + taken.tenant.len() + taken.trace.len();
-        let texts = texts + taken.key.as_ref().map_or(0, String::len);
-        // Twice, as JSON may escape a character.
-        (2 * texts + taken.body.len()) as u64 + 160 + PER_END + PER_ATTEMPT * self.max_attempts
+    fn reserved_size(&self, message: &AcceptedMessage) -> u64 {
+        let texts = message.class.len() + message.tenant.len() + message.trace.len();
+        let texts = texts + message.key.as_ref().map_or(0, String::len);
+        // Texts count twice, as JSON may escape characters.
+        (2 * texts + message.body.len()) as u64
+            + 160
+            + MAX_FINISH_RECORDS_BYTES
+            + MAX_ATTEMPT_RECORDS_BYTES * self.max_attempts
     }
 
-    /// Whether there is room for one more besides `waiting` bytes that were promised in this round.
-    pub fn has_room(&self, taken: &Taken, waiting: u64) -> Option<u64> {
-        let claim = self.claim(taken);
-        (self.claimed + waiting + claim <= self.bound).then_some(claim)
+    /// Returns the size to reserve for a message if it fits in addition to `already_reserved_bytes` of this
+    /// commit.
+    pub fn bytes_to_reserve(&self, message: &AcceptedMessage, already_reserved_bytes: u64) -> Option<u64> {
+        let message_bytes = self.reserved_size(message);
+        (self.total_reserved_bytes + already_reserved_bytes + message_bytes <= self.max_file_bytes)
+            .then_some(message_bytes)
     }
 
-    /// Writes the records of a round at once. If that fails nothing of them holds.
+    /// Writes the records of a commit at once. On failure none of them takes effect.
     pub fn write(&mut self, records: &[Record]) -> io::Result<()> {
         if records.is_empty() {
             return Ok(());
         }
         let mut buffer = Vec::new();
-        records.iter().for_each(|r| encode(r, &mut buffer));
-        if self.size + buffer.len() as u64 > self.bound {
+        records.iter().for_each(|record| encode(record, &mut buffer));
+        if self.file_bytes + buffer.len() as u64 > self.max_file_bytes {
             self.compact()?;
         }
-        if self.size + buffer.len() as u64 > self.bound {
+        if self.file_bytes + buffer.len() as u64 > self.max_file_bytes {
             return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal is full"));
         }
-        if let Err(e) = self.file.write_all_at(&buffer, self.size) {
-            let _ = self.file.set_len(self.size);
+        if let Err(e) = self.file.write_all_at(&buffer, self.file_bytes) {
+            let _ = self.file.set_len(self.file_bytes);
             return Err(e);
         }
-        self.size += buffer.len() as u64;
-        records.iter().for_each(|r| self.note(r));
+        self.file_bytes += buffer.len() as u64;
+        records.iter().for_each(|r| self.apply(r));
         Ok(())
     }
 
-    /// Rewrites the file with what still lives.
+    /// Rewrites the file with the live messages.
     fn compact(&mut self) -> io::Result<()> {
         let mut buffer = Vec::new();
         for (&id, live) in &self.live {
-            encode(&Record::Taken(live.taken.clone()), &mut buffer);
+            encode(&Record::Accepted(live.message.clone()), &mut buffer);
             for attempt in &live.attempts {
-                encode(&Record::Begun(id, attempt.clone()), &mut buffer);
+                encode(&Record::AttemptStarted(id, attempt.clone()), &mut buffer);
                 if attempt.never_ran {
-                    encode(&Record::NeverRan(id, attempt.number), &mut buffer);
+                    encode(&Record::AttemptNeverRan(id, attempt.number), &mut buffer);
                 }
             }
             if let Some(ending) = live.ending {
-                encode(&Record::Decided(id, ending), &mut buffer);
+                encode(&Record::EndingDecided(id, ending), &mut buffer);
             }
         }
-        let new = self.path.with_extension("new");
-        let mut file = File::create(&new)?;
-        if let Err(e) = file.write_all(&buffer).and_then(|()| fs::rename(&new, &self.path)) {
-            let _ = fs::remove_file(&new);
+        let new_path = self.path.with_extension("new");
+        let mut file = File::create(&new_path)?;
+        if let Err(e) = file.write_all(&buffer).and_then(|()| fs::rename(&new_path, &self.path)) {
+            let _ = fs::remove_file(&new_path);
             return Err(e);
         }
-        (self.file, self.size) = (file, buffer.len() as u64);
+        (self.file, self.file_bytes) = (file, buffer.len() as u64);
         Ok(())
     }
 
-    fn note(&mut self, record: &Record) {
+    fn apply(&mut self, record: &Record) {
         match record {
-            Record::Taken(taken) => {
-                let claim = self.claim(taken);
-                self.claimed += claim;
-                let live = Live { taken: taken.clone(), attempts: Vec::new(), ending: None, claim };
-                self.live.insert(taken.id, live);
+            Record::Accepted(message) => {
+                let reserved_bytes = self.reserved_size(message);
+                self.total_reserved_bytes += reserved_bytes;
+                let live = LiveMessage {
+                    message: message.clone(),
+                    attempts: Vec::new(),
+                    ending: None,
+                    reserved_bytes,
+                };
+                self.live.insert(message.id, live);
             }
-            Record::Begun(id, begun) => {
+            Record::AttemptStarted(id, attempt) => {
                 if let Some(live) = self.live.get_mut(id) {
-                    live.attempts.push(begun.clone());
+                    live.attempts.push(attempt.clone());
                 }
             }
-            Record::NeverRan(id, number) => {
+            Record::AttemptNeverRan(id, number) => {
                 if let Some(live) = self.live.get_mut(id) {
                     live.attempts.iter_mut().filter(|a| a.number == *number).for_each(|a| a.never_ran = true);
                 }
             }
-            Record::Decided(id, ending) => {
+            Record::EndingDecided(id, ending) => {
                 if let Some(live) = self.live.get_mut(id) {
                     live.ending = Some(*ending);
                 }
             }
-            Record::Ended(id) => {
+            Record::Finished(id) => {
                 if let Some(live) = self.live.remove(id) {
-                    self.claimed -= live.claim;
+                    self.total_reserved_bytes -= live.reserved_bytes;
                 }
             }
         }
--- a/crates/serve/nickelshed-journal/benches/journal.rs
+++ b/crates/serve/nickelshed-journal/benches/journal.rs
@@ -1,7 +1,7 @@
-//! What a round's write costs: this journal and the one before it, side by side in one run.
+//! Cost of a commit's write, compared with the legacy journal in the same run.
 //!
-//! `cargo bench -p nickelshed-journal`. It writes below the build's folder and takes about a minute. Times are of the
-//! calls that the core's thread makes, so with copying and rewriting in them.
+//! `cargo bench -p nickelshed-journal`. It writes below the build folder and takes about a minute. It times
+//! the calls that the sender's core thread makes, so the times include compaction and rewrites.
 #[allow(dead_code)]
 mod before;
 
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const ROUNDS: u64 = 24_000;
+const MESSAGES: u64 = 24_000;
 
 fn scratch(name: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("bench-{name}"));
@@ -22,193 +22,223 @@
     path
 }
 
-/// The calls that a sender makes, in both journals' words.
-trait Under {
-    /// False if there is no room for it.
-    fn take(&mut self, id: u64, body: &Bytes) -> bool;
-    fn begin(&mut self, id: u64);
-    fn end(&mut self, id: u64);
+/// The calls that a sender makes, for both journals.
+trait BenchJournal {
+    /// Returns false if there is no space for the message.
+    fn accept(&mut self, id: u64, body: &Bytes) -> bool;
+    fn start_attempt(&mut self, id: u64);
+    fn finish(&mut self, id: u64);
 }
 
-struct New(Journal<Folder>, i64);
+struct CurrentJournal(Journal<Folder>, i64);
 
-impl New {
-    fn open(path: &Path, disk_mb: f64) -> New {
-        let options =
-            Options { disk: (disk_mb * 1e6) as u64, max_attempts: 8, durability: Durability::Process };
-        New(Journal::open(Folder::new(path), options, &Budget::new(4_000.0), 0).expect("opens").0, 0)
+impl CurrentJournal {
+    fn open(path: &Path, disk_mb: f64) -> CurrentJournal {
+        let options = Options {
+            disk_limit_bytes: (disk_mb * 1e6) as u64,
+            max_attempts: 8,
+            durability: Durability::Process,
+        };
+        CurrentJournal(
+            Journal::open(Folder::new(path), options, &Budget::new(4_000.0), 0).expect("opens").0,
+            0,
+        )
     }
 }
 
-impl Under for New {
-    fn take(&mut self, id: u64, body: &Bytes) -> bool {
+impl BenchJournal for CurrentJournal {
+    fn accept(&mut self, id: u64, body: &Bytes) -> bool {
         self.1 += 5;
-        let taken = Taken {
+        let message = AcceptedMessage {
             id,
             class: "alert-prognozy".into(),
             tenant: "rolnictwo".into(),
             dest: id % 30,
             trace: format!("{id:016x}"),
             key: Some(format!("{id:032x}")),
-            since: 0,
-            end: 16_000,
+            accepted_at_ms: 0,
+            deadline_ms: 16_000,
             body: body.clone(),
-            share: None,
+            memory_share: None,
         };
-        self.0.claim(&taken, &mut Claim::default(), self.1)
-            && self.0.append(&[Record::Taken(Rc::new(taken))], self.1).is_ok()
+        self.0.reserve(&message, &mut Reservation::default(), self.1)
+            && self.0.append(&[Record::Accepted(Rc::new(message))], self.1).is_ok()
     }
 
-    fn begin(&mut self, id: u64) {
-        let begun = Begun { number: 0, at: self.1, endpoint: "s-5be2a07c".into(), never_ran: false };
-        self.0.append(&[Record::Begun(id, begun)], self.1).expect("what is owed has room");
+    fn start_attempt(&mut self, id: u64) {
+        let attempt = AttemptRecord {
+            number: 0,
+            started_at_ms: self.1,
+            endpoint: "s-5be2a07c".into(),
+            never_ran: false,
+        };
+        self.0.append(&[Record::AttemptStarted(id, attempt)], self.1).expect("the space is reserved");
     }
 
-    fn end(&mut self, id: u64) {
-        self.0.append(&[Record::Ended(id)], self.1).expect("what is owed has room");
+    fn finish(&mut self, id: u64) {
+        self.0.append(&[Record::Finished(id)], self.1).expect("the space is reserved");
     }
 }
 
-struct Old(before::Journal);
+struct LegacyJournal(before::Journal);
 
-impl Under for Old {
-    fn take(&mut self, id: u64, body: &Bytes) -> bool {
-        let taken = before::Taken {
+impl BenchJournal for LegacyJournal {
+    fn accept(&mut self, id: u64, body: &Bytes) -> bool {
+        let message = before::AcceptedMessage {
             id,
             class: "alert-prognozy".into(),
             tenant: "rolnictwo".into(),
             dest: id % 30,
             trace: format!("{id:016x}"),
             key: Some(format!("{id:032x}")),
-            end: 16_000,
+            deadline_ms: 16_000,
             body: body.clone(),
-            share: None,
+            memory_share: None,
         };
-        self.0.has_room(&taken, 0).is_some() && self.0.write(&[before::Record::Taken(Rc::new(taken))]).is_ok()
+        self.0.bytes_to_reserve(&message, 0).is_some()
+            && self.0.write(&[before::Record::Accepted(Rc::new(message))]).is_ok()
     }
 
-    fn begin(&mut self, id: u64) {
-        let begun = before::Begun { number: 0, at: 0, endpoint: "s-5be2a07c".into(), never_ran: false };
-        self.0.write(&[before::Record::Begun(id, begun)]).expect("what is owed has room");
+    fn start_attempt(&mut self, id: u64) {
+        let attempt = before::AttemptRecord {
+            number: 0,
+            started_at_ms: 0,
+            endpoint: "s-5be2a07c".into(),
+            never_ran: false,
+        };
+        self.0.write(&[before::Record::AttemptStarted(id, attempt)]).expect("the space is reserved");
     }
 
-    fn end(&mut self, id: u64) {
-        self.0.write(&[before::Record::Ended(id)]).expect("what is owed has room");
+    fn finish(&mut self, id: u64) {
+        self.0.write(&[before::Record::Finished(id)]).expect("the space is reserved");
     }
 }
 
-struct Times(Vec<Duration>);
+struct CallTimes(Vec<Duration>);
 
-impl Times {
-    fn run<T>(&mut self, does: impl FnOnce() -> T) -> T {
-        let began = Instant::now();
-        let result = does();
-        self.0.push(began.elapsed());
+impl CallTimes {
+    fn measure<T>(&mut self, call: impl FnOnce() -> T) -> T {
+        let started_at = Instant::now();
+        let result = call();
+        self.0.push(started_at.elapsed());
         result
     }
 
-    fn row(mut self) -> String {
+    fn format_row(mut self) -> String {
         self.0.sort_unstable();
-        let at = |part: f64| self.0[((self.0.len() - 1) as f64 * part) as usize].as_secs_f64() * 1e6;
-        format!("{:>8.1} {:>8.1} {:>8.1} {:>9.1}", at(0.5), at(0.99), at(0.999), at(1.0))
+        let quantile_us =
+            |quantile: f64| self.0[((self.0.len() - 1) as f64 * quantile) as usize].as_secs_f64() * 1e6;
+        format!(
+            "{:>8.1} {:>8.1} {:>8.1} {:>9.1}",
+            quantile_us(0.5),
+            quantile_us(0.99),
+            quantile_us(0.999),
+            quantile_us(1.0)
+        )
     }
 }
 
-/// A message a round, each held for 2.5 s at 200 a second, or for less where fewer fit; every sixth for four times as
-/// long, so that segments grow old with some of it alive and copying has to run.
-fn pause(journal: &mut dyn Under, body: usize) -> (Times, usize, usize) {
-    let body = Bytes::from(vec![7; body]);
-    let (mut held, mut lasting, mut times) = (VecDeque::new(), VecDeque::new(), Times(Vec::new()));
-    let (mut refused, mut most) = (0, 0);
-    for id in 0..ROUNDS {
-        if times.run(|| journal.take(id, &body)) {
-            times.run(|| journal.begin(id));
-            let queue = if id % 6 == 0 { &mut lasting } else { &mut held };
-            queue.push_back(id);
+/// Commits one message at a time. At most 500 messages are live (2.5 s at 200 per second), or fewer if fewer
+/// fit. Every sixth message lives four times as long, so that old segments contain live messages and
+/// compaction has to run.
+fn run_workload(journal: &mut dyn BenchJournal, body_bytes: usize) -> (CallTimes, usize, usize) {
+    let body = Bytes::from(vec![7; body_bytes]);
+    let (mut short_lived, mut long_lived, mut times) =
+        (VecDeque::new(), VecDeque::new(), CallTimes(Vec::new()));
+    let (mut rejected, mut max_live) = (0, 0);
+    for id in 0..MESSAGES {
+        if times.measure(|| journal.accept(id, &body)) {
+            times.measure(|| journal.start_attempt(id));
+            let live_ids = if id % 6 == 0 { &mut long_lived } else { &mut short_lived };
+            live_ids.push_back(id);
         } else {
-            refused += 1;
+            rejected += 1;
         }
-        most = most.max(held.len() + lasting.len());
-        let full = held.len() + lasting.len() > 500 || refused > 0 && id % 2 == 0;
-        let from = if lasting.len() * 3 > most { &mut lasting } else { &mut held };
-        if let Some(id) = full.then(|| from.pop_front()).flatten() {
-            times.run(|| journal.end(id));
+        max_live = max_live.max(short_lived.len() + long_lived.len());
+        let should_finish = short_lived.len() + long_lived.len() > 500 || rejected > 0 && id % 2 == 0;
+        let finish_from = if long_lived.len() * 3 > max_live { &mut long_lived } else { &mut short_lived };
+        if let Some(id) = should_finish.then(|| finish_from.pop_front()).flatten() {
+            times.measure(|| journal.finish(id));
         }
     }
-    (times, refused, most)
+    (times, rejected, max_live)
 }
 
 fn main() {
-    // Cargo hands its own flags on; there is one thing to run.
-    println!("a round's write, in microseconds: p50, p99, p99.9, longest");
-    for (disk_mb, body) in [(3.0, 1_024), (3.0, 64 << 10), (1_000.0, 1_024), (1_000.0, 64 << 10)] {
+    // Flags passed on by Cargo are ignored.
+    println!("write of a commit, in microseconds: p50, p99, p99.9, maximum");
+    for (disk_mb, body_bytes) in [(3.0, 1_024), (3.0, 64 << 10), (1_000.0, 1_024), (1_000.0, 64 << 10)] {
         let path = scratch("old");
         let budget = Budget::new(4_000.0);
-        let mut old = Old(before::Journal::open(&path, disk_mb, 8, &budget).expect("opens"));
-        let (times, refused, most) = pause(&mut old, body);
-        println!("{disk_mb:>5} MB {body:>6} B  before {}  held {most:>4} refused {refused}", times.row());
+        let mut legacy_journal =
+            LegacyJournal(before::Journal::open(&path, disk_mb, 8, &budget).expect("opens"));
+        let (times, rejected, max_live) = run_workload(&mut legacy_journal, body_bytes);
+        println!(
+            "{disk_mb:>5} MB {body_bytes:>6} B  legacy {}  live {max_live:>4} rejected {rejected}",
+            times.format_row()
+        );
         let path = scratch("new");
-        let mut new = New::open(&path, disk_mb);
-        let (times, refused, most) = pause(&mut new, body);
-        let stats = new.0.stats();
-        let amplification = (stats.appended + stats.copied) as f64 / stats.appended as f64;
+        let mut current_journal = CurrentJournal::open(&path, disk_mb);
+        let (times, rejected, max_live) = run_workload(&mut current_journal, body_bytes);
+        let stats = current_journal.0.stats();
+        let amplification = (stats.appended_bytes + stats.copied_bytes) as f64 / stats.appended_bytes as f64;
         println!(
-            "{disk_mb:>5} MB {body:>6} B  now    {}  held {most:>4} refused {refused}  copied {} KB, written/appended {amplification:.2}",
-            times.row(),
-            stats.copied / 1_000
+            "{disk_mb:>5} MB {body_bytes:>6} B  now    {}  live {max_live:>4} rejected {rejected}  copied {} KB, written/appended {amplification:.2}",
+            times.format_row(),
+            stats.copied_bytes / 1_000
         );
     }
-    println!("bytes written for each byte appended, by how much of what can be held is held");
-    for part in [0.5, 0.8, 0.95, 1.0] {
+    println!("bytes written for each byte appended, by the fraction of the capacity that is live");
+    for fraction in [0.5, 0.8, 0.95, 1.0] {
         let path = scratch("full");
-        let mut new = New::open(&path, 3.0);
+        let mut journal = CurrentJournal::open(&path, 3.0);
         let body = Bytes::from(vec![7; 1_024]);
-        let mut lasting = Vec::new();
-        while new.take(lasting.len() as u64, &body) {
-            lasting.push(lasting.len() as u64);
+        let mut long_lived = Vec::new();
+        while journal.accept(long_lived.len() as u64, &body) {
+            long_lived.push(long_lived.len() as u64);
         }
-        let most = lasting.len();
-        for id in lasting.split_off((most as f64 * part) as usize) {
-            new.end(id);
+        let capacity = long_lived.len();
+        for id in long_lived.split_off((capacity as f64 * fraction) as usize) {
+            journal.finish(id);
         }
-        let start = new.0.stats();
-        let mut refused = 0;
+        let stats_before = journal.0.stats();
+        let mut rejected = 0;
         for id in 0..60_000 {
             let id = 1_000_000 + id;
-            if new.take(id, &body) {
-                new.begin(id);
-                new.end(id);
+            if journal.accept(id, &body) {
+                journal.start_attempt(id);
+                journal.finish(id);
             } else {
-                refused += 1;
-                // The oldest goes, so that there is something to do.
-                if let Some(id) = lasting.pop() {
-                    new.end(id);
+                rejected += 1;
+                // Finishes one of the long-lived messages, so that there is space for the next one.
+                if let Some(id) = long_lived.pop() {
+                    journal.finish(id);
                 }
             }
         }
-        let stats = new.0.stats();
-        let appended = stats.appended - start.appended;
-        let written = appended + stats.copied - start.copied;
+        let stats = journal.0.stats();
+        let appended_bytes = stats.appended_bytes - stats_before.appended_bytes;
+        let written_bytes = appended_bytes + stats.copied_bytes - stats_before.copied_bytes;
         println!(
-            "{:>4.0}% of {most}: {:.2} (bound {AMPLIFICATION}), {refused} refused",
-            part * 100.0,
-            written as f64 / appended as f64
+            "{:>4.0}% of {capacity}: {:.2} (bound {MAX_WRITE_AMPLIFICATION}), {rejected} rejected",
+            fraction * 100.0,
+            written_bytes as f64 / appended_bytes as f64
         );
     }
-    println!("read back: a folder of 100 MB that lives");
+    println!("recovery of a folder with 100 MB of live messages");
     let path = scratch("recovery");
-    let mut new = New::open(&path, 1_000.0);
+    let mut journal = CurrentJournal::open(&path, 1_000.0);
     let body = Bytes::from(vec![7; 1_024]);
     let mut id = 0;
-    while new.0.stats().room.log < 100_000_000 {
-        assert!(new.take(id, &body));
+    while journal.0.stats().space.log < 100_000_000 {
+        assert!(journal.accept(id, &body));
         id += 1;
     }
-    drop(new);
-    let began = Instant::now();
-    let new = New::open(&path, 1_000.0);
-    println!("{id} messages in {:.0} ms", began.elapsed().as_secs_f64() * 1e3);
-    assert_eq!(new.0.live().len() as u64, id);
+    drop(journal);
+    let started_at = Instant::now();
+    let journal = CurrentJournal::open(&path, 1_000.0);
+    println!("{id} messages in {:.0} ms", started_at.elapsed().as_secs_f64() * 1e3);
+    assert_eq!(journal.0.live().len() as u64, id);
     for name in ["old", "new", "full", "recovery"] {
         let _ = std::fs::remove_dir_all(scratch(name));
     }
--- a/crates/serve/nickelshed-journal/src/journal.rs
+++ b/crates/serve/nickelshed-journal/src/journal.rs
@@ -1,113 +1,118 @@
-//! The log of a folder: appends, copying, removal, and the order of syncs. It decides when nothing; `pace` does.
+//! The log of one folder: appends, compaction, removal of segments, and the order of syncs. When and how much
+//! to compact is decided in `compaction`.
 mod open;
 
-pub use open::{Found, OpenError};
+pub use open::{OpenError, RecoveryReport};
 
-use crate::format::{self, bound, Frames, Header, Place, FRAME, HEADER};
-use crate::note::{self, NOTE};
-use crate::pace::{Room, STEP};
-use crate::record::{Live, Record, Taken};
-use crate::storage::{Handle, Storage};
-use crate::table::Table;
+use crate::format::{self, bound, FrameBatch, FramePosition, Header, FRAME_HEADER_BYTES, HEADER_BYTES};
+use crate::note::{self, OUTAGE_SNAPSHOT_FILE};
+use crate::pace::{SpaceUsage, MAX_COMPACTION_STEP_BYTES};
+use crate::record::{AcceptedMessage, LiveMessage, Record};
+use crate::storage::{FileHandle, Storage};
+use crate::table::MessageTable;
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 
-/// What an append outlasts before its round counts as kept.
+/// The failure that a commit must survive before it counts as durable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Durability {
-    /// The end of the process, by whatever signal.
+    /// The end of the process, by any signal.
     #[default]
     Process,
-    /// The loss of power too: a round is kept once its sync has come back.
+    /// Loss of power too: a commit is durable once its sync has finished.
     Machine,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Bytes that the folder may take on the disk, each file in whole blocks of 512.
-    pub disk: u64,
-    /// Attempts of a message at most; their records' room is claimed as it is taken on.
+    /// Limit of the folder's size on disk in bytes. Each file counts in whole blocks of 512 bytes.
+    pub disk_limit_bytes: u64,
+    /// Maximum number of attempts per message. Space for their records is reserved when the message is
+    /// accepted.
     pub max_attempts: u32,
     pub durability: Durability,
 }
 
-/// Rounds count from 1 in each process.
-pub type Round = u64;
+/// Sequence number of a commit. It starts at 1 in each process.
+pub type CommitSeq = u64;
 
-/// Bytes of messages that are to be taken on in one round.
+/// Space reserved for the messages that are to be accepted in one commit, in bytes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Claim {
-    claimed: u64,
-    frame: u64,
+pub struct Reservation {
+    reserved_bytes: u64,
+    frame_bytes: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stats {
-    /// Bytes of the rounds that were appended, frames included.
-    pub appended: u64,
-    /// Bytes that were copied to free room.
-    pub copied: u64,
+    /// Bytes appended by commits, including frame headers.
+    pub appended_bytes: u64,
+    /// Bytes copied by compaction.
+    pub copied_bytes: u64,
     pub segments: usize,
     pub messages: usize,
-    pub room: Room,
-    /// Bytes on the disk, in whole blocks.
-    pub disk: u64,
+    pub space: SpaceUsage,
+    /// Size of the folder on disk in bytes, in whole blocks.
+    pub disk_bytes: u64,
 }
 
 struct Segment<F> {
     seq: u64,
-    /// Open while it is written to or waits for a sync: descriptors are for connections.
+    /// Open only while the segment is written to or awaits a sync, as file descriptors are needed for
+    /// connections.
     file: Option<F>,
-    /// Bytes that hold good.
-    good: u64,
-    /// Bytes that it may take on the disk.
-    length: u64,
-    /// Messages whose whole record was written here, in order; some have ended or moved on since.
-    ids: VecDeque<u64>,
-    /// All that lived here stands elsewhere since this round.
-    emptied: Option<Round>,
-    dirty: bool,
+    /// Length of the valid part.
+    valid_bytes: u64,
+    /// Upper bound of the file size.
+    file_bytes: u64,
+    /// Messages whose newest full record was written to this segment, in order of writing. Some have since
+    /// finished or been copied to another segment.
+    message_ids: VecDeque<u64>,
+    /// The commit that copied the last live messages to another segment, if the segment is empty.
+    emptied_at: Option<CommitSeq>,
+    needs_sync: bool,
 }
 
-/// An emptied segment that the next one may be written over.
+/// An emptied segment file that the next segment may overwrite.
 struct Spare {
-    length: u64,
-    renamed: Renamed,
+    file_bytes: u64,
+    rename_state: RenameState,
 }
 
-/// Its old name must be gone for good first: a start that still found it would read the new records as damage.
+/// State of the rename of the spare segment. The rename must be durable before the file is reused: a restart
+/// that still found the file under its old name would report the new records as damage.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Renamed {
-    Now,
+enum RenameState {
+    Unsynced,
     Syncing,
-    Kept,
+    Durable,
 }
 
-/// A sync to be run, on any thread; its result goes to [`Journal::synced`].
+/// A sync for any thread to run. Its result goes to [`Journal::finish_sync`].
 #[derive(Debug)]
-pub struct Sync<F> {
+pub struct SyncTask<F> {
     files: Vec<F>,
     folder: Option<F>,
-    upto: Round,
+    through: CommitSeq,
 }
 
 #[derive(Debug)]
-pub struct Synced {
-    upto: Round,
+pub struct SyncResult {
+    through: CommitSeq,
     result: io::Result<()>,
 }
 
-impl Synced {
+impl SyncResult {
     pub fn error(&self) -> Option<&io::Error> {
         self.result.as_ref().err()
     }
 }
 
-impl<F: Handle> Sync<F> {
-    pub fn run(self) -> Synced {
-        // Files first: a name that lasts leads to bytes that last.
-        let result = self.files.iter().chain(&self.folder).try_for_each(Handle::sync);
-        Synced { upto: self.upto, result }
+impl<F: FileHandle> SyncTask<F> {
+    pub fn run(self) -> SyncResult {
+        // Files before the folder: a durable name must refer to durable contents.
+        let result = self.files.iter().chain(&self.folder).try_for_each(FileHandle::sync);
+        SyncResult { through: self.through, result }
     }
 }
 
@@ -116,374 +121,415 @@
     folder: S::File,
     options: Options,
     nonce: u64,
-    /// Oldest first; the last one is written to.
+    /// Oldest first. The last one is the active segment.
     segments: VecDeque<Segment<S::File>>,
     next_seq: u64,
-    table: Table,
-    frames: Frames,
-    /// The last segment may hold more than its good bytes, or must not be written to: go on in a new one.
-    roll: bool,
-    ballast: bool,
-    /// When it was last tried to write it, Unix time in milliseconds.
-    ballast_tried: i64,
-    /// Bytes of other files in the folder.
-    others: u64,
-    /// The file of notes is there. Its room counts from the start, so that it never takes what is claimed.
-    noted: bool,
-    /// The number of the note that stands there, or 0.
-    note_number: u64,
-    round: Round,
-    durable: Round,
-    /// The last round that stands on the disk. Those before it need not, while a failed sync is being made up for.
-    on_disk: Round,
-    folder_dirty: bool,
-    syncing: bool,
-    /// A sync failed: all that these segments hold must be written once more elsewhere.
-    rewrite: Option<u64>,
-    /// Damaged segments that are kept under another name.
-    aside: Vec<u64>,
+    table: MessageTable,
+    frames: FrameBatch,
+    /// Set if the active segment must not be written to again, for example since a failed write may have left
+    /// bytes behind its valid part. The next write starts a new segment.
+    must_roll: bool,
+    has_ballast: bool,
+    /// Unix time in milliseconds.
+    ballast_tried_at_ms: i64,
+    /// Total size of other files in the folder.
+    other_files_bytes: u64,
+    /// Whether the outage snapshot file exists. Its space is counted from the start, so that it never uses
+    /// reserved space.
+    has_outage_snapshot: bool,
+    /// Number of the last snapshot that was written, or 0.
+    outage_snapshot_number: u64,
+    last_commit: CommitSeq,
+    durable_commit: CommitSeq,
+    /// The last commit covered by a successful sync. While `rewrite_through` is set, earlier commits may not
+    /// be on disk.
+    synced_commit: CommitSeq,
+    folder_needs_sync: bool,
+    sync_in_flight: bool,
+    /// Set after a failed sync: the live messages of all segments up to this one must be written again to a
+    /// new segment.
+    rewrite_through: Option<u64>,
+    /// Damaged segments that are renamed instead of removed once they are empty.
+    to_quarantine: Vec<u64>,
     spare: Option<Spare>,
     stats: Stats,
 }
 
-/// Segments are this part of the room.
-/// Bytes of a file beside the journal at most: a block of the disk.
-const BESIDE: u64 = 512;
-/// What such a file takes of the folder's limit, with the new one that stands beside it for a moment.
-pub const ROOM_BESIDE: u64 = 2 * BESIDE;
-const SEGMENTS: u64 = 16;
-const LEAST_SEGMENT: u64 = 16 << 10;
-const MOST_SEGMENT: u64 = 1 << 20;
-/// Part of the disk's limit that stays free for the folder itself and for rounding.
-const SLACK: f64 = 0.06;
-const BLOCK: u64 = 512;
-/// Held back so that what is held can go on when the disk is full of other programs' bytes.
-const BALLAST: &str = "ballast";
-const MOST_BALLAST: u64 = 128 << 10;
-/// How often room is looked for on a disk that was full, in milliseconds.
-const BALLAST_AGAIN: i64 = 1_000;
-/// An emptied segment, where rounds wait for syncs.
-const SPARE: &str = "spare";
-const DAMAGED: &str = "damaged-";
+/// Maximum size of a side file: one disk block.
+const MAX_SIDE_FILE_BYTES: u64 = 512;
+/// Space that a side file takes of the folder's limit, including the new file that exists beside it during a
+/// rewrite.
+pub const SIDE_FILE_RESERVED_BYTES: u64 = 2 * MAX_SIDE_FILE_BYTES;
+/// The log is divided into about this many segments, within the limits of the segment size.
+const TARGET_SEGMENT_COUNT: u64 = 16;
+const MIN_SEGMENT_BYTES: u64 = 16 << 10;
+const MAX_SEGMENT_BYTES: u64 = 1 << 20;
+/// Fraction of the disk limit that stays free for the folder itself and for rounding to blocks.
+const DISK_SLACK_FRACTION: f64 = 0.06;
+const BLOCK_BYTES: u64 = 512;
+/// File that reserves disk space, so that open messages can finish when other programs have filled the disk.
+const BALLAST_FILE: &str = "ballast";
+const MAX_BALLAST_BYTES: u64 = 128 << 10;
+/// Interval between attempts to rewrite the ballast file after the disk was full.
+const BALLAST_RETRY_INTERVAL_MS: i64 = 1_000;
+/// An emptied segment kept for reuse. Only used with [`Durability::Machine`].
+const SPARE_FILE: &str = "spare";
+/// Prefix of the file names of quarantined segments.
+const DAMAGED_PREFIX: &str = "damaged-";
+
 pub fn segment_name(seq: u64) -> String {
     format!("segment-{seq:016x}")
 }
 
-fn aside_name(seq: u64) -> String {
-    format!("{DAMAGED}{seq:016x}")
+fn quarantine_name(seq: u64) -> String {
+    format!("{DAMAGED_PREFIX}{seq:016x}")
 }
 
-/// The number of a segment's file.
+/// Returns the segment number of a file name, or None if the file is not a segment.
 pub fn segment_number(name: &str) -> Option<u64> {
     let digits = name.strip_prefix("segment-")?;
     (digits.len() == 16).then(|| u64::from_str_radix(digits, 16).ok()).flatten()
 }
 
-/// Files that are the journal's own and hold no message.
-pub fn is_aside(name: &str) -> bool {
-    name == BALLAST || name == SPARE || name == "lock" || name.starts_with(DAMAGED)
+/// Whether this file belongs to the journal and contains no messages that can be recovered.
+pub fn is_auxiliary_file(name: &str) -> bool {
+    name == BALLAST_FILE || name == SPARE_FILE || name == "lock" || name.starts_with(DAMAGED_PREFIX)
 }
 
-fn blocks(length: u64) -> u64 {
-    length.div_ceil(BLOCK) * BLOCK
+fn round_up_to_blocks(length: u64) -> u64 {
+    length.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
 }
 
 impl<S: Storage> Journal<S> {
-    /// What lives, by number.
-    pub fn live(&self) -> &BTreeMap<u64, Live> {
+    /// Returns the live messages by id.
+    pub fn live(&self) -> &BTreeMap<u64, LiveMessage> {
         self.table.live()
     }
 
-    /// A number that no record in the folder has.
+    /// Returns an id that no record in the folder uses.
     pub fn next_id(&self) -> u64 {
         self.table.next_id()
     }
 
     pub fn stats(&self) -> Stats {
-        let disk = self.disk();
+        let disk_bytes = self.disk_bytes();
         let (segments, messages) = (self.segments.len(), self.table.live().len());
-        Stats { segments, messages, room: self.room(), disk, ..self.stats }
+        Stats { segments, messages, space: self.space_usage(), disk_bytes, ..self.stats }
     }
 
-    fn disk(&self) -> u64 {
-        let ballast = if self.ballast { self.ballast_size() } else { 0 };
-        self.log() + self.others + ballast
+    fn disk_bytes(&self) -> u64 {
+        let ballast_bytes = if self.has_ballast { self.ballast_size() } else { 0 };
+        self.log_size() + self.other_files_bytes + ballast_bytes
     }
 
-    fn log(&self) -> u64 {
-        self.segments.iter().map(|s| blocks(s.length)).sum()
+    fn log_size(&self) -> u64 {
+        self.segments.iter().map(|segment| round_up_to_blocks(segment.file_bytes)).sum()
     }
 
-    /// What is never passed. Between it and `total` lies what rounding to blocks may take.
-    fn limit(&self) -> u64 {
-        (self.options.disk as f64 * (1.0 - SLACK / 2.0)) as u64
+    /// Returns the limit of the folder's size, which is never exceeded. The difference to the space for the
+    /// log allows for rounding to blocks.
+    fn folder_limit(&self) -> u64 {
+        (self.options.disk_limit_bytes as f64 * (1.0 - DISK_SLACK_FRACTION / 2.0)) as u64
     }
 
-    /// What segments may take.
-    fn total(&self) -> u64 {
-        let usable = (self.options.disk as f64 * (1.0 - SLACK)) as u64;
-        usable.saturating_sub(self.others + self.ballast_size()) / BLOCK * BLOCK
+    /// Returns the space that all segments together may take.
+    fn log_limit(&self) -> u64 {
+        let usable = (self.options.disk_limit_bytes as f64 * (1.0 - DISK_SLACK_FRACTION)) as u64;
+        usable.saturating_sub(self.other_files_bytes + self.ballast_size()) / BLOCK_BYTES * BLOCK_BYTES
     }
 
     fn ballast_size(&self) -> u64 {
-        (self.options.disk / SEGMENTS / 2).min(MOST_BALLAST) / BLOCK * BLOCK
+        (self.options.disk_limit_bytes / TARGET_SEGMENT_COUNT / 2).min(MAX_BALLAST_BYTES) / BLOCK_BYTES
+            * BLOCK_BYTES
     }
 
-    fn target(&self) -> u64 {
-        (self.total() / SEGMENTS).clamp(LEAST_SEGMENT, MOST_SEGMENT)
+    fn target_segment_bytes(&self) -> u64 {
+        (self.log_limit() / TARGET_SEGMENT_COUNT).clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES)
     }
 
-    fn room(&self) -> Room {
-        let longest = self.segments.iter().map(|s| s.length).max().unwrap_or(0);
-        // Room that is taken beforehand: of the segment that is written to, and of one that a copy may begin.
-        let reserved = if self.options.durability == Durability::Machine { 2 * self.target() } else { 0 };
-        Room {
-            total: self.total(),
-            log: self.log(),
-            live: self.table.bytes(),
-            owed: self.owed_each() * self.table.live().len() as u64,
-            spare: self.target().max(longest) + reserved + 4 * BLOCK,
+    fn space_usage(&self) -> SpaceUsage {
+        let longest = self.segments.iter().map(|segment| segment.file_bytes).max().unwrap_or(0);
+        // Preallocated space: of the active segment, and of one more that compaction may start.
+        let preallocated_bytes =
+            if self.options.durability == Durability::Machine { 2 * self.target_segment_bytes() } else { 0 };
+        SpaceUsage {
+            log_limit: self.log_limit(),
+            log: self.log_size(),
+            live: self.table.full_messages_bound(),
+            reserved: self.reserved_per_message() * self.table.live().len() as u64,
+            compaction_reserve: self.target_segment_bytes().max(longest)
+                + preallocated_bytes
+                + 4 * BLOCK_BYTES,
         }
     }
 
-    /// What may still be written of a message that was taken on, and by how much its copy may outgrow its record.
-    fn owed_each(&self) -> u64 {
+    /// Bound of the records that may still be written of a message, and of the growth of its full record.
+    fn reserved_per_message(&self) -> u64 {
         let attempts = u64::from(self.options.max_attempts.min(1_000));
-        bound::to_come(attempts) + bound::growth(attempts)
-    }
-
-    /// Claims room for a message with all that may come to be written of it, besides what this round has claimed
-    /// already. False if there is none: then it must not be taken on.
-    pub fn claim(&mut self, taken: &Taken, round: &mut Claim, now: i64) -> bool {
-        let record = bound::taken(taken);
-        let claim = record + self.owed_each();
-        let next = Claim { claimed: round.claimed + claim, frame: round.frame + record };
-        let fits = |room: Room| {
-            // This round may make the longest segment yet, and that must be copied some day.
-            let spare = room.spare.max(next.frame + (HEADER + FRAME) as u64);
-            Room { spare, ..room }.free() >= next.claimed
+        bound::remaining_records(attempts) + bound::full_message_growth(attempts)
+    }
+
+    /// Reserves space for a message and for all records that may be written of it, in addition to what
+    /// `reservation` already covers. Returns false if there is not enough space: the message must then not be
+    /// accepted.
+    pub fn reserve(&mut self, message: &AcceptedMessage, reservation: &mut Reservation, now_ms: i64) -> bool {
+        let record = bound::accepted(message);
+        let message_bytes = record + self.reserved_per_message();
+        let new_reservation = Reservation {
+            reserved_bytes: reservation.reserved_bytes + message_bytes,
+            frame_bytes: reservation.frame_bytes + record,
+        };
+        let has_space = |usage: SpaceUsage| {
+            // This commit may become the longest segment, which compaction must be able to copy later.
+            let compaction_reserve = usage
+                .compaction_reserve
+                .max(new_reservation.frame_bytes + (HEADER_BYTES + FRAME_HEADER_BYTES) as u64);
+            SpaceUsage { compaction_reserve, ..usage }.free() >= new_reservation.reserved_bytes
         };
-        if self.rewrite.is_some() || !self.hold_ballast(now) {
+        if self.rewrite_through.is_some() || !self.ensure_ballast(now_ms) {
             return false;
         }
-        if !fits(self.room()) {
-            // Appends pace the copying. Where nothing could be taken on there may be none.
-            let _ = self.copy(STEP, now, Room::pays);
-            if !fits(self.room()) {
+        if !has_space(self.space_usage()) {
+            // Compaction normally follows appends. While no message can be accepted there may be no appends.
+            let _ = self.compact(MAX_COMPACTION_STEP_BYTES, now_ms, SpaceUsage::is_compaction_worthwhile);
+            if !has_space(self.space_usage()) {
                 return false;
             }
         }
-        *round = next;
+        *reservation = new_reservation;
         true
     }
 
-    /// Writes the records of a round at once, and copies some of what lives if room is short. `now` is Unix time in
-    /// milliseconds.
+    /// Writes the records of a commit as one frame, and runs a compaction step if space is short.
+    /// `now_ms` is Unix time.
     ///
     /// # Errors
-    /// If it fails nothing of the round holds, now or after a restart.
-    pub fn append(&mut self, records: &[Record], now: i64) -> io::Result<Round> {
+    /// On failure no record of the commit takes effect, neither now nor after a restart.
+    pub fn append(&mut self, records: &[Record], now_ms: i64) -> io::Result<CommitSeq> {
         if records.is_empty() {
-            return Ok(self.round);
+            return Ok(self.last_commit);
         }
         self.frames.clear();
         let frame = self.frames.begin();
-        records.iter().for_each(|r| format::encode(r, frame));
+        records.iter().for_each(|record| format::encode(record, frame));
         let length = self.frames.len();
-        let seq = self.write(now)?;
+        let seq = self.write_frames(now_ms)?;
         for record in records {
             self.table.apply(record, seq);
-            if let Record::Taken(taken) = record {
-                self.note_base(taken.id);
+            if let Record::Accepted(message) = record {
+                self.add_message_id(message.id);
             }
         }
-        self.stats.appended += length;
-        let round = self.round;
-        let step = if self.rewrite.is_some() { STEP } else { self.room().step(length) };
-        if step > 0 || self.oldest_is_dead() {
-            let rewrite = self.rewrite;
-            // What could not be copied stays where it is.
-            let _ = self.copy(step, now, |room| rewrite.is_some() || step == 0 || room.pays());
+        self.stats.appended_bytes += length;
+        let commit = self.last_commit;
+        let step_bytes = if self.rewrite_through.is_some() {
+            MAX_COMPACTION_STEP_BYTES
+        } else {
+            self.space_usage().compaction_step(length)
+        };
+        if step_bytes > 0 || self.is_oldest_segment_empty() {
+            let rewrite_through = self.rewrite_through;
+            // On failure the messages stay in their segments.
+            let _ = self.compact(step_bytes, now_ms, |usage| {
+                rewrite_through.is_some() || step_bytes == 0 || usage.is_compaction_worthwhile()
+            });
         }
-        let _ = self.clean();
-        Ok(round)
+        let _ = self.remove_emptied_segments();
+        Ok(commit)
     }
 
-    /// Like [`Journal::append`], for what is owed to messages that are held: on a full disk it may use what was held
-    /// back for that.
+    /// Like [`Journal::append`], for records whose space is reserved. If the disk is full, it removes the
+    /// ballast file and tries again.
     ///
     /// # Errors
     /// As for `append`.
-    pub fn append_owed(&mut self, records: &[Record], now: i64) -> io::Result<Round> {
-        let result = self.append(records, now);
+    pub fn append_reserved(&mut self, records: &[Record], now_ms: i64) -> io::Result<CommitSeq> {
+        let result = self.append(records, now_ms);
         match result {
-            Err(e) if e.kind() == io::ErrorKind::StorageFull && self.ballast => {
-                // Whatever comes of its removal, it can no longer be counted on.
-                self.ballast = false;
-                self.storage.remove(BALLAST)?;
-                self.append(records, now)
+            Err(e) if e.kind() == io::ErrorKind::StorageFull && self.has_ballast => {
+                // Even if the removal fails, the ballast can no longer be relied on.
+                self.has_ballast = false;
+                self.storage.remove(BALLAST_FILE)?;
+                self.append(records, now_ms)
             }
             other => other,
         }
     }
 
-    /// Keeps a few bytes beside the journal, in place of those kept before. They may be lost, and nothing else is,
-    /// with the machine or where others fill the disk.
+    /// Stores a snapshot of the outages, in place of the previous one. Only the snapshot may be lost if the
+    /// machine is lost or the disk is full; the log is not affected.
     ///
     /// # Errors
-    /// If they are too many or can't be written.
-    pub fn keep_note(&mut self, bytes: &[u8]) -> io::Result<()> {
-        if bytes.len() > self.most_note() {
-            return Err(io::Error::new(io::ErrorKind::InvalidInput, "a note is too long"));
-        }
-        let file = if self.noted { self.storage.open(NOTE)? } else { self.storage.create(NOTE)? };
-        self.noted = true;
-        let number = self.note_number + 1;
-        // The one before stands in the other place until this one is whole.
-        self.storage.write_all_at(&file, &note::sealed(number, bytes), self.note_layout().offset(number))?;
-        self.note_number = number;
+    /// If it is too long or cannot be written.
+    pub fn write_outage_snapshot(&mut self, bytes: &[u8]) -> io::Result<()> {
+        if bytes.len() > self.max_outage_snapshot_bytes() {
+            return Err(io::Error::new(io::ErrorKind::InvalidInput, "the outage snapshot is too long"));
+        }
+        let file = if self.has_outage_snapshot {
+            self.storage.open(OUTAGE_SNAPSHOT_FILE)?
+        } else {
+            self.storage.create(OUTAGE_SNAPSHOT_FILE)?
+        };
+        self.has_outage_snapshot = true;
+        let number = self.outage_snapshot_number + 1;
+        // The previous snapshot stays intact in the other slot until this write is complete.
+        self.storage.write_all_at(
+            &file,
+            &note::encode_slot(number, bytes),
+            self.outage_snapshot_layout().offset(number),
+        )?;
+        self.outage_snapshot_number = number;
         Ok(())
     }
 
-    /// What was kept last and is whole.
-    pub fn note(&self) -> Option<Vec<u8>> {
-        Some(self.newest_note()?.1)
+    /// Returns the newest intact snapshot.
+    pub fn read_outage_snapshot(&self) -> Option<Vec<u8>> {
+        Some(self.newest_outage_snapshot()?.1)
     }
 
-    fn newest_note(&self) -> Option<(u64, Vec<u8>)> {
-        let layout = self.note_layout();
-        layout.newest(&self.storage.read(NOTE, layout.file_size()).ok()?)
+    fn newest_outage_snapshot(&self) -> Option<(u64, Vec<u8>)> {
+        let layout = self.outage_snapshot_layout();
+        layout.newest(&self.storage.read(OUTAGE_SNAPSHOT_FILE, layout.file_size()).ok()?)
     }
 
-    fn note_layout(&self) -> note::Layout {
-        note::Layout::on(self.options.disk)
+    fn outage_snapshot_layout(&self) -> note::Layout {
+        note::Layout::for_disk_limit(self.options.disk_limit_bytes)
     }
 
-    /// The most bytes that a note may have.
-    pub fn most_note(&self) -> usize {
-        self.note_layout().most()
+    /// Maximum length of an outage snapshot in bytes.
+    pub fn max_outage_snapshot_bytes(&self) -> usize {
+        self.outage_snapshot_layout().max_snapshot_bytes()
     }
 
-    /// Keeps a few bytes in a file of their own beside the journal, whole or not at all. [`ROOM_BESIDE`] is for whoever opens
-    /// the journal to set aside.
+    /// Atomically replaces a small file beside the journal. The caller must subtract
+    /// [`SIDE_FILE_RESERVED_BYTES`] from the disk limit that it passes in [`Options`].
     ///
     /// # Errors
-    /// If they can't be written; what was kept before is kept then.
-    pub fn keep_beside(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let new = format!("{name}.new");
-        match self.storage.remove(&new) {
+    /// If the file cannot be written. The previous contents are then kept.
+    pub fn write_side_file(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
+        let new_name = format!("{name}.new");
+        match self.storage.remove(&new_name) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
-            // Left by a process that ended between the two.
+            // Left behind by a process that ended before the rename.
             _ => {}
         }
-        self.storage.write_all_at(&self.storage.create(&new)?, bytes, 0)?;
-        self.storage.rename(&new, name)
+        self.storage.write_all_at(&self.storage.create(&new_name)?, bytes, 0)?;
+        self.storage.rename(&new_name, name)
     }
 
-    /// What was kept so, up to a block of it; None if nothing was, or it can't be read.
-    pub fn beside(&self, name: &str) -> Option<Vec<u8>> {
-        self.storage.read(name, BESIDE).ok()
+    /// Returns the first block of a side file, or None if it is missing or unreadable.
+    pub fn read_side_file(&self, name: &str) -> Option<Vec<u8>> {
+        self.storage.read(name, MAX_SIDE_FILE_BYTES).ok()
     }
 
-    /// Whether new messages wait for room on the disk that other programs have taken.
-    pub fn is_short(&self) -> bool {
-        !self.ballast
+    /// Whether the ballast file is missing because other programs have filled the disk. No new messages are
+    /// accepted until it is written again.
+    pub fn is_ballast_missing(&self) -> bool {
+        !self.has_ballast
     }
 
-    /// Makes sure of the bytes held back.
-    fn hold_ballast(&mut self, now: i64) -> bool {
-        if self.ballast || now.saturating_sub(self.ballast_tried).abs() < BALLAST_AGAIN {
-            return self.ballast;
+    /// Writes the ballast file if it is missing. Returns whether it exists.
+    fn ensure_ballast(&mut self, now_ms: i64) -> bool {
+        if self.has_ballast
+            || now_ms.saturating_sub(self.ballast_tried_at_ms).abs() < BALLAST_RETRY_INTERVAL_MS
+        {
+            return self.has_ballast;
         }
-        self.ballast_tried = now;
+        self.ballast_tried_at_ms = now_ms;
         let size = self.ballast_size();
-        if self.disk() + size > self.limit() {
+        if self.disk_bytes() + size > self.folder_limit() {
             return false;
         }
-        let made = match self.storage.create(BALLAST) {
-            // One whose removal failed, or that an end cut short.
+        let created = match self.storage.create(BALLAST_FILE) {
+            // Its removal failed, or its write was interrupted.
             Err(e) if e.kind() == io::ErrorKind::AlreadyExists => {
-                self.storage.remove(BALLAST).and_then(|()| self.storage.create(BALLAST))
+                self.storage.remove(BALLAST_FILE).and_then(|()| self.storage.create(BALLAST_FILE))
             }
             other => other,
         };
-        let written = made.and_then(|file| self.storage.write_all_at(&file, &vec![0; size as usize], 0));
-        self.ballast = written.is_ok();
-        if !self.ballast {
-            let _ = self.storage.remove(BALLAST);
+        let written = created.and_then(|file| self.storage.write_all_at(&file, &vec![0; size as usize], 0));
+        self.has_ballast = written.is_ok();
+        if !self.has_ballast {
+            let _ = self.storage.remove(BALLAST_FILE);
         }
-        self.ballast
+        self.has_ballast
     }
 
-    /// Whether nothing needs the oldest segment any more. Its messages are forgotten as they are met dead, so that this
-    /// costs little.
-    fn oldest_is_dead(&mut self) -> bool {
+    /// Whether no live message needs the oldest segment. Ids of messages that have finished or moved are
+    /// dropped from the front of its list, so each id is checked once.
+    fn is_oldest_segment_empty(&mut self) -> bool {
         let table = &self.table;
         match self.segments.front_mut() {
-            Some(s) if s.seq + 1 < self.next_seq && s.emptied.is_none() => {
-                let seq = s.seq;
-                let dead = |id: &u64| table.live().get(id).is_none_or(|l| l.base != seq);
-                while s.ids.pop_front_if(|id| dead(id)).is_some() {}
-                s.ids.is_empty()
+            Some(segment) if segment.seq + 1 < self.next_seq && segment.emptied_at.is_none() => {
+                let seq = segment.seq;
+                let is_obsolete = |id: &u64| table.live().get(id).is_none_or(|live| live.base_segment != seq);
+                while segment.message_ids.pop_front_if(|id| is_obsolete(id)).is_some() {}
+                segment.message_ids.is_empty()
             }
             _ => false,
         }
     }
 
-    fn note_base(&mut self, id: u64) {
-        if let Some(last) = self.segments.back_mut() {
-            last.ids.push_back(id);
+    fn add_message_id(&mut self, id: u64) {
+        if let Some(active) = self.segments.back_mut() {
+            active.message_ids.push_back(id);
         }
     }
 
-    /// Writes the frames that were gathered; in which segment.
-    fn write(&mut self, now: i64) -> io::Result<u64> {
+    /// Writes the pending frames and returns the number of the segment.
+    fn write_frames(&mut self, now_ms: i64) -> io::Result<u64> {
         let length = self.frames.len();
-        let target = self.target();
-        let full = |s: &Segment<S::File>| s.good > HEADER as u64 && s.good + length > target;
-        if self.roll || self.segments.back().is_none_or(full) {
-            self.roll()?;
-        }
-        let (disk, limit) = (self.disk(), self.limit());
-        let last = self.segments.back_mut().and_then(|last| Some((last.file.clone()?, last)));
-        let Some((file, last)) = last else { return Err(io::ErrorKind::NotFound.into()) };
-        if disk - blocks(last.length) + blocks(last.length.max(last.good + length)) > limit {
-            return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal's part of the disk is full"));
-        }
-        let place = Place { nonce: self.nonce, seq: last.seq, offset: last.good };
-        let bytes = self.frames.seal(now, place);
-        let end = last.good + length;
-        last.dirty = true;
-        if let Err(e) = self.storage.write_all_at(&file, bytes, last.good) {
-            // Else what was written of it could be taken for a round that holds.
-            if self.storage.truncate(&file, last.good).is_err() {
-                last.length = last.length.max(end);
-                self.roll = true;
+        let target_segment_bytes = self.target_segment_bytes();
+        let is_full = |segment: &Segment<S::File>| {
+            segment.valid_bytes > HEADER_BYTES as u64 && segment.valid_bytes + length > target_segment_bytes
+        };
+        if self.must_roll || self.segments.back().is_none_or(is_full) {
+            self.start_segment()?;
+        }
+        let (disk_bytes, folder_limit) = (self.disk_bytes(), self.folder_limit());
+        let active = self.segments.back_mut().and_then(|active| Some((active.file.clone()?, active)));
+        let Some((file, active)) = active else { return Err(io::ErrorKind::NotFound.into()) };
+        if disk_bytes - round_up_to_blocks(active.file_bytes)
+            + round_up_to_blocks(active.file_bytes.max(active.valid_bytes + length))
+            > folder_limit
+        {
+            return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal has reached its disk limit"));
+        }
+        let position = FramePosition { nonce: self.nonce, seq: active.seq, offset: active.valid_bytes };
+        let bytes = self.frames.finish(now_ms, position);
+        let end = active.valid_bytes + length;
+        active.needs_sync = true;
+        if let Err(e) = self.storage.write_all_at(&file, bytes, active.valid_bytes) {
+            // The partial write could otherwise be read as a valid commit.
+            if self.storage.truncate(&file, active.valid_bytes).is_err() {
+                active.file_bytes = active.file_bytes.max(end);
+                self.must_roll = true;
             }
             return Err(e);
         }
-        (last.good, last.length) = (end, last.length.max(end));
-        self.round += 1;
-        Ok(last.seq)
+        (active.valid_bytes, active.file_bytes) = (end, active.file_bytes.max(end));
+        self.last_commit += 1;
+        Ok(active.seq)
     }
 
-    /// Begins a new segment. Nothing is written to the one before from here on, since the new one says where it ends.
-    fn roll(&mut self) -> io::Result<()> {
-        self.roll = true;
+    /// Starts a new segment. The preceding segment is never written to again, as the header of the new one
+    /// records its valid length.
+    fn start_segment(&mut self) -> io::Result<()> {
+        self.must_roll = true;
         let seq = self.next_seq;
         let name = segment_name(seq);
-        let spare = self.spare.take_if(|spare| spare.renamed == Renamed::Kept);
-        let (file, has) = match spare {
+        let spare = self.spare.take_if(|spare| spare.rename_state == RenameState::Durable);
+        let (file, preallocated_bytes) = match spare {
             Some(spare) => {
-                if let Err(e) = self.storage.rename(SPARE, &name) {
+                if let Err(e) = self.storage.rename(SPARE_FILE, &name) {
                     self.spare = Some(spare);
                     return Err(e);
                 }
-                self.others -= blocks(spare.length);
-                (self.storage.open(&name)?, spare.length)
+                self.other_files_bytes -= round_up_to_blocks(spare.file_bytes);
+                (self.storage.open(&name)?, spare.file_bytes)
             }
             None => match self.storage.create(&name) {
-                // Left from a try that failed.
+                // Left behind by an earlier failed attempt.
                 Err(e) if e.kind() == io::ErrorKind::AlreadyExists => {
                     self.storage.remove(&name)?;
                     (self.storage.create(&name)?, 0)
@@ -491,206 +537,238 @@
                 other => (other?, 0),
             },
         };
-        let prev = self.segments.back().map_or(0, |s| s.good) as u32;
-        let machine = self.options.durability == Durability::Machine;
-        let first = self.segments.is_empty();
-        let header = Header { nonce: self.nonce, seq, prev, first, machine }.encode();
-        // Where each round waits for a sync, the file's growth would cost it as much as its bytes.
-        let reserve = machine && has == 0 && self.disk() + self.target() <= self.limit();
-        let reserved = if reserve { self.target() } else { has };
-        let written = if reserve { self.storage.reserve(&file, reserved) } else { Ok(()) };
+        let prev_valid_bytes = self.segments.back().map_or(0, |segment| segment.valid_bytes) as u32;
+        let machine_durable = self.options.durability == Durability::Machine;
+        let is_first = self.segments.is_empty();
+        let header = Header { nonce: self.nonce, seq, prev_valid_bytes, is_first, machine_durable }.encode();
+        // When every commit waits for a sync, extending the file would cost the sync as much as writing the
+        // data.
+        let should_preallocate = machine_durable
+            && preallocated_bytes == 0
+            && self.disk_bytes() + self.target_segment_bytes() <= self.folder_limit();
+        let file_bytes = if should_preallocate { self.target_segment_bytes() } else { preallocated_bytes };
+        let written = if should_preallocate { self.storage.preallocate(&file, file_bytes) } else { Ok(()) };
         if let Err(e) = written.and_then(|()| self.storage.write_all_at(&file, &header, 0)) {
             let _ = self.storage.remove(&name);
             return Err(e);
         }
-        let (good, length) = (HEADER as u64, reserved.max(HEADER as u64));
-        let ids = VecDeque::new();
-        if let Some(last) = self.segments.back_mut().filter(|_| !machine) {
-            last.file = None;
+        let (valid_bytes, file_bytes) = (HEADER_BYTES as u64, file_bytes.max(HEADER_BYTES as u64));
+        let message_ids = VecDeque::new();
+        if let Some(active) = self.segments.back_mut().filter(|_| !machine_durable) {
+            active.file = None;
         }
         self.segments.push_back(Segment {
             seq,
             file: Some(file),
-            good,
-            length,
-            ids,
-            emptied: None,
-            dirty: true,
+            valid_bytes,
+            file_bytes,
+            message_ids,
+            emptied_at: None,
+            needs_sync: true,
         });
-        (self.next_seq, self.roll, self.folder_dirty) = (seq + 1, false, true);
+        (self.next_seq, self.must_roll, self.folder_needs_sync) = (seq + 1, false, true);
         Ok(())
     }
 
-    /// Copies about so many bytes of what lives in the oldest segments, in one write. `on`: whether to go on.
-    fn copy(&mut self, budget: u64, now: i64, on: impl Fn(&Room) -> bool) -> io::Result<()> {
-        // Copies take room until what they were made of can go, and only a part is kept free for that.
-        if self.segments.iter().any(|s| s.emptied.is_some()) {
+    /// Copies about `budget` bytes of live messages from the oldest segments to the end of the log, in one
+    /// write. `should_continue` is asked before each segment.
+    fn compact(
+        &mut self,
+        budget: u64,
+        now_ms: i64,
+        should_continue: impl Fn(&SpaceUsage) -> bool,
+    ) -> io::Result<()> {
+        // Copies take space until their source segments are removed, and only a limited amount is kept free
+        // for that.
+        if self.segments.iter().any(|segment| segment.emptied_at.is_some()) {
             return Ok(());
         }
-        let at_once = self.options.durability == Durability::Process;
-        // On a disk that is full, only what costs no room is done.
-        let budget = if self.ballast { budget } else { 0 };
-        let last = if self.roll { self.next_seq } else { self.next_seq - 1 };
-        let mut room = self.room();
-        let (mut moved, mut emptied, mut bytes) = (Vec::new(), Vec::new(), 0);
-        for segment in self.segments.iter().filter(|s| s.seq < last) {
-            if !on(&room) || (!emptied.is_empty() && !at_once) {
+        let removes_immediately = self.options.durability == Durability::Process;
+        // On a full disk, only empty segments are released, since that takes no space.
+        let budget = if self.has_ballast { budget } else { 0 };
+        let active_seq = if self.must_roll { self.next_seq } else { self.next_seq - 1 };
+        let mut usage = self.space_usage();
+        let (mut copied_messages, mut emptied_segments, mut planned_bytes) = (Vec::new(), Vec::new(), 0);
+        for segment in self.segments.iter().filter(|segment| segment.seq < active_seq) {
+            if !should_continue(&usage) || (!emptied_segments.is_empty() && !removes_immediately) {
                 break;
             }
-            let lives = |id: &u64| self.table.live().get(id).is_some_and(|l| l.base == segment.seq);
-            let mut ids = segment.ids.iter().copied().filter(lives);
-            while bytes < budget {
-                let Some(id) = ids.next() else { break };
-                bytes += self.table.bytes_of(id);
-                moved.push((segment.seq, id));
+            let is_live_here =
+                |id: &u64| self.table.live().get(id).is_some_and(|live| live.base_segment == segment.seq);
+            let mut message_ids = segment.message_ids.iter().copied().filter(is_live_here);
+            while planned_bytes < budget {
+                let Some(id) = message_ids.next() else { break };
+                planned_bytes += self.table.full_message_bound_of(id);
+                copied_messages.push((segment.seq, id));
             }
-            if ids.next().is_some() {
+            if message_ids.next().is_some() {
                 break;
             }
-            emptied.push(segment.seq);
-            room.log = room.log.saturating_sub(blocks(segment.length));
+            emptied_segments.push(segment.seq);
+            usage.log = usage.log.saturating_sub(round_up_to_blocks(segment.file_bytes));
         }
-        if moved.is_empty() && emptied.is_empty() {
+        if copied_messages.is_empty() && emptied_segments.is_empty() {
             return Ok(());
         }
-        // A frame each: a byte that is spoilt one day costs one message.
+        // One frame for each message: a corrupt byte then loses only one message.
         self.frames.clear();
-        for (_, id) in &moved {
+        for (_, id) in &copied_messages {
             if let Some(live) = self.table.live().get(id) {
-                format::encode_whole(live, self.frames.begin());
+                format::encode_full_message(live, self.frames.begin());
             }
         }
-        if let Some(seq) = emptied.last() {
-            format::encode_floor(seq + 1, self.frames.begin());
+        if let Some(emptied_seq) = emptied_segments.last() {
+            format::encode_low_water_mark(emptied_seq + 1, self.frames.begin());
         }
         let length = self.frames.len();
-        let seq = self.write(now)?;
-        self.stats.copied += length;
-        let round = self.round;
-        for &(_, id) in &moved {
-            self.table.moved(id, seq);
-            self.note_base(id);
+        let seq = self.write_frames(now_ms)?;
+        self.stats.copied_bytes += length;
+        let commit = self.last_commit;
+        for &(_, id) in &copied_messages {
+            self.table.set_base_segment(id, seq);
+            self.add_message_id(id);
         }
         for segment in &mut self.segments {
-            if emptied.contains(&segment.seq) {
-                segment.ids.clear();
-                segment.emptied = Some(round);
+            if emptied_segments.contains(&segment.seq) {
+                segment.message_ids.clear();
+                segment.emptied_at = Some(commit);
             }
         }
-        // Those of a segment that is not empty yet need no second look.
-        if let Some((seq, id)) = moved.last() {
-            if let Some(segment) = self.segments.iter_mut().find(|s| s.seq == *seq && s.emptied.is_none()) {
-                while segment.ids.pop_front().is_some_and(|first| first != *id) {}
+        // Messages of a partly copied segment that were already copied need not be checked again.
+        if let Some((seq, id)) = copied_messages.last() {
+            if let Some(segment) =
+                self.segments.iter_mut().find(|segment| segment.seq == *seq && segment.emptied_at.is_none())
+            {
+                while segment.message_ids.pop_front().is_some_and(|popped| popped != *id) {}
             }
         }
-        let _ = self.clean();
+        let _ = self.remove_emptied_segments();
         Ok(())
     }
 
-    /// Removes emptied segments whose copies are kept. What fails is tried again; until then it takes room, and a
-    /// start passes it over.
-    fn clean(&mut self) -> io::Result<()> {
-        let done = match self.options.durability {
-            Durability::Process => self.round,
-            Durability::Machine => self.on_disk,
+    /// Removes emptied segments whose copies are durable. A failed removal is tried again later; until then
+    /// the file takes space, and recovery ignores it.
+    fn remove_emptied_segments(&mut self) -> io::Result<()> {
+        let durable_commit = match self.options.durability {
+            Durability::Process => self.last_commit,
+            Durability::Machine => self.synced_commit,
         };
-        while let Some(front) = self.segments.front() {
-            if front.emptied.is_none_or(|round| round > done) {
+        while let Some(oldest) = self.segments.front() {
+            if oldest.emptied_at.is_none_or(|commit| commit > durable_commit) {
                 break;
             }
-            let name = segment_name(front.seq);
-            if self.aside.contains(&front.seq) {
-                self.storage.rename(&name, &aside_name(front.seq))?;
-                self.others += blocks(front.length);
-            } else if self.can_be_spare(front) {
-                self.storage.rename(&name, SPARE)?;
-                self.others += blocks(front.length);
-                self.spare = Some(Spare { length: front.length, renamed: Renamed::Now });
+            let name = segment_name(oldest.seq);
+            if self.to_quarantine.contains(&oldest.seq) {
+                self.storage.rename(&name, &quarantine_name(oldest.seq))?;
+                self.other_files_bytes += round_up_to_blocks(oldest.file_bytes);
+            } else if self.can_become_spare(oldest) {
+                self.storage.rename(&name, SPARE_FILE)?;
+                self.other_files_bytes += round_up_to_blocks(oldest.file_bytes);
+                self.spare =
+                    Some(Spare { file_bytes: oldest.file_bytes, rename_state: RenameState::Unsynced });
             } else {
                 self.storage.remove(&name)?;
             }
             self.segments.pop_front();
-            self.folder_dirty = true;
+            self.folder_needs_sync = true;
         }
         Ok(())
     }
 
-    /// Whether the next segment may be written over this one: then a sync finds all its blocks in place.
-    fn can_be_spare(&self, segment: &Segment<S::File>) -> bool {
-        let machine = self.options.durability == Durability::Machine;
-        machine && self.spare.is_none() && self.rewrite.is_none() && segment.length == self.target()
+    /// Whether the next segment may overwrite this one: its blocks are already allocated, so a sync does not
+    /// allocate any.
+    fn can_become_spare(&self, segment: &Segment<S::File>) -> bool {
+        let machine_durable = self.options.durability == Durability::Machine;
+        machine_durable
+            && self.spare.is_none()
+            && self.rewrite_through.is_none()
+            && segment.file_bytes == self.target_segment_bytes()
     }
 
-    /// The last round that was written.
-    pub fn last(&self) -> Round {
-        self.round
+    /// Returns the last commit that was written.
+    pub fn last_commit(&self) -> CommitSeq {
+        self.last_commit
     }
 
-    /// The last round that is kept as the durability asks. Nothing that a later one decided may be acted on.
-    pub fn kept(&self) -> Round {
+    /// Returns the last commit that is durable as configured. Effects of later commits must be held back.
+    pub fn durable_commit(&self) -> CommitSeq {
         match self.options.durability {
-            Durability::Process => self.round,
-            Durability::Machine => self.durable,
+            Durability::Process => self.last_commit,
+            Durability::Machine => self.durable_commit,
         }
     }
 
-    /// The next sync, if one is due and none is out. Several rounds share one.
-    pub fn sync(&mut self) -> Option<Sync<S::File>> {
-        let due = self.options.durability == Durability::Machine && !self.syncing;
-        let clean = self.round == self.durable && self.rewrite.is_none() && !self.folder_dirty;
-        if !due || clean {
+    /// Returns the next sync if one is due and none is in flight. One sync covers several commits.
+    pub fn start_sync(&mut self) -> Option<SyncTask<S::File>> {
+        let is_due = self.options.durability == Durability::Machine && !self.sync_in_flight;
+        let is_clean = self.last_commit == self.durable_commit
+            && self.rewrite_through.is_none()
+            && !self.folder_needs_sync;
+        if !is_due || is_clean {
             return None;
         }
-        let folder = self.folder_dirty.then(|| self.folder.clone());
-        if let Some(spare) = self.spare.as_mut().filter(|s| s.renamed == Renamed::Now && folder.is_some()) {
-            spare.renamed = Renamed::Syncing;
+        let folder = self.folder_needs_sync.then(|| self.folder.clone());
+        if let Some(spare) = self
+            .spare
+            .as_mut()
+            .filter(|spare| spare.rename_state == RenameState::Unsynced && folder.is_some())
+        {
+            spare.rename_state = RenameState::Syncing;
         }
         let mut files = Vec::new();
-        for segment in self.segments.iter_mut().filter(|s| s.dirty) {
-            segment.dirty = false;
+        for segment in self.segments.iter_mut().filter(|segment| segment.needs_sync) {
+            segment.needs_sync = false;
             files.extend(segment.file.clone());
         }
-        self.folder_dirty = false;
-        self.syncing = true;
-        Some(Sync { files, folder, upto: self.round })
+        self.folder_needs_sync = false;
+        self.sync_in_flight = true;
+        Some(SyncTask { files, folder, through: self.last_commit })
     }
 
-    /// Takes in how a sync ended.
-    pub fn synced(&mut self, synced: Synced, now: i64) {
-        if self.note_synced(synced).is_err() {
+    /// Records the result of a sync.
+    pub fn finish_sync(&mut self, sync_result: SyncResult, now_ms: i64) {
+        if self.record_sync_result(sync_result).is_err() {
             return;
         }
-        let _ = self.clean();
-        if let Some(last) = self.rewrite {
-            // The next sync keeps what this copies. Once nothing is left there, all that it finds written is kept.
-            let _ = self.copy(STEP, now, |_| true);
-            if self.segments.iter().all(|s| s.seq > last || s.emptied.is_some()) {
-                self.rewrite = None;
+        let _ = self.remove_emptied_segments();
+        if let Some(last_seq_to_rewrite) = self.rewrite_through {
+            // The next sync makes these copies durable. Once no segment is left to rewrite, a successful sync
+            // covers all commits again.
+            let _ = self.compact(MAX_COMPACTION_STEP_BYTES, now_ms, |_| true);
+            if self
+                .segments
+                .iter()
+                .all(|segment| segment.seq > last_seq_to_rewrite || segment.emptied_at.is_some())
+            {
+                self.rewrite_through = None;
             }
         }
     }
 
-    fn note_synced(&mut self, synced: Synced) -> io::Result<()> {
-        self.syncing = false;
-        if let Err(e) = synced.result {
-            // The system may have dropped what it could not write and call the next sync a success: only bytes that
-            // are written anew can be trusted.
-            self.rewrite = self.segments.back().map(|s| s.seq);
+    fn record_sync_result(&mut self, sync_result: SyncResult) -> io::Result<()> {
+        self.sync_in_flight = false;
+        if let Err(e) = sync_result.result {
+            // After a failed sync the kernel may have dropped dirty pages and report success for the next
+            // sync. Only bytes that are written again can be relied on.
+            self.rewrite_through = self.segments.back().map(|segment| segment.seq);
             if let Some(spare) = &mut self.spare {
-                spare.renamed = Renamed::Now;
+                spare.rename_state = RenameState::Unsynced;
             }
-            self.roll = true;
-            self.folder_dirty = true;
+            self.must_roll = true;
+            self.folder_needs_sync = true;
             return Err(e);
         }
-        self.on_disk = self.on_disk.max(synced.upto);
-        let last = self.next_seq - 1;
-        self.segments.iter_mut().filter(|s| !s.dirty && s.seq < last).for_each(|s| s.file = None);
-        if let Some(spare) = self.spare.as_mut().filter(|s| s.renamed == Renamed::Syncing) {
-            spare.renamed = Renamed::Kept;
-        }
-        if self.rewrite.is_none() {
-            self.durable = self.on_disk;
+        self.synced_commit = self.synced_commit.max(sync_result.through);
+        let active_seq = self.next_seq - 1;
+        self.segments
+            .iter_mut()
+            .filter(|segment| !segment.needs_sync && segment.seq < active_seq)
+            .for_each(|segment| segment.file = None);
+        if let Some(spare) = self.spare.as_mut().filter(|spare| spare.rename_state == RenameState::Syncing) {
+            spare.rename_state = RenameState::Durable;
+        }
+        if self.rewrite_through.is_none() {
+            self.durable_commit = self.synced_commit;
         }
         Ok(())
     }
--- a/crates/serve/nickelshed-journal/src/journal/open.rs
+++ b/crates/serve/nickelshed-journal/src/journal/open.rs
@@ -1,29 +1,29 @@
-//! Opening a folder: what it says, what of it is set aside, and what the version before has left.
+//! Opening a folder: replay of its segments, quarantine of damaged segments, and import of the legacy format.
 use super::*;
 use crate::legacy;
-use crate::record::{Begun, UNKNOWN};
-use crate::recover::{self, Damage, Failed, Torn};
+use crate::record::{AttemptRecord, UNKNOWN_ATTEMPT_NUMBER};
+use crate::recover::{self, DamagedRange, ReplayError, TornWrite};
 use nickelshed_budget::Budget;
 use std::fmt;
 use std::hash::{BuildHasher, Hasher};
 use std::rc::Rc;
 
-const LEGACY: &str = "journal";
-const LEGACY_NEW: &str = "journal.new";
-/// The file of the version before, from when its import begins until it is whole.
-const IMPORTING: &str = "journal.v0";
+const LEGACY_FILE: &str = "journal";
+const LEGACY_REWRITE_FILE: &str = "journal.new";
+/// The legacy file is renamed to this from the start of its import until the import is complete.
+const IMPORT_FILE: &str = "journal.v0";
 
 #[derive(Debug)]
 pub enum OpenError {
-    /// Another process runs on this folder.
+    /// Another process uses this folder.
     InUse,
-    /// The folder was written by a newer version of this program, and was left as it is.
-    Newer {
+    /// The folder was written by a newer version of this program and was left unchanged.
+    NewerFormat {
         file: String,
         version: u16,
     },
     Io {
-        what: String,
+        context: String,
         error: io::Error,
     },
 }
@@ -34,239 +34,279 @@
             OpenError::InUse => {
                 write!(f, "another process runs on this folder: give each sender a state folder of its own")
             }
-            OpenError::Newer { file, version } => write!(
+            OpenError::NewerFormat { file, version } => write!(
                 f,
                 "{file} has format {version}, this program reads up to {}: start the newer program again, \
-                 or let it deliver what it holds first. Nothing was changed",
-                format::VERSION
+                 or let it deliver its open messages first. Nothing was changed",
+                format::FORMAT_VERSION
             ),
-            OpenError::Io { what, error } => write!(f, "{what}: {error}"),
+            OpenError::Io { context, error } => write!(f, "{context}: {error}"),
         }
     }
 }
 
 impl std::error::Error for OpenError {}
 
-fn failed(what: impl fmt::Display) -> impl FnOnce(io::Error) -> OpenError {
-    move |error| OpenError::Io { what: what.to_string(), error }
+fn io_error(context: impl fmt::Display) -> impl FnOnce(io::Error) -> OpenError {
+    move |error| OpenError::Io { context: context.to_string(), error }
 }
 
-/// What opening a folder found.
+/// Result of opening a folder.
 #[derive(Debug, Default)]
-pub struct Found {
-    pub torn: Option<Torn>,
-    pub damage: Vec<Damage>,
-    /// Messages of which an attempt is supposed since its record may be lost.
-    pub doubted: usize,
-    /// Where the damaged bytes stand now, if there was room to keep them.
-    pub set_aside: Vec<String>,
-    /// Messages taken over from the file of the version before.
+pub struct RecoveryReport {
+    pub torn: Option<TornWrite>,
+    pub damage: Vec<DamagedRange>,
+    /// Number of messages that are assumed to have had an attempt, since its record may be lost.
+    pub uncertain: usize,
+    /// New names of the damaged segments that are kept for inspection. Segments too large to keep are
+    /// removed.
+    pub quarantined: Vec<String>,
+    /// Number of messages imported from the legacy format.
     pub imported: usize,
 }
 
 impl<S: Storage> Journal<S> {
-    /// Opens a folder, or makes it one. `now` is Unix time in milliseconds.
+    /// Opens a folder, or initializes an empty one. `now_ms` is Unix time.
     ///
     /// # Errors
-    /// If another process has it, a newer version wrote it, or its files can't be read or written. Nothing that
-    /// was held is lost by a failure here.
+    /// If another process uses it, a newer version wrote it, or its files cannot be read or written. A
+    /// failure here loses no recovered message.
     pub fn open(
         mut storage: S,
         options: Options,
         budget: &Budget,
-        now: i64,
-    ) -> Result<(Journal<S>, Found), OpenError> {
+        now_ms: i64,
+    ) -> Result<(Journal<S>, RecoveryReport), OpenError> {
         match storage.lock() {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Err(OpenError::InUse),
-            other => other.map_err(failed("cannot lock the folder"))?,
+            other => other.map_err(io_error("cannot lock the folder"))?,
         }
-        let files = storage.list().map_err(failed("cannot list the folder"))?;
-        let numbered: Vec<(u64, u64)> =
-            files.iter().filter_map(|(name, length)| Some((segment_number(name)?, *length))).collect();
-        let read = |seq, most| storage.read(&segment_name(seq), most);
-        let recovered = recover::replay(&numbered, options.durability == Durability::Machine, read).map_err(
-            |e| match e {
-                Failed::Newer { seq, version } => OpenError::Newer { file: segment_name(seq), version },
-                Failed::Io { seq, error } => failed(format!("cannot read {}", segment_name(seq)))(error),
-            },
-        )?;
-        let folder = storage.folder().map_err(failed("cannot open the folder"))?;
+        let files = storage.list().map_err(io_error("cannot list the folder"))?;
+        let segment_files: Vec<(u64, u64)> = files
+            .iter()
+            .filter_map(|(name, file_bytes)| Some((segment_number(name)?, *file_bytes)))
+            .collect();
+        let read = |seq, limit| storage.read(&segment_name(seq), limit);
+        let recovered = recover::replay(&segment_files, options.durability == Durability::Machine, read)
+            .map_err(|e| match e {
+                ReplayError::NewerFormat { seq, version } => {
+                    OpenError::NewerFormat { file: segment_name(seq), version }
+                }
+                ReplayError::Io { seq, error } => {
+                    io_error(format!("cannot read {}", segment_name(seq)))(error)
+                }
+            })?;
+        let folder = storage.folder_handle().map_err(io_error("cannot open the folder"))?;
         let mut journal = Journal {
             folder,
             options,
-            nonce: recovered.nonce.unwrap_or_else(nonce),
+            nonce: recovered.nonce.unwrap_or_else(random_nonce),
             segments: VecDeque::new(),
-            next_seq: recovered.segments.last().map_or(1, |s| s.seq + 1),
+            next_seq: recovered.segments.last().map_or(1, |segment| segment.seq + 1),
             table: recovered.table,
-            frames: Frames::default(),
-            roll: true,
-            ballast: files.iter().any(|(name, _)| name == BALLAST),
-            ballast_tried: i64::MIN,
-            others: 0,
-            noted: files.iter().any(|(name, _)| name == NOTE),
-            note_number: 0,
-            round: 0,
-            durable: 0,
-            on_disk: 0,
-            folder_dirty: true,
-            syncing: false,
-            rewrite: None,
-            aside: Vec::new(),
+            frames: FrameBatch::default(),
+            must_roll: true,
+            has_ballast: files.iter().any(|(name, _)| name == BALLAST_FILE),
+            ballast_tried_at_ms: i64::MIN,
+            other_files_bytes: 0,
+            has_outage_snapshot: files.iter().any(|(name, _)| name == OUTAGE_SNAPSHOT_FILE),
+            outage_snapshot_number: 0,
+            last_commit: 0,
+            durable_commit: 0,
+            synced_commit: 0,
+            folder_needs_sync: true,
+            sync_in_flight: false,
+            rewrite_through: None,
+            to_quarantine: Vec::new(),
             spare: None,
             stats: Stats::default(),
             storage,
         };
-        let mut found = Found {
+        let mut report = RecoveryReport {
             torn: recovered.torn,
             damage: recovered.damage,
-            doubted: recovered.doubted,
-            ..Found::default()
+            uncertain: recovered.uncertain,
+            ..RecoveryReport::default()
         };
-        for seq in recovered.useless {
+        for seq in recovered.obsolete {
             let name = segment_name(seq);
-            journal.storage.remove(&name).map_err(failed(format!("cannot remove {name}")))?;
+            journal.storage.remove(&name).map_err(io_error(format!("cannot remove {name}")))?;
         }
-        let mut by_segment: BTreeMap<u64, VecDeque<u64>> = BTreeMap::new();
+        let mut message_ids_by_segment: BTreeMap<u64, VecDeque<u64>> = BTreeMap::new();
         for live in journal.table.live().values() {
-            by_segment.entry(live.base).or_default().push_back(live.taken.id);
+            message_ids_by_segment.entry(live.base_segment).or_default().push_back(live.message.id);
         }
-        for s in recovered.segments {
-            let name = segment_name(s.seq);
-            let open = || journal.storage.open(&name).map_err(failed(format!("cannot open {name}")));
+        for recovered_segment in recovered.segments {
+            let name = segment_name(recovered_segment.seq);
+            let open = || journal.storage.open(&name).map_err(io_error(format!("cannot open {name}")));
             let file = (options.durability == Durability::Machine).then(open).transpose()?;
-            let ids = by_segment.remove(&s.seq).unwrap_or_default();
+            let message_ids = message_ids_by_segment.remove(&recovered_segment.seq).unwrap_or_default();
             journal.segments.push_back(Segment {
-                seq: s.seq,
+                seq: recovered_segment.seq,
                 file,
-                good: s.good,
-                length: s.length,
-                ids,
-                emptied: None,
-                dirty: true,
+                valid_bytes: recovered_segment.valid_bytes,
+                file_bytes: recovered_segment.file_bytes,
+                message_ids,
+                emptied_at: None,
+                needs_sync: true,
             });
         }
-        if files.iter().any(|(name, _)| name == SPARE) {
-            journal.storage.remove(SPARE).map_err(failed("cannot remove the spare segment"))?;
+        if files.iter().any(|(name, _)| name == SPARE_FILE) {
+            journal.storage.remove(SPARE_FILE).map_err(io_error("cannot remove the spare segment"))?;
         }
-        let ours =
-            |name: &str| segment_number(name).is_some() || [BALLAST, LEGACY_NEW, SPARE, NOTE].contains(&name);
-        journal.others = files.iter().filter(|(n, _)| !ours(n)).map(|(_, length)| blocks(*length)).sum();
-        journal.others += blocks(journal.note_layout().file_size());
-        // One that can't be read is nothing, and is written over.
-        let note = journal.noted.then(|| journal.newest_note()).flatten();
-        journal.note_number = note.map_or(0, |(number, _)| number);
-        journal.hold_ballast(now);
-        journal.set_aside(&mut found, &files, now)?;
-        journal.import(&mut found, &files, now)?;
+        let is_counted_elsewhere = |name: &str| {
+            segment_number(name).is_some()
+                || [BALLAST_FILE, LEGACY_REWRITE_FILE, SPARE_FILE, OUTAGE_SNAPSHOT_FILE].contains(&name)
+        };
+        journal.other_files_bytes = files
+            .iter()
+            .filter(|(name, _)| !is_counted_elsewhere(name))
+            .map(|(_, length)| round_up_to_blocks(*length))
+            .sum();
+        journal.other_files_bytes += round_up_to_blocks(journal.outage_snapshot_layout().file_size());
+        // An unreadable snapshot is treated as missing and is overwritten.
+        let snapshot = journal.has_outage_snapshot.then(|| journal.newest_outage_snapshot()).flatten();
+        journal.outage_snapshot_number = snapshot.map_or(0, |(number, _)| number);
+        journal.ensure_ballast(now_ms);
+        journal.quarantine_damaged(&mut report, &files, now_ms)?;
+        journal.import_legacy(&mut report, &files, now_ms)?;
         for live in journal.table.live_mut() {
-            // Nobody else has it yet.
-            if let Some(taken) = Rc::get_mut(&mut live.taken) {
-                taken.share = Some(budget.owe(taken.body.len()));
+            // Succeeds, as the table holds the only reference so far.
+            if let Some(message) = Rc::get_mut(&mut live.message) {
+                message.memory_share = Some(budget.owe(message.body.len()));
             }
         }
-        // What a process before wrote was kept from its own end, but perhaps not from the machine's.
-        journal.sync_here()?;
-        Ok((journal, found))
+        // Writes of the previous process survived its end, but may not yet survive the loss of the machine.
+        journal.sync_blocking()?;
+        Ok((journal, report))
     }
 
-    /// Damaged segments are emptied like old ones, at once; what was in them stays for somebody to look at.
-    fn set_aside(&mut self, found: &mut Found, files: &[(String, u64)], now: i64) -> Result<(), OpenError> {
-        let damaged: Vec<u64> = found.damage.iter().filter(|d| d.to > 0).map(|d| d.seq).collect();
-        let Some(&last) = damaged.iter().max() else { return Ok(()) };
-        for (name, length) in files.iter().filter(|(name, _)| name.starts_with(DAMAGED)) {
-            self.storage.remove(name).map_err(failed(format!("cannot remove {name}")))?;
-            self.others -= blocks(*length);
+    /// Compacts all segments up to the last damaged one. The damaged files are kept for inspection if they
+    /// are small enough.
+    fn quarantine_damaged(
+        &mut self,
+        report: &mut RecoveryReport,
+        files: &[(String, u64)],
+        now_ms: i64,
+    ) -> Result<(), OpenError> {
+        let damaged: Vec<u64> =
+            report.damage.iter().filter(|range| range.to > 0).map(|range| range.seq).collect();
+        let Some(&last_damaged_seq) = damaged.iter().max() else { return Ok(()) };
+        for (name, length) in files.iter().filter(|(name, _)| name.starts_with(DAMAGED_PREFIX)) {
+            self.storage.remove(name).map_err(io_error(format!("cannot remove {name}")))?;
+            self.other_files_bytes -= round_up_to_blocks(*length);
         }
-        let most = self.total() / 8;
-        let small = self.segments.iter().filter(|s| damaged.contains(&s.seq) && blocks(s.length) <= most);
-        self.aside = small.map(|s| s.seq).collect();
-        found.set_aside = self.aside.iter().map(|seq| aside_name(*seq)).collect();
-        while self.segments.front().is_some_and(|s| s.seq <= last) {
-            let before = (self.round, self.segments.len());
-            self.copy(STEP, now, |_| true)
-                .map_err(failed("cannot copy what stands beside damaged records"))?;
-            self.sync_here()?;
-            self.clean().map_err(failed("cannot set damaged records aside"))?;
-            if before == (self.round, self.segments.len()) {
-                let full = io::ErrorKind::StorageFull.into();
-                return Err(failed("no room to copy what stands beside damaged records")(full));
+        let max_quarantined_bytes = self.log_limit() / 8;
+        let small_segments = self.segments.iter().filter(|segment| {
+            damaged.contains(&segment.seq) && round_up_to_blocks(segment.file_bytes) <= max_quarantined_bytes
+        });
+        self.to_quarantine = small_segments.map(|segment| segment.seq).collect();
+        report.quarantined = self.to_quarantine.iter().map(|seq| quarantine_name(*seq)).collect();
+        while self.segments.front().is_some_and(|segment| segment.seq <= last_damaged_seq) {
+            let before_step = (self.last_commit, self.segments.len());
+            self.compact(MAX_COMPACTION_STEP_BYTES, now_ms, |_| true)
+                .map_err(io_error("cannot copy the intact records of damaged segments"))?;
+            self.sync_blocking()?;
+            self.remove_emptied_segments().map_err(io_error("cannot quarantine damaged segments"))?;
+            if before_step == (self.last_commit, self.segments.len()) {
+                let disk_full = io::ErrorKind::StorageFull.into();
+                return Err(io_error("not enough space to copy the intact records of damaged segments")(
+                    disk_full,
+                ));
             }
         }
         Ok(())
     }
 
-    /// While the folder is opened there is nobody to wait for it.
-    fn sync_here(&mut self) -> Result<(), OpenError> {
-        match self.sync().map(Sync::run) {
-            Some(synced) => self.note_synced(synced).map_err(failed("cannot sync the folder")),
+    /// Runs a sync on the calling thread. No clients are served while the folder is opened.
+    fn sync_blocking(&mut self) -> Result<(), OpenError> {
+        match self.start_sync().map(SyncTask::run) {
+            Some(sync_result) => {
+                self.record_sync_result(sync_result).map_err(io_error("cannot sync the folder"))
+            }
             None => Ok(()),
         }
     }
 
-    /// Takes over what the version before has left. Its file goes only once all of it stands in a segment.
-    fn import(&mut self, found: &mut Found, files: &[(String, u64)], now: i64) -> Result<(), OpenError> {
-        let has = |name: &str| files.iter().find(|(n, _)| n == name).map(|(_, length)| *length);
-        if has(LEGACY_NEW).is_some() {
-            // A rewrite that was cut short: the file itself still holds everything.
-            self.storage.remove(LEGACY_NEW).map_err(failed("cannot remove journal.new"))?;
+    /// Imports the legacy file. It is removed only after all its messages are written to a segment.
+    fn import_legacy(
+        &mut self,
+        report: &mut RecoveryReport,
+        files: &[(String, u64)],
+        now_ms: i64,
+    ) -> Result<(), OpenError> {
+        let file_size =
+            |name: &str| files.iter().find(|(file_name, _)| file_name == name).map(|(_, length)| *length);
+        if file_size(LEGACY_REWRITE_FILE).is_some() {
+            // An interrupted rewrite: the main file is still complete.
+            self.storage.remove(LEGACY_REWRITE_FILE).map_err(io_error("cannot remove journal.new"))?;
         }
-        let (length, again) = match (has(IMPORTING), has(LEGACY)) {
+        let (length, is_resumed) = match (file_size(IMPORT_FILE), file_size(LEGACY_FILE)) {
             (Some(length), _) => (length, true),
             (None, Some(length)) => {
-                self.storage.rename(LEGACY, IMPORTING).map_err(failed("cannot rename journal"))?;
-                // Else an import that is cut short by the loss of the machine could pass for a journal of its own.
-                self.folder_dirty = true;
-                self.sync_here()?;
+                self.storage.rename(LEGACY_FILE, IMPORT_FILE).map_err(io_error("cannot rename journal"))?;
+                // Without this sync, an import interrupted by the loss of the machine could leave the file
+                // under its original name, and a restart would take it for another journal to import.
+                self.folder_needs_sync = true;
+                self.sync_blocking()?;
                 (length, false)
             }
             (None, None) => return Ok(()),
         };
-        let bytes = self.storage.read(IMPORTING, length).map_err(failed("cannot read journal.v0"))?;
-        let (old, torn) = legacy::read(&bytes);
-        if torn > 0 {
-            let cut = Torn { seq: 0, kept: length - torn as u64, cut: torn as u64 };
-            found.torn = found.torn.take().or(Some(cut));
+        let bytes = self.storage.read(IMPORT_FILE, length).map_err(io_error("cannot read journal.v0"))?;
+        let (legacy_messages, torn_bytes) = legacy::read_legacy_file(&bytes);
+        if torn_bytes > 0 {
+            let torn_write =
+                TornWrite { seq: 0, valid_bytes: length - torn_bytes as u64, cut_bytes: torn_bytes as u64 };
+            report.torn = report.torn.take().or(Some(torn_write));
         }
-        let known: std::collections::HashMap<String, u64> =
-            self.table.live().iter().map(|(id, l)| (l.taken.trace.clone(), *id)).collect();
-        for mut live in old {
-            let known = known.get(&live.taken.trace).and_then(|id| self.table.live().get(id));
-            match known {
-                // Brought over by an import that was cut short; nothing has happened to it since.
-                Some(here) if again && here.attempts == live.attempts && here.ending == live.ending => {
+        let ids_by_trace: std::collections::HashMap<String, u64> =
+            self.table.live().iter().map(|(id, live)| (live.message.trace.clone(), *id)).collect();
+        for mut live in legacy_messages {
+            let existing_message =
+                ids_by_trace.get(&live.message.trace).and_then(|id| self.table.live().get(id));
+            match existing_message {
+                // Already imported by an interrupted import, and unchanged since.
+                Some(existing)
+                    if is_resumed && existing.attempts == live.attempts && existing.ending == live.ending =>
+                {
                     continue
                 }
-                Some(here) if again => live = Live { taken: here.taken.clone(), ..live },
-                // Handed in to both programs: it is one message, and what either tried counts.
-                Some(here) => {
-                    let tried = live.attempts.into_iter().filter(|a| !a.never_ran);
-                    let tried = tried.map(|a| Begun { number: UNKNOWN, ..a });
-                    let attempts = here.attempts.iter().cloned().chain(tried).collect();
-                    live = Live { attempts, ending: here.ending.or(live.ending), ..here.clone() };
+                Some(existing) if is_resumed => {
+                    live = LiveMessage { message: existing.message.clone(), ..live }
+                }
+                // Submitted to both program versions: it is the same message, and the attempts of both count.
+                Some(existing) => {
+                    let possible_attempts = live.attempts.into_iter().filter(|attempt| !attempt.never_ran);
+                    let possible_attempts = possible_attempts
+                        .map(|attempt| AttemptRecord { number: UNKNOWN_ATTEMPT_NUMBER, ..attempt });
+                    let attempts = existing.attempts.iter().cloned().chain(possible_attempts).collect();
+                    live =
+                        LiveMessage { attempts, ending: existing.ending.or(live.ending), ..existing.clone() };
                 }
-                // Numbers are given anew, since others may have been given out.
+                // Assign a new id, as the old id may already be in use here.
                 None => {
-                    if let Some(taken) = Rc::get_mut(&mut live.taken) {
-                        taken.id = self.table.next_id();
+                    if let Some(message) = Rc::get_mut(&mut live.message) {
+                        message.id = self.table.next_id();
                     }
                 }
             }
             self.frames.clear();
-            format::encode_whole(&live, self.frames.begin());
-            let seq = self.write(now).map_err(failed("cannot take over journal.v0"))?;
-            let id = live.taken.id;
-            self.table.read(format::Entry::Whole(live.taken, live.attempts, live.ending), seq);
-            self.note_base(id);
-            found.imported += 1;
+            format::encode_full_message(&live, self.frames.begin());
+            let seq = self.write_frames(now_ms).map_err(io_error("cannot import journal.v0"))?;
+            let id = live.message.id;
+            self.table.replay(format::Entry::FullMessage(live.message, live.attempts, live.ending), seq);
+            self.add_message_id(id);
+            report.imported += 1;
         }
-        self.sync_here()?;
-        self.storage.remove(IMPORTING).map_err(failed("cannot remove journal.v0"))?;
-        self.others = self.others.saturating_sub(blocks(length));
+        self.sync_blocking()?;
+        self.storage.remove(IMPORT_FILE).map_err(io_error("cannot remove journal.v0"))?;
+        self.other_files_bytes = self.other_files_bytes.saturating_sub(round_up_to_blocks(length));
         Ok(())
     }
 }
 
-/// Nobody outside may guess it.
-fn nonce() -> u64 {
+/// Random, so that clients cannot forge a frame.
+fn random_nonce() -> u64 {
     std::collections::hash_map::RandomState::new().build_hasher().finish()
 }
--- a/crates/serve/nickelshed-journal/src/legacy.rs
+++ b/crates/serve/nickelshed-journal/src/legacy.rs
@@ -1,39 +1,52 @@
-//! The journal's form before it had a version: one file of records, each a length, a checksum, a head in JSON and
-//! the body. Only read, once, when a sender is upgraded in place.
-use crate::record::{Begun, Ending, Live, Record, Taken, MAX_BODY};
-use crate::table::Table;
+//! Reader for the legacy journal format, which had no version: one file of records, each with a length, a
+//! checksum, a JSON head and the message body. It is read once, when a sender is upgraded in place.
+use crate::record::{AcceptedMessage, AttemptRecord, Ending, LiveMessage, Record, MAX_BODY_BYTES};
+use crate::table::MessageTable;
 use bytes::Bytes;
 use serde::Deserialize;
 use std::rc::Rc;
 
-const FRAME: usize = 8;
-/// Longest record: a body and its headers.
-const MAX_RECORD: usize = 4 * MAX_BODY;
+const RECORD_HEADER_BYTES: usize = 8;
+/// Maximum length of a record: a body and its headers.
+const MAX_RECORD_BYTES: usize = 4 * MAX_BODY_BYTES;
 
-/// How far good records are looked for behind one that can't be read. A write that was cut off is shorter, but for
-/// rounds of several large messages; those are doubted without need.
-const MAX_SCAN: usize = 128 << 10;
+/// How far to search for valid records behind an unreadable one. A torn write is usually shorter. A longer
+/// one, from a commit of several large messages, is treated as damage, which only marks messages as uncertain
+/// without need.
+const MAX_SCAN_BYTES: usize = 128 << 10;
 
 #[derive(Deserialize)]
-struct OldTaken {
-    i: u64,
-    c: String,
-    u: String,
-    d: u64,
-    m: String,
-    k: Option<String>,
-    t: i64,
+struct LegacyMessage {
+    #[serde(rename = "i")]
+    id: u64,
+    #[serde(rename = "c")]
+    class: String,
+    #[serde(rename = "u")]
+    tenant: String,
+    #[serde(rename = "d")]
+    dest: u64,
+    #[serde(rename = "m")]
+    trace: String,
+    #[serde(rename = "k")]
+    key: Option<String>,
+    #[serde(rename = "t")]
+    deadline_ms: i64,
 }
 
 #[derive(Deserialize)]
-struct OldBegun {
-    n: u32,
-    t: i64,
-    e: String,
+#[serde(rename = "OldBegun")]
+struct LegacyAttempt {
+    #[serde(rename = "n")]
+    number: u32,
+    #[serde(rename = "t")]
+    started_at_ms: i64,
+    #[serde(rename = "e")]
+    endpoint: String,
 }
 
 #[derive(Deserialize)]
-enum OldEnding {
+#[serde(rename = "OldEnding")]
+enum LegacyEnding {
     #[serde(rename = "g")]
     GivenUp,
     #[serde(rename = "h")]
@@ -41,66 +54,78 @@
 }
 
 #[derive(Deserialize)]
-enum Old {
+enum LegacyRecord {
     #[serde(rename = "T")]
-    Taken(OldTaken),
+    Accepted(LegacyMessage),
     #[serde(rename = "B")]
-    Begun(u64, OldBegun),
+    AttemptStarted(u64, LegacyAttempt),
     #[serde(rename = "N")]
-    NeverRan(u64, u32),
+    AttemptNeverRan(u64, u32),
     #[serde(rename = "D")]
-    Decided(u64, OldEnding),
+    EndingDecided(u64, LegacyEnding),
     #[serde(rename = "E")]
-    Ended(u64),
+    Finished(u64),
 }
 
-fn record(bytes: &[u8]) -> Option<(Record, usize)> {
-    let word = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?) as usize);
-    let length = word(0)?;
-    if !(4..=MAX_RECORD).contains(&length) {
+fn decode_record(bytes: &[u8]) -> Option<(Record, usize)> {
+    let read_u32 =
+        |offset: usize| Some(u32::from_le_bytes(bytes.get(offset..offset + 4)?.try_into().ok()?) as usize);
+    let length = read_u32(0)?;
+    if !(4..=MAX_RECORD_BYTES).contains(&length) {
         return None;
     }
-    let payload = bytes.get(FRAME..FRAME + length)?;
-    if crc32fast::hash(payload) as usize != word(4)? {
+    let payload = bytes.get(RECORD_HEADER_BYTES..RECORD_HEADER_BYTES + length)?;
+    if crc32fast::hash(payload) as usize != read_u32(4)? {
         return None;
     }
-    let (head, body) = payload[4..].split_at_checked(word(FRAME)?)?;
+    let (head, body) = payload[4..].split_at_checked(read_u32(RECORD_HEADER_BYTES)?)?;
     let record = match serde_json::from_slice(head).ok()? {
-        Old::Taken(t) => Record::Taken(Rc::new(Taken {
-            id: t.i,
-            class: t.c,
-            tenant: t.u,
-            dest: t.d,
-            trace: t.m,
-            key: t.k,
-            since: 0,
-            end: t.t,
+        LegacyRecord::Accepted(message) => Record::Accepted(Rc::new(AcceptedMessage {
+            id: message.id,
+            class: message.class,
+            tenant: message.tenant,
+            dest: message.dest,
+            trace: message.trace,
+            key: message.key,
+            accepted_at_ms: 0,
+            deadline_ms: message.deadline_ms,
             body: Bytes::copy_from_slice(body),
-            share: None,
+            memory_share: None,
         })),
-        Old::Begun(id, b) => {
-            Record::Begun(id, Begun { number: b.n, at: b.t, endpoint: b.e, never_ran: false })
+        LegacyRecord::AttemptStarted(id, attempt) => Record::AttemptStarted(
+            id,
+            AttemptRecord {
+                number: attempt.number,
+                started_at_ms: attempt.started_at_ms,
+                endpoint: attempt.endpoint,
+                never_ran: false,
+            },
+        ),
+        LegacyRecord::AttemptNeverRan(id, number) => Record::AttemptNeverRan(id, number),
+        LegacyRecord::EndingDecided(id, LegacyEnding::GivenUp) => Record::EndingDecided(id, Ending::GivenUp),
+        LegacyRecord::EndingDecided(id, LegacyEnding::HandedBack(retry_after_ms)) => {
+            Record::EndingDecided(id, Ending::HandedBack(retry_after_ms))
         }
-        Old::NeverRan(id, number) => Record::NeverRan(id, number),
-        Old::Decided(id, OldEnding::GivenUp) => Record::Decided(id, Ending::GivenUp),
-        Old::Decided(id, OldEnding::HandedBack(ms)) => Record::Decided(id, Ending::HandedBack(ms)),
-        Old::Ended(id) => Record::Ended(id),
+        LegacyRecord::Finished(id) => Record::Finished(id),
     };
-    Some((record, FRAME + length))
+    Some((record, RECORD_HEADER_BYTES + length))
 }
 
-/// What lives in such a file, and how many bytes at its end can't be read.
-pub fn read(bytes: &[u8]) -> (Vec<Live>, usize) {
-    let mut table = Table::default();
-    let mut at = 0;
-    while let Some((record, length)) = record(&bytes[at..]) {
+/// Returns the live messages of a legacy file, and the number of unreadable bytes at its end.
+pub fn read_legacy_file(bytes: &[u8]) -> (Vec<LiveMessage>, usize) {
+    let mut table = MessageTable::default();
+    let mut offset = 0;
+    while let Some((record, length)) = decode_record(&bytes[offset..]) {
         table.apply(&record, 0);
-        at += length;
+        offset += length;
     }
-    // That form can't tell damage from a torn end. With records behind it an attempt's may be among what is lost.
-    let rest = &bytes[at..];
-    if (1..rest.len()).take(MAX_SCAN).any(|skip| record(&rest[skip..]).is_some()) || rest.len() > MAX_SCAN {
-        table.doubt(0);
+    // The format cannot distinguish damage from a torn write. If valid records follow, the lost ones may
+    // include attempts.
+    let rest = &bytes[offset..];
+    if (1..rest.len()).take(MAX_SCAN_BYTES).any(|skip| decode_record(&rest[skip..]).is_some())
+        || rest.len() > MAX_SCAN_BYTES
+    {
+        table.assume_attempts(0);
     }
     (table.into_live(), rest.len())
 }
--- a/crates/serve/nickelshed-journal/src/lib.rs
+++ b/crates/serve/nickelshed-journal/src/lib.rs
@@ -1,11 +1,16 @@
-//! What a sender has taken on, kept in a folder so that it outlasts the process, and by choice the machine.
+//! Write-ahead log of the messages that a sender has accepted. It survives the end of the process and, with
+//! [`Durability::Machine`], the loss of the machine.
 //!
-//! A round's records are appended as one frame to a log of segments; what still lives in the oldest segments is
-//! copied to the end in small steps, and they are removed. `docs/design/journal.md` weighs this against other ways.
+//! The records of one commit are appended as one frame to a log of segments. Compaction copies the messages
+//! that are still live in the oldest segments to the end of the log in bounded steps, and removes the emptied
+//! segments. `docs/design/journal.md` compares this design with alternatives.
 //!
-//! - [`Journal`] is the log of one folder over a [`Storage`], which tests make fail at every operation.
-//! - `format`, `table`, `pace` and [`recover`] do no I/O: bytes, what lives, how much is copied, and what a folder says.
-//! - Nothing here starts a thread: with [`Durability::Machine`] the owner runs each [`Sync`] where it likes.
+//! - [`Journal`] is the log of one folder on a [`Storage`]; tests use a storage that fails at every
+//!   operation.
+//! - `format`, `table`, `compaction` and [`recover`] do no I/O. They cover the encoding of segments, the set
+//!   of live messages, the amount of compaction, and the replay of a folder's segments.
+//! - This crate starts no threads: with [`Durability::Machine`] the caller runs each [`SyncTask`] on a thread
+//!   of its choice.
 mod format;
 mod journal;
 mod legacy;
@@ -17,13 +22,15 @@
 mod table;
 mod view;
 
-pub use format::VERSION;
+pub use format::FORMAT_VERSION;
 pub use journal::{
-    is_aside, segment_name, segment_number, Claim, Durability, Found, Journal, OpenError, Options, Round,
-    Stats, Sync, Synced, ROOM_BESIDE,
+    is_auxiliary_file, segment_name, segment_number, CommitSeq, Durability, Journal, OpenError, Options,
+    RecoveryReport, Reservation, Stats, SyncResult, SyncTask, SIDE_FILE_RESERVED_BYTES,
 };
-pub use pace::{Room, AMPLIFICATION, STEP};
-pub use record::{Begun, Ending, Live, Record, Taken, MAX_BODY, MAX_NAME};
-pub use storage::{Folder, Handle, Storage};
-pub use table::Table;
-pub use view::{look, LookError, State, View};
+pub use pace::{SpaceUsage, MAX_COMPACTION_STEP_BYTES, MAX_WRITE_AMPLIFICATION};
+pub use record::{
+    AcceptedMessage, AttemptRecord, Ending, LiveMessage, Record, MAX_BODY_BYTES, MAX_ENDPOINT_NAME_BYTES,
+};
+pub use storage::{FileHandle, Folder, Storage};
+pub use table::MessageTable;
+pub use view::{inspect_folder, InspectError, Inspection, Integrity};
--- a/crates/serve/nickelshed-journal/src/note/tests.rs
+++ b/crates/serve/nickelshed-journal/src/note/tests.rs
@@ -1,70 +1,73 @@
 use super::*;
 
-const LAYOUT: Layout = Layout { place: EARLIER_PLACE };
+const EARLIER_LAYOUT: Layout = Layout { slot_bytes: EARLIER_SLOT_BYTES };
 
-fn written(layout: Layout, file: &mut Vec<u8>, number: u64, bytes: &[u8], most: usize) {
-    let at = layout.offset(number) as usize;
-    let sealed = sealed(number, bytes);
-    let some = &sealed[..most.min(sealed.len())];
-    file.resize(file.len().max(at + some.len()), 0);
-    file[at..at + some.len()].copy_from_slice(some);
+fn write_slot(layout: Layout, file: &mut Vec<u8>, number: u64, bytes: &[u8], max_written_bytes: usize) {
+    let offset = layout.offset(number) as usize;
+    let encoded = encode_slot(number, bytes);
+    let written = &encoded[..max_written_bytes.min(encoded.len())];
+    file.resize(file.len().max(offset + written.len()), 0);
+    file[offset..offset + written.len()].copy_from_slice(written);
 }
 
 #[test]
-fn each_cut_and_each_flipped_bit_is_seen() {
-    let whole = sealed(1, b"who is out");
-    assert_eq!(opened(&whole).unwrap(), (1, b"who is out".to_vec()));
-    let mut longer = whole.clone();
-    longer.extend_from_slice(b"left from before");
-    assert_eq!(opened(&longer).unwrap().1, b"who is out");
-    for cut in 0..whole.len() {
-        assert_eq!(opened(&whole[..cut]), None);
+fn every_truncation_and_every_flipped_bit_is_detected() {
+    let encoded = encode_slot(1, b"outage state");
+    assert_eq!(decode_slot(&encoded).unwrap(), (1, b"outage state".to_vec()));
+    let mut with_old_bytes = encoded.clone();
+    with_old_bytes.extend_from_slice(b"older longer data");
+    assert_eq!(decode_slot(&with_old_bytes).unwrap().1, b"outage state");
+    for cut in 0..encoded.len() {
+        assert_eq!(decode_slot(&encoded[..cut]), None);
     }
-    for bit in 0..whole.len() * 8 {
-        let mut spoilt = whole.clone();
-        spoilt[bit / 8] ^= 1 << (bit % 8);
-        assert_eq!(opened(&spoilt), None, "bit {bit}");
+    for bit in 0..encoded.len() * 8 {
+        let mut corrupted = encoded.clone();
+        corrupted[bit / 8] ^= 1 << (bit % 8);
+        assert_eq!(decode_slot(&corrupted), None, "bit {bit}");
     }
 }
 
 #[test]
-fn one_that_is_cut_short_at_any_byte_leaves_the_one_before() {
-    let texts: Vec<Vec<u8>> = (1..=6u8).map(|n| vec![n; 700 * usize::from(n % 3)]).collect();
+fn a_write_torn_at_any_byte_leaves_the_previous_snapshot() {
+    let snapshots: Vec<Vec<u8>> = (1..=6u8).map(|n| vec![n; 700 * usize::from(n % 3)]).collect();
     let mut file = Vec::new();
-    for (n, text) in texts.iter().enumerate() {
-        let number = n as u64 + 1;
-        for cut in 0..sealed(number, text).len() {
-            let mut torn = file.clone();
-            written(LAYOUT, &mut torn, number, text, cut);
-            let before = n.checked_sub(1).map(|n| texts[n].clone());
-            // All but bytes that happen to stand there already.
-            let found = LAYOUT.newest(&torn).map(|(_, bytes)| bytes);
-            assert!(found == before || found.as_ref() == Some(text), "note {number} cut at {cut}");
+    for (index, snapshot) in snapshots.iter().enumerate() {
+        let number = index as u64 + 1;
+        for cut in 0..encode_slot(number, snapshot).len() {
+            let mut torn_file = file.clone();
+            write_slot(EARLIER_LAYOUT, &mut torn_file, number, snapshot, cut);
+            let previous = index.checked_sub(1).map(|index| snapshots[index].clone());
+            // A cut may fall where the remaining bytes already match the previous contents of the slot.
+            let found = EARLIER_LAYOUT.newest(&torn_file).map(|(_, bytes)| bytes);
+            assert!(found == previous || found.as_ref() == Some(snapshot), "snapshot {number} cut at {cut}");
         }
-        written(LAYOUT, &mut file, number, text, usize::MAX);
-        assert_eq!(LAYOUT.newest(&file).unwrap(), (number, text.clone()));
+        write_slot(EARLIER_LAYOUT, &mut file, number, snapshot, usize::MAX);
+        assert_eq!(EARLIER_LAYOUT.newest(&file).unwrap(), (number, snapshot.clone()));
     }
 }
 
 #[test]
-fn a_place_grows_with_the_disk_between_its_bounds() {
-    let of = |disk: u64| Layout::on(disk).place;
-    assert_eq!((of(0), of(100_000), of(u64::MAX)), (2_048, 2_048, 98_304));
-    assert_eq!(of(3_000_000), 46_592);
-    assert_eq!(Layout::on(3_000_000).file_size(), 93_184);
+fn the_slot_size_grows_with_the_disk_limit_between_its_bounds() {
+    let slot_bytes_for = |disk_limit_bytes: u64| Layout::for_disk_limit(disk_limit_bytes).slot_bytes;
+    assert_eq!(
+        (slot_bytes_for(0), slot_bytes_for(100_000), slot_bytes_for(u64::MAX)),
+        (2_048, 2_048, 98_304)
+    );
+    assert_eq!(slot_bytes_for(3_000_000), 46_592);
+    assert_eq!(Layout::for_disk_limit(3_000_000).file_size(), 93_184);
 }
 
 #[test]
-fn a_file_of_the_versions_before_is_read_and_written_on() {
-    let now = Layout::on(3_000_000);
+fn a_file_of_an_earlier_version_is_read_and_updated() {
+    let current_layout = Layout::for_disk_limit(3_000_000);
     let mut file = Vec::new();
     for number in 1..=2 {
-        written(LAYOUT, &mut file, number, &[number as u8; 100], usize::MAX);
+        write_slot(EARLIER_LAYOUT, &mut file, number, &[number as u8; 100], usize::MAX);
     }
-    assert_eq!(now.newest(&file).unwrap(), (2, vec![2; 100]));
-    written(LAYOUT, &mut file, 3, b"in the second place", usize::MAX);
-    assert_eq!(now.newest(&file).unwrap(), (3, b"in the second place".to_vec()));
-    written(now, &mut file, 4, b"by the new version", usize::MAX);
-    written(now, &mut file, 5, &[5; 10_000], usize::MAX);
-    assert_eq!(now.newest(&file).unwrap(), (5, vec![5; 10_000]));
+    assert_eq!(current_layout.newest(&file).unwrap(), (2, vec![2; 100]));
+    write_slot(EARLIER_LAYOUT, &mut file, 3, b"in the second slot", usize::MAX);
+    assert_eq!(current_layout.newest(&file).unwrap(), (3, b"in the second slot".to_vec()));
+    write_slot(current_layout, &mut file, 4, b"by the new version", usize::MAX);
+    write_slot(current_layout, &mut file, 5, &[5; 10_000], usize::MAX);
+    assert_eq!(current_layout.newest(&file).unwrap(), (5, vec![5; 10_000]));
 }
--- a/crates/serve/nickelshed-journal/src/pace.rs
+++ b/crates/serve/nickelshed-journal/src/pace.rs
@@ -1,60 +1,63 @@
-//! How much room there is, and how much is copied in a round. No I/O.
+//! Space accounting and the size of compaction steps. No I/O.
 //!
-//! The log is a ring of segments: the oldest is emptied by copying what still lives in it to the end. In one turn of
-//! the ring each message is copied once at most, and all garbage that lay there at its start is freed. Copying
-//! goes on only while the garbage is at least a quarter of what lives, so a turn frees a byte for each four that it
-//! copies at the worst: [`AMPLIFICATION`] bytes are written for each byte that was appended, however full it is.
+//! The log is a ring of segments: compaction empties the oldest one by copying its live messages to the end.
+//! In one pass over the ring each message is copied at most once, and all bytes that were reclaimable at its
+//! start are freed. Compaction runs only while the reclaimable bytes are at least a quarter of the live
+//! bytes, so in the worst case a pass frees one byte for every four that it copies. However full the log is,
+//! at most [`MAX_WRITE_AMPLIFICATION`] bytes are written for each appended byte.
 
-/// Garbage is worth collecting from this part of what lives on.
-const WORTH: u64 = 4;
-/// Bytes written for each byte appended, at the worst and on average over turns of the ring.
-pub const AMPLIFICATION: u64 = 1 + WORTH;
-/// Bytes copied in a round at most; one message more may pass it.
-pub const STEP: u64 = 96 << 10;
+/// Compaction is worthwhile once the reclaimable bytes reach this fraction (1/n) of the live bytes.
+const WORTHWHILE_DIVISOR: u64 = 4;
+/// Bytes written for each byte appended, in the worst case, averaged over passes of the ring.
+pub const MAX_WRITE_AMPLIFICATION: u64 = 1 + WORTHWHILE_DIVISOR;
+/// Maximum number of bytes copied in one step. The last message copied may exceed it.
+pub const MAX_COMPACTION_STEP_BYTES: u64 = 96 << 10;
 
-/// Figures in bytes.
+/// All values are in bytes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Room {
-    /// What all segments together may take.
-    pub total: u64,
-    /// What they take now.
+pub struct SpaceUsage {
+    /// Limit of all segments together.
+    pub log_limit: u64,
+    /// Current size of all segments.
     pub log: u64,
-    /// Of which this much lives.
+    /// Bound of the size of all live messages.
     pub live: u64,
-    /// What may still be written of the messages that are held, without any copying being done for it.
-    pub owed: u64,
+    /// Bound of the records that may still be written of the live messages. These can be written without any
+    /// compaction.
+    pub reserved: u64,
     /// Kept free so that a segment can be copied before it is removed.
-    pub spare: u64,
+    pub compaction_reserve: u64,
 }
 
-impl Room {
-    /// What new messages may claim.
+impl SpaceUsage {
+    /// Returns the space available for new messages.
     pub fn free(&self) -> u64 {
-        self.total.saturating_sub(self.log + self.owed + self.spare)
+        self.log_limit.saturating_sub(self.log + self.reserved + self.compaction_reserve)
     }
 
-    pub fn garbage(&self) -> u64 {
+    pub fn reclaimable(&self) -> u64 {
         self.log.saturating_sub(self.live)
     }
 
-    /// Whether emptying a segment pays.
-    pub fn pays(&self) -> bool {
-        self.garbage() >= self.live / WORTH + self.spare / 2
+    /// Whether the reclaimable bytes are enough to compact a segment.
+    pub fn is_compaction_worthwhile(&self) -> bool {
+        self.reclaimable() >= self.live / WORTHWHILE_DIVISOR + self.compaction_reserve / 2
     }
 
-    /// How much to copy after a round that appended so much.
-    pub fn step(&self, appended: u64) -> u64 {
-        let third = self.total / 3;
-        // Also with room left, garbage that is far more than what lives is cheap to be rid of, and costs time at the
-        // next start.
-        let cheap = self.garbage() >= 2 * self.live + 4 * self.spare;
-        if !(self.pays() && (cheap || self.free() < third)) {
+    /// Returns how many bytes to copy after a commit of `appended` bytes.
+    pub fn compaction_step(&self, appended_bytes: u64) -> u64 {
+        let third_of_limit = self.log_limit / 3;
+        // Far more reclaimable than live bytes are cheap to reclaim even while space is left, and would slow
+        // down the next start.
+        let is_cheap = self.reclaimable() >= 2 * self.live + 4 * self.compaction_reserve;
+        if !(self.is_compaction_worthwhile() && (is_cheap || self.free() < third_of_limit)) {
             return 0;
         }
-        // On average a byte is freed for each live / garbage bytes copied. Twice that makes headway, and more of
-        // it the less is free.
-        let urgency = 2 * third / self.free().max(third / 8).max(1);
-        (appended * self.live / self.garbage().max(1) * urgency.max(2)).clamp(4 << 10, STEP)
+        // On average, freeing one byte means copying live / reclaimable bytes. Copying at least twice that
+        // much for each appended byte makes progress; the factor grows as free space shrinks.
+        let urgency = 2 * third_of_limit / self.free().max(third_of_limit / 8).max(1);
+        (appended_bytes * self.live / self.reclaimable().max(1) * urgency.max(2))
+            .clamp(4 << 10, MAX_COMPACTION_STEP_BYTES)
     }
 }
 
@@ -62,25 +65,28 @@
 mod tests {
     use super::*;
 
-    fn room(log: u64, live: u64, owed: u64) -> Room {
-        Room { total: 1_000_000, log, live, owed, spare: 50_000 }
+    fn usage(log: u64, live: u64, reserved: u64) -> SpaceUsage {
+        SpaceUsage { log_limit: 1_000_000, log, live, reserved, compaction_reserve: 50_000 }
     }
 
     #[test]
-    fn nothing_is_copied_while_there_is_room_or_where_it_would_not_pay() {
-        assert_eq!(room(200_000, 10_000, 100_000).step(1_000), 0);
-        assert!(room(300_000, 10_000, 100_000).step(1_000) > 0);
-        assert_eq!(room(900_000, 800_000, 0).step(1_000), 0);
-        assert!(room(900_000, 600_000, 0).step(1_000) > 0);
+    fn nothing_is_compacted_while_space_is_free_or_when_not_worthwhile() {
+        assert_eq!(usage(200_000, 10_000, 100_000).compaction_step(1_000), 0);
+        assert!(usage(300_000, 10_000, 100_000).compaction_step(1_000) > 0);
+        assert_eq!(usage(900_000, 800_000, 0).compaction_step(1_000), 0);
+        assert!(usage(900_000, 600_000, 0).compaction_step(1_000) > 0);
     }
 
     #[test]
-    fn the_step_grows_as_room_gets_short_and_never_passes_its_bound() {
-        let wide = room(650_000, 400_000, 0).step(1_000);
-        let narrow = room(940_000, 400_000, 0).step(1_000);
-        assert!(wide <= narrow, "{wide} {narrow}");
+    fn the_compaction_step_grows_as_free_space_shrinks_up_to_its_maximum() {
+        let step_with_more_space = usage(650_000, 400_000, 0).compaction_step(1_000);
+        let step_with_less_space = usage(940_000, 400_000, 0).compaction_step(1_000);
+        assert!(
+            step_with_more_space <= step_with_less_space,
+            "{step_with_more_space} {step_with_less_space}"
+        );
         for log in (0..=1_000_000).step_by(10_000) {
-            assert!(room(log, log / 2, 0).step(u32::MAX.into()) <= STEP);
+            assert!(usage(log, log / 2, 0).compaction_step(u32::MAX.into()) <= MAX_COMPACTION_STEP_BYTES);
         }
     }
 }
--- a/crates/serve/nickelshed-journal/src/record.rs
+++ b/crates/serve/nickelshed-journal/src/record.rs
@@ -1,95 +1,105 @@
-//! What is written down of a message: that it was taken on, its attempts, and how it ended.
+//! The records that are written of a message: its acceptance, its attempts, and its ending.
 use bytes::Bytes;
 use nickelshed_budget::Share;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// Bytes that a message's body holds at most.
-pub const MAX_BODY: usize = 64 << 10;
-/// Bytes in an endpoint's name at most: the room that an attempt may come to take is claimed before it is made.
-pub const MAX_NAME: usize = 64;
+/// Maximum size of a message body.
+pub const MAX_BODY_BYTES: usize = 64 << 10;
+/// Maximum size of an endpoint name. Space for the record of an attempt is reserved before the endpoint is
+/// known.
+pub const MAX_ENDPOINT_NAME_BYTES: usize = 64;
 
-/// A message as it was taken on: all that a call needs after a restart.
+/// A message as it was accepted, with everything that a call needs after a restart.
 #[derive(Debug)]
-pub struct Taken {
-    /// The sender's number for it; not used again in this folder.
+pub struct AcceptedMessage {
+    /// Assigned by the sender. Ids are not reused in a folder.
     pub id: u64,
     pub class: String,
     pub tenant: String,
     pub dest: u64,
     pub trace: String,
     pub key: Option<String>,
-    /// When it was taken on, Unix time in milliseconds; 0 where the version before had not written it down.
-    pub since: i64,
-    /// Deadline, Unix time in milliseconds.
-    pub end: i64,
+    /// Unix time in milliseconds, or 0 if imported from the legacy format, which has no such field.
+    pub accepted_at_ms: i64,
+    /// Unix time in milliseconds.
+    pub deadline_ms: i64,
     pub body: Bytes,
-    /// Its part of the memory, given back with the message.
-    pub share: Option<Share>,
+    /// The memory budget used by the body, released when the message is dropped.
+    pub memory_share: Option<Share>,
 }
 
-impl Taken {
-    /// Whether it is the same message, handed in again.
-    pub fn is_same(&self, other: &Taken) -> bool {
+impl AcceptedMessage {
+    /// Whether `other` is a repeated submission of this message.
+    pub fn is_same_submission(&self, other: &AcceptedMessage) -> bool {
         let (a, b) = (self, other);
         a.dest == b.dest && a.class == b.class && a.tenant == b.tenant && a.key == b.key && a.body == b.body
     }
 }
 
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Begun {
-    /// Attempts of a message count from 0.
+pub struct AttemptRecord {
+    /// Attempts of a message are numbered from 0.
     pub number: u32,
     /// Unix time in milliseconds.
-    pub at: i64,
-    /// Empty where the record of an attempt may have been lost: then one must be supposed.
+    pub started_at_ms: i64,
+    /// Empty for an attempt that is only assumed to have been made, because its record may be lost.
     pub endpoint: String,
+    /// Known not to have taken effect.
     pub never_ran: bool,
 }
 
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq)]
 pub enum Ending {
+    /// Failed. An attempt may have taken effect.
     GivenUp,
-    /// With the time after which to come again, in milliseconds.
+    /// Returned to the client unexecuted, with the time in milliseconds after which it may be submitted
+    /// again.
     HandedBack(Option<u64>),
 }
 
 #[derive(Clone, Debug)]
 pub enum Record {
-    Taken(Rc<Taken>),
-    Begun(u64, Begun),
-    /// This attempt is known not to have run.
-    NeverRan(u64, u32),
-    /// Its notice is under way. Written before the notice, so that a message whose client may hand it in
-    /// again is not sent by the next process too.
-    Decided(u64, Ending),
-    Ended(u64),
+    Accepted(Rc<AcceptedMessage>),
+    AttemptStarted(u64, AttemptRecord),
+    /// The attempt with this number is known not to have run.
+    AttemptNeverRan(u64, u32),
+    /// The ending is chosen and its notice is about to be sent. This is written before the notice, so that
+    /// after a restart the sender does not send a message that its client may already have submitted again.
+    EndingDecided(u64, Ending),
+    Finished(u64),
 }
 
-/// A message that has not ended.
+/// A message that has not finished.
 #[derive(Clone, Debug)]
-pub struct Live {
-    pub taken: Rc<Taken>,
-    pub attempts: Vec<Begun>,
+pub struct LiveMessage {
+    pub message: Rc<AcceptedMessage>,
+    pub attempts: Vec<AttemptRecord>,
     pub ending: Option<Ending>,
-    /// The segment that holds its newest whole record, and needs to be kept for it.
-    pub(crate) base: u64,
+    /// The segment with the newest full record of this message. It must be kept until the message finishes or
+    /// is copied.
+    pub(crate) base_segment: u64,
 }
 
-impl Live {
-    /// The number of its next attempt. Higher than all that are written down, and than their count, as one that
-    /// could not be written down leaves a gap.
-    pub fn next_number(&self) -> u32 {
-        let highest = self.attempts.iter().filter(|a| a.number != UNKNOWN).map(|a| a.number + 1).max();
+impl LiveMessage {
+    /// Returns the number of the next attempt: greater than all recorded numbers, which have gaps where a
+    /// record could not be written, and not below the count of records.
+    pub fn next_attempt_number(&self) -> u32 {
+        let highest = self
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.number != UNKNOWN_ATTEMPT_NUMBER)
+            .map(|attempt| attempt.number + 1)
+            .max();
         highest.unwrap_or(0).max(self.attempts.len() as u32)
     }
 }
 
-/// The number of an attempt that is only supposed.
-pub(crate) const UNKNOWN: u32 = u32::MAX;
+/// The number of an attempt that is only assumed to have been made, or that another program version numbered.
+pub(crate) const UNKNOWN_ATTEMPT_NUMBER: u32 = u32::MAX;
 
 impl Ending {
-    /// As the platform calls it.
+    /// The outcome as named in notices.
     pub fn name(self) -> &'static str {
         match self {
             Ending::GivenUp => "given_up",
