--- a/crates/serve/nickelshed-journal/src/recover.rs
+++ b/crates/serve/nickelshed-journal/src/recover.rs
@@ -1,57 +1,59 @@
-//! What a folder's segments say: a replay in order, and what is torn or damaged. It changes nothing, so that a live
-//! sender's folder can be read by it too.
-use crate::format::{self, FrameError, Header, HeaderError, Place, HEADER};
-use crate::table::Table;
+//! Replay of a folder's segments in order, with detection of torn writes and damage. It is read-only, so it
+//! can also be used on the folder of a running sender.
+use crate::format::{self, FrameError, FramePosition, Header, HeaderError, HEADER_BYTES};
+use crate::table::MessageTable;
 use std::io;
 
-/// A range of bytes that can't be read.
+/// A range of unreadable bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Damage {
-    /// The segment's number.
+pub struct DamagedRange {
+    /// Segment number.
     pub seq: u64,
     pub from: u64,
-    /// The whole segment is missing if it is 0.
+    /// 0 if the whole segment is missing.
     pub to: u64,
 }
 
-/// A write that the end of the process cut off. Nothing of it had been promised to anybody.
+/// A write at the end of the log that was cut off when the process ended. No part of it had been
+/// acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Torn {
+pub struct TornWrite {
     pub seq: u64,
-    /// Bytes that hold good.
-    pub kept: u64,
-    /// Bytes behind them.
-    pub cut: u64,
+    /// Bytes before the torn write.
+    pub valid_bytes: u64,
+    /// Bytes of the torn write.
+    pub cut_bytes: u64,
 }
 
 #[derive(Clone, Debug)]
 pub struct Segment {
     pub seq: u64,
-    /// Bytes that hold good, or are damaged and stand before some that do.
-    pub good: u64,
-    /// Bytes on the disk.
-    pub length: u64,
+    /// Length of the part that is kept: valid frames and damaged ranges, without a torn write.
+    pub valid_bytes: u64,
+    /// File size.
+    pub file_bytes: u64,
 }
 
 #[derive(Debug, Default)]
-pub struct Recovered {
-    pub table: Table,
-    /// Oldest first, without those below the floor.
+pub struct RecoveredFolder {
+    pub table: MessageTable,
+    /// Oldest first, without segments below the low-water mark.
     pub segments: Vec<Segment>,
-    /// Segments that are of no more use: emptied ones whose removal did not last, and one whose creation was cut off.
-    pub useless: Vec<u64>,
-    pub damage: Vec<Damage>,
-    pub torn: Option<Torn>,
-    /// Messages of which an attempt must be supposed.
-    pub doubted: usize,
+    /// Segments that are no longer needed: emptied ones whose removal was not durable, and one whose creation
+    /// was interrupted.
+    pub obsolete: Vec<u64>,
+    pub damage: Vec<DamagedRange>,
+    pub torn: Option<TornWrite>,
+    /// Number of messages that are assumed to have had an attempt.
+    pub uncertain: usize,
     /// None in a new folder.
     pub nonce: Option<u64>,
 }
 
 #[derive(Debug)]
-pub enum Failed {
-    /// A newer version of the program has written this segment.
-    Newer {
+pub enum ReplayError {
+    /// Segment written by a newer version of this program.
+    NewerFormat {
         seq: u64,
         version: u16,
     },
@@ -61,169 +63,184 @@
     },
 }
 
-/// Replays the segments `files` (number and length in bytes); `read` gives a segment's first so many bytes. `machine`
-/// says whether the folder is kept against the loss of the machine, for a segment that can't tell.
+/// Replays the segments in `files` (segment number and size in bytes). `read` returns at most the given
+/// number of bytes from the start of a segment. `machine_durable` tells whether the folder is used with
+/// `Durability::Machine`; it applies where the header of a segment is unreadable.
 ///
 /// # Errors
-/// If a segment can't be read at all, or was written by a newer version.
+/// If a file cannot be read, or was written by a newer version.
 pub fn replay(
     files: &[(u64, u64)],
-    machine: bool,
+    machine_durable: bool,
     mut read: impl FnMut(u64, u64) -> io::Result<Vec<u8>>,
-) -> Result<Recovered, Failed> {
+) -> Result<RecoveredFolder, ReplayError> {
     let mut files = files.to_vec();
     files.sort_unstable();
     let mut headers = Vec::new();
     for &(seq, _) in &files {
-        let bytes = read(seq, HEADER as u64).map_err(|error| Failed::Io { seq, error })?;
+        let bytes = read(seq, HEADER_BYTES as u64).map_err(|error| ReplayError::Io { seq, error })?;
         headers.push(match Header::decode(&bytes) {
-            Err(HeaderError::Newer(version)) => return Err(Failed::Newer { seq, version }),
-            // A segment under another's name is none.
+            Err(HeaderError::NewerFormat(version)) => return Err(ReplayError::NewerFormat { seq, version }),
+            // The header belongs to another segment, so this file was renamed or overwritten.
             Ok(header) if header.seq != seq => Err(HeaderError::Damaged),
             other => other,
         });
     }
-    let mut found = Recovered::default();
-    // Its creation was cut off before a frame could follow.
-    if let (Some(&(seq, length)), Some(Err(error))) = (files.last(), headers.last()) {
-        // A header is synced with the first frame, so without one no frame had been promised.
-        if *error == HeaderError::Torn || length <= HEADER as u64 || machine {
-            found.useless.push(seq);
+    let mut recovered = RecoveredFolder::default();
+    // The last segment has no valid header: its creation may have been interrupted before the first frame was
+    // written.
+    if let (Some(&(seq, file_bytes)), Some(Err(error))) = (files.last(), headers.last()) {
+        // The header is synced together with the first frame, so without a header no frame has been
+        // acknowledged.
+        if *error == HeaderError::Truncated || file_bytes <= HEADER_BYTES as u64 || machine_durable {
+            recovered.obsolete.push(seq);
             files.pop();
             headers.pop();
         }
     }
-    found.nonce = headers.iter().flatten().map(|h| h.nonce).next();
-    let first = headers.iter().flatten().find(|h| h.first).map_or(0, |h| h.seq);
-    let mut replay = Replay { found, last_at: 0, floor: first, missing: Vec::new() };
-    for (i, &(seq, length)) in files.iter().enumerate() {
+    recovered.nonce = headers.iter().flatten().map(|header| header.nonce).next();
+    let first_seq = headers.iter().flatten().find(|header| header.is_first).map_or(0, |header| header.seq);
+    let mut replay =
+        Replay { recovered, last_written_at_ms: 0, low_water_mark: first_seq, missing: Vec::new() };
+    for (i, &(seq, file_bytes)) in files.iter().enumerate() {
         if i > 0 && files[i - 1].0 + 1 != seq {
             replay.missing.push(files[i - 1].0 + 1..seq);
-            replay.doubt();
+            replay.mark_uncertain();
         }
-        let bytes = read(seq, length).map_err(|error| Failed::Io { seq, error })?;
-        let next = files.get(i + 1).filter(|(n, _)| *n == seq + 1).and(headers.get(i + 1));
-        let end = match next {
-            Some(Ok(header)) => End::Known(u64::from(header.prev)),
-            Some(Err(_)) => End::Whole,
-            None if i + 1 < files.len() => End::Whole,
-            None => End::Open { machine: headers[i].as_ref().map_or(machine, |h| h.machine) },
+        let bytes = read(seq, file_bytes).map_err(|error| ReplayError::Io { seq, error })?;
+        let next = files.get(i + 1).filter(|(next_seq, _)| *next_seq == seq + 1).and(headers.get(i + 1));
+        let expected_end = match next {
+            Some(Ok(header)) => ExpectedEnd::Known(u64::from(header.prev_valid_bytes)),
+            Some(Err(_)) => ExpectedEnd::FileEnd,
+            None if i + 1 < files.len() => ExpectedEnd::FileEnd,
+            None => ExpectedEnd::ActiveSegment {
+                machine_durable: headers[i].as_ref().map_or(machine_durable, |header| header.machine_durable),
+            },
         };
-        replay.segment(seq, &bytes, length, headers[i].is_ok(), end);
+        replay.replay_segment(seq, &bytes, file_bytes, headers[i].is_ok(), expected_end);
     }
     Ok(replay.finish())
 }
 
-/// Up to where a segment must hold good.
-enum End {
+/// How far a segment must be valid.
+enum ExpectedEnd {
     Known(u64),
-    /// To its last byte.
-    Whole,
-    /// A write may have been under way.
-    Open {
-        machine: bool,
+    /// Up to its last byte.
+    FileEnd,
+    /// The active segment: a write may have been in progress.
+    ActiveSegment {
+        machine_durable: bool,
     },
 }
 
 struct Replay {
-    found: Recovered,
-    last_at: i64,
-    floor: u64,
+    recovered: RecoveredFolder,
+    last_written_at_ms: i64,
+    low_water_mark: u64,
     missing: Vec<std::ops::Range<u64>>,
 }
 
 impl Replay {
-    fn doubt(&mut self) {
-        self.found.doubted += self.found.table.doubt(self.last_at);
+    fn mark_uncertain(&mut self) {
+        self.recovered.uncertain += self.recovered.table.assume_attempts(self.last_written_at_ms);
     }
 
-    fn damage(&mut self, seq: u64, from: u64, to: u64) {
-        self.found.damage.push(Damage { seq, from, to });
-        self.doubt();
+    fn add_damage(&mut self, seq: u64, from: u64, to: u64) {
+        self.recovered.damage.push(DamagedRange { seq, from, to });
+        self.mark_uncertain();
     }
 
-    /// Whether all that lived below this floor is sure to have been read as it was copied. Behind damage an older
-    /// segment that is still there may hold the only good record.
-    fn holds(&self, floor: u64) -> bool {
-        self.found.damage.is_empty() && self.missing.iter().all(|m| m.end <= floor)
+    /// Whether all messages that were live below this low-water mark have been read from their copies. After
+    /// damage, an older segment that still exists may hold the only valid record of a message.
+    fn can_apply_mark(&self, low_water_mark: u64) -> bool {
+        self.recovered.damage.is_empty() && self.missing.iter().all(|missing| missing.end <= low_water_mark)
     }
 
-    fn segment(&mut self, seq: u64, bytes: &[u8], length: u64, has_header: bool, end: End) {
-        let good = match end {
-            End::Known(good) => good.min(bytes.len() as u64),
+    fn replay_segment(
+        &mut self,
+        seq: u64,
+        bytes: &[u8],
+        file_bytes: u64,
+        has_header: bool,
+        expected_end: ExpectedEnd,
+    ) {
+        let valid_bytes = match expected_end {
+            ExpectedEnd::Known(valid_bytes) => valid_bytes.min(bytes.len() as u64),
             _ => bytes.len() as u64,
         };
         if !has_header {
-            self.damage(seq, 0, HEADER as u64);
+            self.add_damage(seq, 0, HEADER_BYTES as u64);
         }
-        let bytes = &bytes[..good as usize];
-        let mut segment = Segment { seq, good, length };
-        let mut at = HEADER.min(bytes.len());
-        let nonce = self.found.nonce.unwrap_or_default();
-        while at < bytes.len() {
-            let place = Place { nonce, seq, offset: at as u64 };
-            let error = match format::frame(bytes, place) {
-                Ok((when, records, next)) => match format::decode(records) {
+        let bytes = &bytes[..valid_bytes as usize];
+        let mut segment = Segment { seq, valid_bytes, file_bytes };
+        let mut offset = HEADER_BYTES.min(bytes.len());
+        let nonce = self.recovered.nonce.unwrap_or_default();
+        while offset < bytes.len() {
+            let position = FramePosition { nonce, seq, offset: offset as u64 };
+            let error = match format::read_frame(bytes, position) {
+                Ok((written_at_ms, records, next_offset)) => match format::decode(records) {
                     Some(entries) => {
                         for entry in entries {
-                            if let format::Entry::Floor(floor) = entry {
-                                if !self.holds(floor) {
+                            if let format::Entry::LowWaterMark(low_water_mark) = entry {
+                                if !self.can_apply_mark(low_water_mark) {
                                     continue;
                                 }
-                                self.floor = self.floor.max(floor);
+                                self.low_water_mark = self.low_water_mark.max(low_water_mark);
                             }
-                            self.found.table.read(entry, seq);
+                            self.recovered.table.replay(entry, seq);
                         }
-                        (self.last_at, at) = (when, next);
+                        (self.last_written_at_ms, offset) = (written_at_ms, next_offset);
                         continue;
                     }
-                    None => FrameError::Bad,
+                    None => FrameError::Corrupt,
                 },
                 Err(error) => error,
             };
-            if let Some(next) = format::next_frame(bytes, place) {
-                self.damage(seq, at as u64, next as u64);
-                at = next;
+            if let Some(next_offset) = format::find_next_frame(bytes, position) {
+                self.add_damage(seq, offset as u64, next_offset as u64);
+                offset = next_offset;
                 continue;
             }
-            let rest = &bytes[at..];
-            // Room that was taken beforehand, or a segment of before that this one is written over. What a lost machine
-            // leaves of a write can't be told from it, and was promised to nobody either.
-            if matches!(end, End::Open { machine: true }) {
-                segment.good = at as u64;
+            let rest = &bytes[offset..];
+            // Preallocated space, or old contents of a reused segment. A write torn by the loss of the
+            // machine looks the same, and has not been acknowledged either.
+            if matches!(expected_end, ExpectedEnd::ActiveSegment { machine_durable: true }) {
+                segment.valid_bytes = offset as u64;
                 break;
             }
-            // Nothing follows, so a write that was cut off, unless it is all there and spoilt.
-            let open = matches!(end, End::Open { .. });
-            let torn = open && (error == FrameError::Short || rest.iter().all(|b| *b == 0));
-            if torn {
-                self.found.torn = Some(Torn { seq, kept: at as u64, cut: rest.len() as u64 });
-                segment.good = at as u64;
+            // No valid frame follows, so this is a torn write, unless the frame is complete but corrupt.
+            let is_active = matches!(expected_end, ExpectedEnd::ActiveSegment { .. });
+            let is_torn = is_active && (error == FrameError::Truncated || rest.iter().all(|byte| *byte == 0));
+            if is_torn {
+                self.recovered.torn =
+                    Some(TornWrite { seq, valid_bytes: offset as u64, cut_bytes: rest.len() as u64 });
+                segment.valid_bytes = offset as u64;
             } else {
-                self.damage(seq, at as u64, bytes.len() as u64);
+                self.add_damage(seq, offset as u64, bytes.len() as u64);
             }
             break;
         }
-        if let End::Known(known) = end {
-            if (bytes.len() as u64) < known {
-                self.damage(seq, bytes.len() as u64, known);
+        if let ExpectedEnd::Known(expected_bytes) = expected_end {
+            if (bytes.len() as u64) < expected_bytes {
+                self.add_damage(seq, bytes.len() as u64, expected_bytes);
             }
         }
-        self.found.segments.push(segment);
+        self.recovered.segments.push(segment);
     }
 
-    fn finish(mut self) -> Recovered {
-        let floor = self.floor.max(1);
-        if let Some(first) = self.found.segments.first().filter(|s| s.seq > floor) {
-            self.missing.push(floor..first.seq);
+    fn finish(mut self) -> RecoveredFolder {
+        let low_water_mark = self.low_water_mark.max(1);
+        if let Some(first) = self.recovered.segments.first().filter(|segment| segment.seq > low_water_mark) {
+            self.missing.push(low_water_mark..first.seq);
         }
-        for seq in self.missing.into_iter().flatten().filter(|seq| *seq >= floor) {
-            self.found.damage.push(Damage { seq, from: 0, to: 0 });
+        for seq in self.missing.into_iter().flatten().filter(|seq| *seq >= low_water_mark) {
+            self.recovered.damage.push(DamagedRange { seq, from: 0, to: 0 });
         }
-        let (below, kept) = self.found.segments.into_iter().partition(|s| s.seq < floor);
-        self.found.segments = kept;
-        self.found.useless.extend(below.iter().map(|s: &Segment| s.seq));
-        self.found.damage.retain(|d| d.seq >= floor);
-        self.found
+        let (below, current) =
+            self.recovered.segments.into_iter().partition(|segment| segment.seq < low_water_mark);
+        self.recovered.segments = current;
+        self.recovered.obsolete.extend(below.iter().map(|segment: &Segment| segment.seq));
+        self.recovered.damage.retain(|range| range.seq >= low_water_mark);
+        self.recovered
     }
 }
--- a/crates/serve/nickelshed-journal/src/storage.rs
+++ b/crates/serve/nickelshed-journal/src/storage.rs
@@ -1,48 +1,48 @@
-//! The folder's files, behind a trait so that each operation on them can be made to fail.
+//! File operations on the journal folder, behind a trait so that tests can make each of them fail.
 use std::fs::{self, File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// An open file, or the folder itself. It may be synced from another thread.
-pub trait Handle: Clone + Send + 'static {
-    /// Returns once what was written to it outlasts the loss of the machine.
+/// Handle of an open file or of the folder. Another thread may sync it.
+pub trait FileHandle: Clone + Send + 'static {
+    /// Returns once everything written so far survives the loss of the machine.
     ///
     /// # Errors
-    /// After one, nothing is known of what was written since the last success.
+    /// After an error, the state of everything written since the last successful sync is unknown.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// Names are plain file names in one folder.
+/// All names are plain file names in one folder.
 pub trait Storage {
-    type File: Handle;
+    type File: FileHandle;
 
-    /// Keeps other processes from using the folder until this one ends.
+    /// Locks the folder against other processes until this process ends.
     ///
     /// # Errors
-    /// `WouldBlock` if another process has it.
+    /// `WouldBlock` if another process holds the lock.
     fn lock(&mut self) -> io::Result<()>;
-    /// Names and lengths in bytes, in no order.
+    /// Returns names and sizes in bytes, in no particular order.
     fn list(&self) -> io::Result<Vec<(String, u64)>>;
-    /// Up to `most` bytes from the start of the file.
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>>;
-    /// Makes a file that must not be there yet.
+    /// Reads at most `limit` bytes from the start of the file.
+    fn read(&self, name: &str, limit: u64) -> io::Result<Vec<u8>>;
+    /// Creates a file. Fails if it exists.
     fn create(&self, name: &str) -> io::Result<Self::File>;
     fn open(&self, name: &str) -> io::Result<Self::File>;
-    /// Takes so many bytes of the disk for the file beforehand, so that a sync need not note its growth. They read as
-    /// zeros. Where the file system can't, nothing is done.
-    fn reserve(&self, file: &Self::File, length: u64) -> io::Result<()>;
-    /// May write less than all of it.
+    /// Allocates disk space for the file, so that a later sync does not have to write its new size. The space
+    /// reads as zeros. Does nothing if the file system does not support this.
+    fn preallocate(&self, file: &Self::File, length: u64) -> io::Result<()>;
+    /// Returns the number of bytes written, which may be less than all.
     fn write_at(&self, file: &Self::File, bytes: &[u8], offset: u64) -> io::Result<usize>;
     fn truncate(&self, file: &Self::File, length: u64) -> io::Result<()>;
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// For the sync of what was created, renamed and removed.
-    fn folder(&self) -> io::Result<Self::File>;
+    /// Returns a handle of the folder, whose sync makes creations, renames and removals durable.
+    fn folder_handle(&self) -> io::Result<Self::File>;
 
     /// # Errors
-    /// Some of the bytes may have been written then.
+    /// Some of the bytes may have been written.
     fn write_all_at(&self, file: &Self::File, mut bytes: &[u8], mut offset: u64) -> io::Result<()> {
         while !bytes.is_empty() {
             match self.write_at(file, bytes, offset) {
@@ -59,18 +59,18 @@
 /// A folder of the file system.
 pub struct Folder {
     path: PathBuf,
-    locked: Option<File>,
+    lock_file: Option<File>,
 }
 
-const LOCK: &str = "lock";
+const LOCK_FILE: &str = "lock";
 
 impl Folder {
     pub fn new(path: &Path) -> Folder {
-        Folder { path: path.to_path_buf(), locked: None }
+        Folder { path: path.to_path_buf(), lock_file: None }
     }
 }
 
-impl Handle for Arc<File> {
+impl FileHandle for Arc<File> {
     fn sync(&self) -> io::Result<()> {
         self.sync_data()
     }
@@ -80,10 +80,12 @@
     type File = Arc<File>;
 
     fn lock(&mut self) -> io::Result<()> {
-        // Empty, so it takes no block of the disk's limit. The system lets go of it when the process ends.
-        let file = OpenOptions::new().create(true).truncate(false).write(true).open(self.path.join(LOCK))?;
+        // The file is empty, so it takes no block of the disk limit. The system releases the lock when the
+        // process ends.
+        let file =
+            OpenOptions::new().create(true).truncate(false).write(true).open(self.path.join(LOCK_FILE))?;
         match file.try_lock() {
-            Ok(()) => self.locked = Some(file),
+            Ok(()) => self.lock_file = Some(file),
             Err(fs::TryLockError::WouldBlock) => return Err(io::ErrorKind::WouldBlock.into()),
             Err(fs::TryLockError::Error(e)) => return Err(e),
         }
@@ -96,16 +98,16 @@
             let entry = entry?;
             match (entry.file_name().into_string(), entry.metadata()) {
                 (Ok(name), Ok(meta)) if meta.is_file() => files.push((name, meta.len())),
-                // Removed since, or none of ours.
+                // Removed in the meantime, or not a file of the journal.
                 _ => {}
             }
         }
         Ok(files)
     }
 
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
+    fn read(&self, name: &str, limit: u64) -> io::Result<Vec<u8>> {
         let file = File::open(self.path.join(name))?;
-        let length = file.metadata()?.len().min(most);
+        let length = file.metadata()?.len().min(limit);
         let mut bytes = Vec::with_capacity(length as usize);
         io::Read::read_to_end(&mut io::Read::take(file, length), &mut bytes)?;
         Ok(bytes)
@@ -119,7 +121,7 @@
         Ok(Arc::new(OpenOptions::new().write(true).open(self.path.join(name))?))
     }
 
-    fn reserve(&self, file: &Arc<File>, length: u64) -> io::Result<()> {
+    fn preallocate(&self, file: &Arc<File>, length: u64) -> io::Result<()> {
         use rustix::fs::{fallocate, FallocateFlags};
         match fallocate(&**file, FallocateFlags::empty(), 0, length) {
             Err(rustix::io::Errno::OPNOTSUPP | rustix::io::Errno::NOSYS) => Ok(()),
@@ -143,7 +145,7 @@
         fs::remove_file(self.path.join(name))
     }
 
-    fn folder(&self) -> io::Result<Arc<File>> {
+    fn folder_handle(&self) -> io::Result<Arc<File>> {
         Ok(Arc::new(File::open(&self.path)?))
     }
 }
--- a/crates/serve/nickelshed-journal/src/table.rs
+++ b/crates/serve/nickelshed-journal/src/table.rs
@@ -1,121 +1,143 @@
-//! What lives, as the records say: applied one by one, at run time and when a folder is read. No I/O.
+//! The live messages, updated record by record both at run time and during replay. No I/O.
 use crate::format::{bound, Entry};
-use crate::record::{Begun, Live, Record, Taken, UNKNOWN};
+use crate::record::{AcceptedMessage, AttemptRecord, LiveMessage, Record, UNKNOWN_ATTEMPT_NUMBER};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 #[derive(Default, Clone, Debug)]
-pub struct Table {
-    live: BTreeMap<u64, Live>,
-    /// Upper bound of what copying all of it would write, in bytes.
-    bytes: u64,
+pub struct MessageTable {
+    live: BTreeMap<u64, LiveMessage>,
+    /// Upper bound of the size of all full records, in bytes.
+    full_messages_bound: u64,
     next_id: u64,
 }
 
-fn size(live: &Live) -> u64 {
-    bound::taken(&live.taken) + live.attempts.iter().map(bound::attempt).sum::<u64>()
+fn full_message_bound(live: &LiveMessage) -> u64 {
+    bound::accepted(&live.message) + live.attempts.iter().map(bound::attempt).sum::<u64>()
 }
 
-impl Table {
-    pub fn live(&self) -> &BTreeMap<u64, Live> {
+impl MessageTable {
+    pub fn live(&self) -> &BTreeMap<u64, LiveMessage> {
         &self.live
     }
 
-    pub fn bytes(&self) -> u64 {
-        self.bytes
+    pub fn full_messages_bound(&self) -> u64 {
+        self.full_messages_bound
     }
 
-    /// What copying one message would write, in bytes; 0 if it does not live.
-    pub fn bytes_of(&self, id: u64) -> u64 {
-        self.live.get(&id).map_or(0, size)
+    /// Returns an upper bound of the size of this message's full record in bytes, or 0 if the message is not
+    /// live.
+    pub fn full_message_bound_of(&self, id: u64) -> u64 {
+        self.live.get(&id).map_or(0, full_message_bound)
     }
 
-    pub fn insert(&mut self, taken: Rc<Taken>, seq: u64) {
-        self.put(Live { taken, attempts: Vec::new(), ending: None, base: seq });
+    pub fn insert_accepted(&mut self, message: Rc<AcceptedMessage>, segment_seq: u64) {
+        self.insert_live(LiveMessage {
+            message,
+            attempts: Vec::new(),
+            ending: None,
+            base_segment: segment_seq,
+        });
     }
 
-    /// A number that no record has.
+    /// Returns an id that no record uses.
     pub fn next_id(&self) -> u64 {
         self.next_id
     }
 
-    fn put(&mut self, live: Live) {
-        self.next_id = self.next_id.max(live.taken.id.saturating_add(1));
-        self.bytes += size(&live);
-        if let Some(old) = self.live.insert(live.taken.id, live) {
-            self.bytes -= size(&old);
+    fn insert_live(&mut self, live: LiveMessage) {
+        self.next_id = self.next_id.max(live.message.id.saturating_add(1));
+        self.full_messages_bound += full_message_bound(&live);
+        if let Some(replaced) = self.live.insert(live.message.id, live) {
+            self.full_messages_bound -= full_message_bound(&replaced);
         }
     }
 
-    pub fn apply(&mut self, record: &Record, seq: u64) {
+    pub fn apply(&mut self, record: &Record, segment_seq: u64) {
         match record {
-            Record::Taken(taken) => self.insert(taken.clone(), seq),
-            Record::Begun(id, begun) => {
+            Record::Accepted(message) => self.insert_accepted(message.clone(), segment_seq),
+            Record::AttemptStarted(id, attempt) => {
                 if let Some(live) = self.live.get_mut(id) {
-                    self.bytes += bound::attempt(begun);
-                    live.attempts.push(begun.clone());
+                    self.full_messages_bound += bound::attempt(attempt);
+                    live.attempts.push(attempt.clone());
                 }
             }
-            Record::NeverRan(id, number) => {
+            Record::AttemptNeverRan(id, number) => {
                 if let Some(live) = self.live.get_mut(id) {
-                    live.attempts.iter_mut().filter(|a| a.number == *number).for_each(|a| a.never_ran = true);
+                    live.attempts
+                        .iter_mut()
+                        .filter(|attempt| attempt.number == *number)
+                        .for_each(|attempt| attempt.never_ran = true);
                 }
             }
-            Record::Decided(id, ending) => {
+            Record::EndingDecided(id, ending) => {
                 if let Some(live) = self.live.get_mut(id) {
                     live.ending = Some(*ending);
                 }
             }
-            Record::Ended(id) => {
+            Record::Finished(id) => {
                 if let Some(live) = self.live.remove(id) {
-                    self.bytes -= size(&live);
+                    self.full_messages_bound -= full_message_bound(&live);
                 }
             }
         }
     }
 
-    /// As it was read from segment `seq`.
-    pub fn read(&mut self, entry: Entry, seq: u64) {
+    /// Applies an entry that was read from segment `segment_seq`.
+    pub fn replay(&mut self, entry: Entry, segment_seq: u64) {
         match entry {
-            Entry::Plain(record) => self.apply(&record, seq),
-            Entry::Whole(taken, attempts, ending) => self.put(Live { taken, attempts, ending, base: seq }),
-            // What lived there then had been copied: what is still based there has ended in a segment that is gone.
-            Entry::Floor(floor) => {
-                let stale: Vec<u64> =
-                    self.live.values().filter(|l| l.base < floor).map(|l| l.taken.id).collect();
-                stale.into_iter().for_each(|id| self.apply(&Record::Ended(id), seq));
+            Entry::Update(record) => self.apply(&record, segment_seq),
+            Entry::FullMessage(message, attempts, ending) => {
+                self.insert_live(LiveMessage { message, attempts, ending, base_segment: segment_seq })
+            }
+            // All messages that were live below the mark have been copied. Those still based there have
+            // finished, and the record of that was in a segment that has been removed.
+            Entry::LowWaterMark(low_water_mark) => {
+                let finished: Vec<u64> = self
+                    .live
+                    .values()
+                    .filter(|live| live.base_segment < low_water_mark)
+                    .map(|live| live.message.id)
+                    .collect();
+                finished.into_iter().for_each(|id| self.apply(&Record::Finished(id), segment_seq));
             }
         }
     }
 
-    pub(crate) fn live_mut(&mut self) -> impl Iterator<Item = &mut Live> {
+    pub(crate) fn live_mut(&mut self) -> impl Iterator<Item = &mut LiveMessage> {
         self.live.values_mut()
     }
 
-    /// Its whole record now stands in segment `seq`.
-    pub fn moved(&mut self, id: u64, seq: u64) {
+    /// Records that the newest full record of a message is now in segment `segment_seq`.
+    pub fn set_base_segment(&mut self, id: u64, segment_seq: u64) {
         if let Some(live) = self.live.get_mut(&id) {
-            live.base = seq;
+            live.base_segment = segment_seq;
         }
     }
 
-    pub(crate) fn into_live(self) -> Vec<Live> {
+    pub(crate) fn into_live(self) -> Vec<LiveMessage> {
         self.live.into_values().collect()
     }
 
-    /// Records were lost here, written at `since` or later: an attempt of any message that was taken on before may
-    /// be among them. Each is supposed to have one that may have run, so that its class decides what is allowed.
-    pub fn doubt(&mut self, since: i64) -> usize {
-        let mut doubted = 0;
+    /// Handles records that were lost here and were written at `lost_since_ms` or later: they may include
+    /// attempts of any message accepted so far. Assumes one attempt that may have run for each message, so
+    /// that its class decides whether it may be sent again. Returns the number of messages newly marked.
+    pub fn assume_attempts(&mut self, lost_since_ms: i64) -> usize {
+        let mut newly_marked = 0;
         for live in self.live.values_mut() {
-            if live.attempts.iter().any(|a| a.number == UNKNOWN) {
+            if live.attempts.iter().any(|attempt| attempt.number == UNKNOWN_ATTEMPT_NUMBER) {
                 continue;
             }
-            let supposed = Begun { number: UNKNOWN, at: since, endpoint: String::new(), never_ran: false };
-            self.bytes += bound::attempt(&supposed);
-            live.attempts.push(supposed);
-            doubted += 1;
+            let assumed = AttemptRecord {
+                number: UNKNOWN_ATTEMPT_NUMBER,
+                started_at_ms: lost_since_ms,
+                endpoint: String::new(),
+                never_ran: false,
+            };
+            self.full_messages_bound += bound::attempt(&assumed);
+            live.attempts.push(assumed);
+            newly_marked += 1;
         }
-        doubted
+        newly_marked
     }
 }
--- a/crates/serve/nickelshed-journal/src/view.rs
+++ b/crates/serve/nickelshed-journal/src/view.rs
@@ -1,104 +1,117 @@
-//! A folder as it stands, read beside the sender that runs on it: nothing is locked, written or removed.
+//! Read-only inspection of a folder, also while a sender is running on it: nothing is locked, written or
+//! removed.
 use crate::journal::{segment_name, segment_number};
-use crate::record::Live;
-use crate::recover::{self, Damage, Failed, Recovered, Segment, Torn};
+use crate::record::LiveMessage;
+use crate::recover::{self, DamagedRange, RecoveredFolder, ReplayError, Segment, TornWrite};
 use crate::storage::Storage;
 use crate::{legacy, OpenError};
 use std::io;
 
-/// How often reading starts anew because the sender has moved on meanwhile.
-const TRIES: usize = 8;
+/// Maximum number of reads, as a running sender may change the folder during a read.
+const MAX_READS: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    Whole,
-    /// The last write was cut off, by the end of a process, or is under way just now.
+pub enum Integrity {
+    Intact,
+    /// The last write was cut off by the end of a process, or is in progress.
     Torn,
     Damaged,
 }
 
 #[derive(Debug)]
-pub struct View {
-    pub live: Vec<Live>,
+pub struct Inspection {
+    pub live: Vec<LiveMessage>,
     pub segments: Vec<Segment>,
-    pub damage: Vec<Damage>,
-    pub torn: Option<Torn>,
-    /// Messages of which an attempt is supposed.
-    pub doubted: usize,
-    /// Bytes on the disk, each file in whole blocks of 512.
-    pub disk: u64,
-    /// The file of the version before is still there, and holds these messages too.
+    pub damage: Vec<DamagedRange>,
+    pub torn: Option<TornWrite>,
+    /// Number of messages that are assumed to have had an attempt.
+    pub uncertain: usize,
+    /// Size of the folder on disk in bytes. Each file counts in whole blocks of 512 bytes.
+    pub disk_bytes: u64,
+    /// The legacy file still exists. Its messages are included in `live`.
     pub legacy: bool,
 }
 
-pub type LookError = OpenError;
+pub type InspectError = OpenError;
 
-impl View {
-    pub fn state(&self) -> State {
+impl Inspection {
+    pub fn integrity(&self) -> Integrity {
         match (&self.damage[..], &self.torn) {
-            ([], None) => State::Whole,
-            ([], Some(_)) => State::Torn,
-            _ => State::Damaged,
+            ([], None) => Integrity::Intact,
+            ([], Some(_)) => Integrity::Torn,
+            _ => Integrity::Damaged,
         }
     }
 }
 
-/// Reads a folder. A segment that a running sender removes meanwhile is no damage: the reading starts anew.
+/// Reads a folder. If a segment is unreadable or missing, reads again, since a running sender may just have
+/// removed it.
 ///
 /// # Errors
-/// If a file can't be read, or was written by a newer version.
-pub fn look<S: Storage>(storage: &S) -> Result<View, LookError> {
-    let mut last = None;
-    for _ in 0..TRIES {
-        match look_once(storage) {
+/// If a file cannot be read, or was written by a newer version.
+pub fn inspect_folder<S: Storage>(storage: &S) -> Result<Inspection, InspectError> {
+    let mut last_inspection = None;
+    for _ in 0..MAX_READS {
+        match inspect_once(storage) {
             Err(OpenError::Io { error, .. }) if error.kind() == io::ErrorKind::NotFound => {}
-            Ok(view) if view.state() == State::Damaged => last = Some(view),
+            Ok(inspection) if inspection.integrity() == Integrity::Damaged => {
+                last_inspection = Some(inspection)
+            }
             other => return other,
         }
     }
-    // Still so at the last try: it is no segment that has just gone.
-    last.ok_or(OpenError::Io {
-        what: "the folder changes too fast to be read".into(),
+    // Still damaged in the last read, so no segment removed by a running sender explains it.
+    last_inspection.ok_or(OpenError::Io {
+        context: "the folder changes too fast to be read".into(),
         error: io::ErrorKind::ResourceBusy.into(),
     })
 }
 
-fn look_once<S: Storage>(storage: &S) -> Result<View, LookError> {
-    let io = |what: &str| {
-        let what = what.to_string();
-        move |error| OpenError::Io { what, error }
+fn inspect_once<S: Storage>(storage: &S) -> Result<Inspection, InspectError> {
+    let io_error = |context: &str| {
+        let context = context.to_string();
+        move |error| OpenError::Io { context, error }
     };
-    let files = storage.list().map_err(io("cannot list the folder"))?;
-    let numbered: Vec<(u64, u64)> =
-        files.iter().filter_map(|(name, length)| Some((segment_number(name)?, *length))).collect();
-    let read = |seq, most| storage.read(&segment_name(seq), most);
-    let Recovered { table, segments, damage, torn, doubted, .. } = recover::replay(&numbered, false, read)
-        .map_err(|e| match e {
-            Failed::Newer { seq, version } => OpenError::Newer { file: segment_name(seq), version },
-            Failed::Io { seq, error } => {
-                OpenError::Io { what: format!("cannot read {}", segment_name(seq)), error }
+    let files = storage.list().map_err(io_error("cannot list the folder"))?;
+    let segment_files: Vec<(u64, u64)> =
+        files.iter().filter_map(|(name, file_bytes)| Some((segment_number(name)?, *file_bytes))).collect();
+    let read = |seq, limit| storage.read(&segment_name(seq), limit);
+    let RecoveredFolder { table, segments, damage, torn, uncertain, .. } =
+        recover::replay(&segment_files, false, read).map_err(|e| match e {
+            ReplayError::NewerFormat { seq, version } => {
+                OpenError::NewerFormat { file: segment_name(seq), version }
+            }
+            ReplayError::Io { seq, error } => {
+                OpenError::Io { context: format!("cannot read {}", segment_name(seq)), error }
             }
         })?;
-    let mut view = View {
+    let mut inspection = Inspection {
         live: table.into_live(),
         segments,
         damage,
         torn,
-        doubted,
-        disk: files.iter().map(|(_, length)| length.div_ceil(512) * 512).sum(),
+        uncertain,
+        disk_bytes: files.iter().map(|(_, length)| length.div_ceil(512) * 512).sum(),
         legacy: false,
     };
     for name in ["journal", "journal.v0"] {
-        let Some((_, length)) = files.iter().find(|(n, _)| n == name) else { continue };
-        let (old, cut) =
-            legacy::read(&storage.read(name, *length).map_err(io("cannot read the old journal"))?);
-        view.legacy = true;
-        if cut > 0 {
-            view.torn = view.torn.or(Some(Torn { seq: 0, kept: length - cut as u64, cut: cut as u64 }));
+        let Some((_, length)) = files.iter().find(|(file_name, _)| file_name == name) else { continue };
+        let (legacy_messages, torn_bytes) = legacy::read_legacy_file(
+            &storage.read(name, *length).map_err(io_error("cannot read the legacy journal"))?,
+        );
+        inspection.legacy = true;
+        if torn_bytes > 0 {
+            inspection.torn = inspection.torn.or(Some(TornWrite {
+                seq: 0,
+                valid_bytes: length - torn_bytes as u64,
+                cut_bytes: torn_bytes as u64,
+            }));
         }
-        let is_new = |l: &Live| view.live.iter().all(|k| k.taken.trace != l.taken.trace);
-        let new: Vec<Live> = old.into_iter().filter(is_new).collect();
-        view.live.extend(new);
+        let is_new = |candidate: &LiveMessage| {
+            inspection.live.iter().all(|known| known.message.trace != candidate.message.trace)
+        };
+        let new_messages: Vec<LiveMessage> = legacy_messages.into_iter().filter(is_new).collect();
+        inspection.live.extend(new_messages);
     }
-    Ok(view)
+    Ok(inspection)
 }
--- a/crates/serve/nickelshed-journal/tests/crash.rs
+++ b/crates/serve/nickelshed-journal/tests/crash.rs
@@ -1,5 +1,5 @@
-//! Every crash point: the process or the machine is lost in each file operation of a workload that takes on, copies
-//! and removes, and what is read back is held against the model.
+//! Crash tests: the process or the machine is lost in each file operation of a workload that accepts
+//! messages, compacts and removes segments. The recovered state is compared with the model.
 mod common;
 use common::*;
 use nickelshed_journal::*;
@@ -9,167 +9,198 @@
 
 const SEED: u64 = 0x6e69_636b;
 
-/// How many operations so many rounds take, and that copying and removal are among them.
-fn operations(rounds: usize, durability: Durability) -> u64 {
+/// Returns the number of file operations that this many commits take. Checks that they include compaction and
+/// removal.
+fn count_operations(commits: usize, durability: Durability) -> u64 {
     let disk = Disk::new();
-    let mut work = Work::new(open(&disk, options(durability)).0, SEED);
-    for i in 0..rounds {
-        work.round().unwrap();
+    let mut workload = Workload::new(open(&disk, options(durability)).0, SEED);
+    for i in 0..commits {
+        workload.commit().unwrap();
         if i % 3 == 0 {
-            work.sync();
+            workload.sync();
         }
-        assert!(disk.used() <= DISK);
-        let stats = work.journal.stats();
-        assert!(stats.disk <= DISK, "{stats:?}");
+        assert!(disk.used() <= DISK_LIMIT_BYTES);
+        let stats = workload.journal.stats();
+        assert!(stats.disk_bytes <= DISK_LIMIT_BYTES, "{stats:?}");
     }
-    let stats = work.journal.stats();
-    let removed = disk.trace().iter().filter(|t| ["remove", "rename"].contains(*t)).count();
-    assert!(stats.copied > 0 && removed > 3, "{stats:?}, {removed} removed");
+    let stats = workload.journal.stats();
+    let removed = disk.trace().iter().filter(|operation| ["remove", "rename"].contains(*operation)).count();
+    assert!(stats.copied_bytes > 0 && removed > 3, "{stats:?}, {removed} removed");
     disk.operations()
 }
 
 #[test]
-fn a_process_that_ends_in_any_operation_leaves_a_round_whole_or_not_at_all() {
+fn after_a_process_crash_at_any_operation_a_commit_is_complete_or_absent() {
     println!("seed {SEED:#x}");
-    let rounds = 700;
-    let all = operations(rounds, Durability::Process);
+    let commits = 700;
+    let operation_count = count_operations(commits, Durability::Process);
     let mut crashes = 0;
-    for at in 0..all {
+    for operation in 0..operation_count {
         for part in [0, 1, 128, 255, 256] {
             let disk = Disk::new();
-            disk.fault(at, Fault::Crash(part));
+            disk.fault(operation, Fault::Crash(part));
             let Ok((journal, _)) = try_open(&disk, options(Durability::Process)) else {
                 disk.restart();
-                assert!(says(&open(&disk, options(Durability::Process)).0).is_empty());
+                assert!(read_model(&open(&disk, options(Durability::Process)).0).is_empty());
                 continue;
             };
-            let mut work = Work::new(journal, SEED);
+            let mut workload = Workload::new(journal, SEED);
             let mut failed = false;
             while !disk.has_crashed() {
-                failed = work.round().is_err();
+                failed = workload.commit().is_err();
             }
             crashes += 1;
             disk.restart();
-            let (journal, found) = open(&disk, options(Durability::Process));
-            let says = says(&journal);
-            let holds = says == work.now || (failed && says == work.with_last());
-            assert!(holds, "operation {at}, part {part}: {:?}", disk.trace().last());
-            assert!(found.damage.is_empty(), "operation {at}, part {part}: {found:?}");
+            let (journal, report) = open(&disk, options(Durability::Process));
+            let recovered = read_model(&journal);
+            let matches_model =
+                recovered == workload.model || (failed && recovered == workload.model_with_last_commit());
+            assert!(matches_model, "operation {operation}, part {part}: {:?}", disk.trace().last());
+            assert!(report.damage.is_empty(), "operation {operation}, part {part}: {report:?}");
         }
     }
     assert!(crashes > 2_000, "{crashes}");
 }
 
-/// What may be read back after the machine was lost: all that was promised, and of later rounds any part.
-fn check(promised: &Model, now: &Model, all: &BTreeMap<u64, usize>, says: &Model, what: &str) {
-    for (id, kept) in promised {
-        let Some(current) = now.get(id) else { continue };
-        let read = says.get(id).unwrap_or_else(|| panic!("{what}: message {id} is lost"));
-        assert_eq!(read.body, kept.body, "{what}");
-        for number in kept.attempts.keys() {
-            assert!(read.attempts.contains_key(number), "{what}: attempt {number} of {id} is lost");
+/// Checks the state recovered after the loss of the machine: all durable records must be present; records of
+/// later commits may be, in any combination.
+fn check_recovered(
+    durable: &Model,
+    latest: &Model,
+    latest_bodies: &BTreeMap<u64, usize>,
+    recovered: &Model,
+    case: &str,
+) {
+    for (id, expected) in durable {
+        let Some(current) = latest.get(id) else { continue };
+        let actual = recovered.get(id).unwrap_or_else(|| panic!("{case}: message {id} is lost"));
+        assert_eq!(actual.body_bytes, expected.body_bytes, "{case}");
+        for number in expected.attempts.keys() {
+            assert!(actual.attempts.contains_key(number), "{case}: attempt {number} of message {id} is lost");
         }
-        for (number, never_ran) in &read.attempts {
-            let known = current.attempts.get(number);
-            assert!(*number == u32::MAX || known.is_some(), "{what}: {id} was never tried so");
-            assert!(!never_ran || known == Some(&true), "{what}: an attempt of {id} may have run");
+        for (number, never_ran) in &actual.attempts {
+            let latest_never_ran = current.attempts.get(number);
+            assert!(
+                *number == u32::MAX || latest_never_ran.is_some(),
+                "{case}: message {id} never had this attempt"
+            );
+            assert!(
+                !never_ran || latest_never_ran == Some(&true),
+                "{case}: an attempt of message {id} may have run"
+            );
         }
-        assert!(kept.ending.is_none() || read.ending == kept.ending, "{what}");
+        assert!(expected.ending.is_none() || actual.ending == expected.ending, "{case}");
     }
-    for id in says.keys() {
-        let was_promised = promised.contains_key(id);
-        assert!(was_promised || all.contains_key(id), "{what}: message {id} is back from its end");
+    for id in recovered.keys() {
+        let was_durable = durable.contains_key(id);
+        assert!(was_durable || latest_bodies.contains_key(id), "{case}: finished message {id} is live again");
     }
 }
 
 #[test]
-fn a_machine_that_is_lost_in_any_operation_keeps_every_promise() {
+fn after_a_machine_crash_at_any_operation_all_durable_commits_are_recovered() {
     println!("seed {SEED:#x}");
-    let rounds = 500;
-    let all = operations(rounds, Durability::Machine);
-    for at in 0..all {
-        for try_ in 0..4u64 {
+    let commits = 500;
+    let operation_count = count_operations(commits, Durability::Machine);
+    for operation in 0..operation_count {
+        for attempt in 0..4u64 {
             let disk = Disk::new();
-            disk.fault(at, Fault::Crash([0, 100, 255, 256][try_ as usize]));
-            let mut dice = fastrand::Rng::with_seed(SEED ^ (at << 8) ^ try_);
+            disk.fault(operation, Fault::Crash([0, 100, 255, 256][attempt as usize]));
+            let mut random = fastrand::Rng::with_seed(SEED ^ (operation << 8) ^ attempt);
             let Ok((journal, _)) = try_open(&disk, options(Durability::Machine)) else {
-                disk.lose_power(&mut dice);
-                assert!(says(&open(&disk, options(Durability::Machine)).0).is_empty());
+                disk.lose_power(&mut random);
+                assert!(read_model(&open(&disk, options(Durability::Machine)).0).is_empty());
                 continue;
             };
-            let mut work = Work::new(journal, SEED);
+            let mut workload = Workload::new(journal, SEED);
             let mut i = 0;
             let mut failed = false;
-            while !disk.has_crashed() && i < rounds {
-                failed = work.round().is_err();
+            while !disk.has_crashed() && i < commits {
+                failed = workload.commit().is_err();
                 if i % 3 == 0 {
-                    work.sync();
+                    workload.sync();
                 }
                 i += 1;
             }
-            let promised = work.promised().clone();
-            let now = if failed { work.with_last() } else { work.now.clone() };
-            // Messages that were taken on in rounds that nobody had been told of.
-            let mut unpromised: BTreeMap<u64, usize> = now.iter().map(|(id, k)| (*id, k.body)).collect();
-            for model in work.after.range(work.journal.kept()..).map(|(_, m)| m) {
-                unpromised.extend(model.iter().map(|(id, k)| (*id, k.body)));
+            let durable = workload.durable_model().clone();
+            let latest = if failed { workload.model_with_last_commit() } else { workload.model.clone() };
+            // Messages accepted in commits that had not become durable.
+            let mut latest_bodies: BTreeMap<u64, usize> =
+                latest.iter().map(|(id, expected)| (*id, expected.body_bytes)).collect();
+            for model in
+                workload.model_after_commit.range(workload.journal.durable_commit()..).map(|(_, model)| model)
+            {
+                latest_bodies.extend(model.iter().map(|(id, expected)| (*id, expected.body_bytes)));
             }
-            disk.lose_power(&mut dice);
+            disk.lose_power(&mut random);
             let (journal, _) = open(&disk, options(Durability::Machine));
-            let what = format!("operation {at}, try {try_}, {:?}", disk.trace().last());
-            check(&promised, &now, &unpromised, &says(&journal), &what);
+            let case = format!("operation {operation}, try {attempt}, {:?}", disk.trace().last());
+            check_recovered(&durable, &latest, &latest_bodies, &read_model(&journal), &case);
         }
     }
 }
 
 #[test]
-fn an_operation_that_fails_costs_its_round_and_nothing_else() {
+fn a_failed_operation_loses_only_its_own_commit() {
     println!("seed {SEED:#x}");
-    let rounds = 400;
-    let all = operations(rounds, Durability::Process);
-    for at in 0..all {
-        let part = [0, 1, 200, 255][(at % 4) as usize];
-        let kind = [io::ErrorKind::Other, io::ErrorKind::StorageFull, io::ErrorKind::ReadOnlyFilesystem];
+    let commits = 400;
+    let operation_count = count_operations(commits, Durability::Process);
+    for operation in 0..operation_count {
+        let part = [0, 1, 200, 255][(operation % 4) as usize];
+        let error_kinds =
+            [io::ErrorKind::Other, io::ErrorKind::StorageFull, io::ErrorKind::ReadOnlyFilesystem];
         let disk = Disk::new();
-        disk.fault(at, Fault::Fail(part, kind[(at % 3) as usize]));
+        disk.fault(operation, Fault::Fail(part, error_kinds[(operation % 3) as usize]));
         let Ok((journal, _)) = try_open(&disk, options(Durability::Process)) else { continue };
-        let mut work = Work::new(journal, SEED);
-        for _ in 0..rounds {
-            let _ = work.round();
+        let mut workload = Workload::new(journal, SEED);
+        for _ in 0..commits {
+            let _ = workload.commit();
         }
-        assert_eq!(says(&work.journal), work.now, "operation {at}");
+        assert_eq!(read_model(&workload.journal), workload.model, "operation {operation}");
         disk.restart();
-        let (journal, found) = open(&disk, options(Durability::Process));
-        assert_eq!(says(&journal), work.now, "operation {at}, {part}");
-        assert!(found.damage.is_empty(), "operation {at}: {found:?}");
+        let (journal, report) = open(&disk, options(Durability::Process));
+        assert_eq!(read_model(&journal), workload.model, "operation {operation}, part {part}");
+        assert!(report.damage.is_empty(), "operation {operation}: {report:?}");
     }
 }
 
 #[test]
-fn after_a_sync_that_failed_nothing_is_kept_before_it_is_written_anew() {
+fn after_a_failed_sync_nothing_is_durable_until_it_is_rewritten() {
     println!("seed {SEED:#x}");
-    for at in 0..120 {
+    for commits_before in 0..120 {
         let disk = Disk::new();
-        let mut work = Work::new(open(&disk, options(Durability::Machine)).0, SEED + at);
-        for _ in 0..at {
-            work.round().unwrap();
+        let mut workload = Workload::new(open(&disk, options(Durability::Machine)).0, SEED + commits_before);
+        for _ in 0..commits_before {
+            workload.commit().unwrap();
         }
-        while work.journal.kept() < work.journal.last() {
-            work.sync();
+        while workload.journal.durable_commit() < workload.journal.last_commit() {
+            workload.sync();
         }
-        let settled = work.now.clone();
-        work.round().unwrap();
-        // The first sync after this fails, and the disk drops what it was to keep.
+        let model_before = workload.model.clone();
+        workload.commit().unwrap();
+        // The next sync fails, and the disk drops the unsynced writes.
         disk.fault(0, Fault::Fail(0, io::ErrorKind::Other));
-        assert!(work.sync() || work.now == settled);
-        let claim = work.journal.claim(&taken(work.next, 10), &mut Claim::default(), 2_000);
-        assert!(!claim || work.now == settled, "nothing new while it is not certain");
+        assert!(workload.sync() || workload.model == model_before);
+        let was_reserved =
+            workload.journal.reserve(&message(workload.next_id, 10), &mut Reservation::default(), 2_000);
+        assert!(
+            !was_reserved || workload.model == model_before,
+            "no new message may be accepted before the rewrite"
+        );
         for _ in 0..200 {
-            work.sync();
+            workload.sync();
         }
-        assert_eq!(work.journal.kept(), work.journal.last(), "round {at}");
-        assert_eq!(work.promised(), &work.now);
-        disk.lose_power(&mut fastrand::Rng::with_seed(at));
-        assert_eq!(says(&open(&disk, options(Durability::Machine)).0), work.now, "round {at}");
+        assert_eq!(
+            workload.journal.durable_commit(),
+            workload.journal.last_commit(),
+            "after {commits_before} commits"
+        );
+        assert_eq!(workload.durable_model(), &workload.model);
+        disk.lose_power(&mut fastrand::Rng::with_seed(commits_before));
+        assert_eq!(
+            read_model(&open(&disk, options(Durability::Machine)).0),
+            workload.model,
+            "after {commits_before} commits"
+        );
     }
 }
--- a/crates/serve/nickelshed-journal/tests/damage.rs
+++ b/crates/serve/nickelshed-journal/tests/damage.rs
@@ -1,5 +1,5 @@
-//! Damage: every byte of a journal spoilt in turn, every length that its last file may be cut to, and files that
-//! are missing. What can be read is kept, and no attempt that may have run is forgotten.
+//! Damage tests: each byte of a journal corrupted in turn, its last file cut to each length, and files
+//! missing. All readable messages must be recovered, and no attempt that may have run may be forgotten.
 mod common;
 use common::*;
 use nickelshed_journal::*;
@@ -8,130 +8,139 @@
 
 const SEED: u64 = 0x7368_6564;
 
-const WIDE: Options = Options { disk: 500_000, max_attempts: 8, durability: Durability::Process };
+const MANY_SEGMENTS: Options =
+    Options { disk_limit_bytes: 500_000, max_attempts: 8, durability: Durability::Process };
 
-/// A folder of at least so many segments, with what it holds, and what it held before its last round.
-fn folder(options: Options, least: usize) -> (Disk, Model, Model) {
+/// Builds a folder with at least `min_segments` segments. Returns it with the model before and after its last
+/// commit.
+fn build_folder(options: Options, min_segments: usize) -> (Disk, Model, Model) {
     let disk = Disk::new();
-    let mut work = Work::new(open(&disk, options).0, SEED);
-    (work.body, work.lasting) = (600, 60);
-    let mut before = work.now.clone();
-    let mut left = 15;
+    let mut workload = Workload::new(open(&disk, options).0, SEED);
+    (workload.max_body_bytes, workload.long_lived_percent) = (600, 60);
+    let mut model_before_last = workload.model.clone();
+    let mut commits_left = 15;
     for _ in 0..3_000 {
-        if left == 0 && before != work.now {
+        if commits_left == 0 && model_before_last != workload.model {
             break;
         }
-        if left < 15 || (segments(&disk).len() >= least && work.now.len() >= 15) {
-            left = left.max(1) - 1;
+        if commits_left < 15 || (segment_names(&disk).len() >= min_segments && workload.model.len() >= 15) {
+            commits_left = commits_left.max(1) - 1;
         }
-        before = work.now.clone();
-        work.round().unwrap();
+        model_before_last = workload.model.clone();
+        workload.commit().unwrap();
     }
-    assert!(work.now.values().any(|k| !k.attempts.is_empty()));
+    assert!(workload.model.values().any(|expected| !expected.attempts.is_empty()));
     disk.restart();
-    (disk, before, work.now)
+    (disk, model_before_last, workload.model)
 }
 
-fn segments(disk: &Disk) -> Vec<String> {
-    disk.names().into_iter().filter(|n| segment_number(n).is_some()).collect()
+fn segment_names(disk: &Disk) -> Vec<String> {
+    disk.names().into_iter().filter(|name| segment_number(name).is_some()).collect()
 }
 
-/// Whether all attempts that may have run still count as such, by themselves or by one that is supposed.
-fn remembers(read: &Kept, kept: &Kept) -> bool {
-    let supposed = read.attempts.contains_key(&u32::MAX);
-    kept.attempts
+/// Whether each attempt that may have run is still recorded, or covered by an assumed attempt.
+fn covers_attempts(actual: &ExpectedMessage, expected: &ExpectedMessage) -> bool {
+    let has_assumed_attempt = actual.attempts.contains_key(&u32::MAX);
+    expected
+        .attempts
         .iter()
-        .filter(|(_, never)| !**never)
-        .all(|(n, _)| supposed || read.attempts.get(n) == Some(&false))
+        .filter(|(_, never_ran)| !**never_ran)
+        .all(|(number, _)| has_assumed_attempt || actual.attempts.get(number) == Some(&false))
 }
 
 #[test]
-fn any_one_byte_costs_one_round_at_most_and_no_attempt_is_forgotten() {
+fn one_corrupt_byte_loses_at_most_one_commit_and_no_attempt() {
     println!("seed {SEED:#x}");
-    let (whole, _, model) = folder(options(Durability::Process), 2);
-    let mut lost_most = 0;
-    for name in segments(&whole) {
-        let bytes = whole.get(&name).unwrap();
-        for at in 0..bytes.len() {
-            let mut spoilt = bytes.clone();
-            spoilt[at] ^= 1 << (at % 8);
-            let disk = whole.copy();
-            disk.put(&name, &spoilt);
-            let (journal, found) = open(&disk, options(Durability::Process));
-            let says = says(&journal);
-            let in_header = at < 64;
-            assert_eq!(found.damage.is_empty(), in_header, "{name}:{at} {found:?}");
-            let lost = model.keys().filter(|id| !says.contains_key(id)).count();
-            lost_most = lost_most.max(lost);
-            assert!(lost <= 2, "{name}:{at}: one round takes on two at most, {lost} are lost");
-            for (id, read) in &says {
+    let (intact, _, model) = build_folder(options(Durability::Process), 2);
+    let mut max_lost = 0;
+    for name in segment_names(&intact) {
+        let bytes = intact.get(&name).unwrap();
+        for offset in 0..bytes.len() {
+            let mut corrupted = bytes.clone();
+            corrupted[offset] ^= 1 << (offset % 8);
+            let disk = intact.copy();
+            disk.put(&name, &corrupted);
+            let (journal, report) = open(&disk, options(Durability::Process));
+            let recovered = read_model(&journal);
+            let in_header = offset < 64;
+            assert_eq!(report.damage.is_empty(), in_header, "{name}:{offset} {report:?}");
+            let lost = model.keys().filter(|id| !recovered.contains_key(id)).count();
+            max_lost = max_lost.max(lost);
+            assert!(lost <= 2, "{name}:{offset}: a commit accepts at most two messages, {lost} are lost");
+            for (id, actual) in &recovered {
                 match model.get(id) {
-                    Some(kept) => assert!(remembers(read, kept), "{name}:{at}: {id} {read:?} {kept:?}"),
-                    // Its end is among what is lost: then an attempt is supposed.
-                    None => assert!(read.attempts.contains_key(&u32::MAX), "{name}:{at}: {id}"),
+                    Some(expected) => assert!(
+                        covers_attempts(actual, expected),
+                        "{name}:{offset}: {id} {actual:?} {expected:?}"
+                    ),
+                    // The record of its ending is lost, so it must have an assumed attempt.
+                    None => assert!(actual.attempts.contains_key(&u32::MAX), "{name}:{offset}: {id}"),
                 }
             }
             if in_header {
-                assert_eq!(says, model, "{name}:{at}");
+                assert_eq!(recovered, model, "{name}:{offset}");
                 continue;
             }
-            // What was found is written down: the next start finds a whole journal that says the same.
+            // Opening repairs the journal: the next start finds no damage and the same state.
             drop(journal);
             disk.restart();
-            let (journal, found) = open(&disk, options(Durability::Process));
-            assert!(found.damage.is_empty(), "{name}:{at} {found:?}");
-            assert_eq!(common::says(&journal), says, "{name}:{at}");
+            let (journal, report) = open(&disk, options(Durability::Process));
+            assert!(report.damage.is_empty(), "{name}:{offset} {report:?}");
+            assert_eq!(common::read_model(&journal), recovered, "{name}:{offset}");
         }
     }
-    assert!(lost_most > 0, "some byte belongs to a message that still lives");
+    assert!(max_lost > 0, "no corrupted byte lost a live message");
 }
 
 #[test]
-fn cut_anywhere_the_last_file_keeps_every_whole_round() {
+fn a_last_file_cut_at_any_length_keeps_all_complete_commits() {
     println!("seed {SEED:#x}");
-    let (whole, before, model) = folder(WIDE, 3);
-    let name = segments(&whole).pop().unwrap();
-    let bytes = whole.get(&name).unwrap();
-    let mut kept = Vec::new();
+    let (intact, model_before_last, model) = build_folder(MANY_SEGMENTS, 3);
+    let name = segment_names(&intact).pop().unwrap();
+    let bytes = intact.get(&name).unwrap();
+    let mut recovered_models = Vec::new();
     for length in 0..bytes.len() {
-        let disk = whole.copy();
+        let disk = intact.copy();
         disk.put(&name, &bytes[..length]);
-        let (journal, found) = open(&disk, WIDE);
-        // Where the record of a removal is cut off, what was removed is missed.
-        assert!(found.damage.iter().all(|d| d.to == 0), "{length}: {found:?}");
-        assert_eq!(found.doubted, 0);
-        kept.push(says(&journal));
+        let (journal, report) = open(&disk, MANY_SEGMENTS);
+        // If the record of a removal is cut off, the removed segment is reported as missing.
+        assert!(report.damage.iter().all(|range| range.to == 0), "{length}: {report:?}");
+        assert_eq!(report.uncertain, 0);
+        recovered_models.push(read_model(&journal));
     }
-    assert_eq!(kept.last(), Some(&before), "only the last round is gone");
-    let whole_rounds = kept.windows(2).filter(|w| w[0] != w[1]).count();
-    assert!(whole_rounds > 5, "{whole_rounds}");
-    assert_ne!(before, model);
+    assert_eq!(recovered_models.last(), Some(&model_before_last), "only the last commit is lost");
+    let distinct_models = recovered_models.windows(2).filter(|pair| pair[0] != pair[1]).count();
+    assert!(distinct_models > 5, "{distinct_models}");
+    assert_ne!(model_before_last, model);
 }
 
 #[test]
-fn a_file_that_is_missing_or_has_no_header_is_told_and_what_is_there_lives() {
-    let (whole, _, model) = folder(WIDE, 3);
-    let names = segments(&whole);
+fn a_missing_file_or_header_is_reported_and_the_rest_is_recovered() {
+    let (intact, _, model) = build_folder(MANY_SEGMENTS, 3);
+    let names = segment_names(&intact);
     assert!(names.len() >= 3, "{names:?}");
     for name in &names[..names.len() - 1] {
-        for gone in [true, false] {
-            let disk = whole.copy();
-            if gone {
+        for is_missing in [true, false] {
+            let disk = intact.copy();
+            if is_missing {
                 disk.remove(name).unwrap();
             } else {
-                let mut bytes = whole.get(name).unwrap();
+                let mut bytes = intact.get(name).unwrap();
                 bytes[..64].fill(0xa5);
                 disk.put(name, &bytes);
             }
-            let (journal, found) = open(&disk, WIDE);
-            assert!(!found.damage.is_empty());
-            for (id, read) in &says(&journal) {
-                assert!(model.get(id).is_none_or(|kept| remembers(read, kept)), "{name} {id}");
+            let (journal, report) = open(&disk, MANY_SEGMENTS);
+            assert!(!report.damage.is_empty());
+            for (id, actual) in &read_model(&journal) {
+                assert!(
+                    model.get(id).is_none_or(|expected| covers_attempts(actual, expected)),
+                    "{name} {id}"
+                );
             }
-            if !gone {
+            if !is_missing {
                 assert!(
-                    model.keys().all(|id| says(&journal).contains_key(id)),
-                    "no frame of {name} is spoilt"
+                    model.keys().all(|id| read_model(&journal).contains_key(id)),
+                    "no frame of {name} is corrupt"
                 );
             }
         }
@@ -141,86 +150,87 @@
 use nickelshed_journal::Storage;
 
 #[test]
-fn the_damaged_file_stays_aside_within_the_disk_and_gives_way_to_the_next() {
-    let (disk, _, _) = folder(options(Durability::Process), 2);
-    let spoil = |disk: &Disk| {
-        let name = segments(disk).remove(0);
+fn a_damaged_file_is_quarantined_within_the_disk_limit_until_the_next_damage() {
+    let (disk, _, _) = build_folder(options(Durability::Process), 2);
+    let corrupt_first_segment = |disk: &Disk| {
+        let name = segment_names(disk).remove(0);
         let mut bytes = disk.get(&name).unwrap();
         let middle = bytes.len() / 2;
         bytes[middle] ^= 0x40;
         disk.put(&name, &bytes);
     };
-    let aside =
-        |disk: &Disk| disk.names().into_iter().filter(|n| n.starts_with("damaged-")).collect::<Vec<_>>();
-    spoil(&disk);
-    let (journal, found) = open(&disk, options(Durability::Process));
-    assert_eq!(found.set_aside, aside(&disk));
-    assert_eq!(found.set_aside.len(), 1);
-    let mut work = Work::new(journal, SEED);
+    let quarantined_files = |disk: &Disk| {
+        disk.names().into_iter().filter(|name| name.starts_with("damaged-")).collect::<Vec<_>>()
+    };
+    corrupt_first_segment(&disk);
+    let (journal, report) = open(&disk, options(Durability::Process));
+    assert_eq!(report.quarantined, quarantined_files(&disk));
+    assert_eq!(report.quarantined.len(), 1);
+    let mut workload = Workload::new(journal, SEED);
     for _ in 0..400 {
-        work.round().unwrap();
-        assert!(disk.used() <= DISK, "{}", disk.used());
+        workload.commit().unwrap();
+        assert!(disk.used() <= DISK_LIMIT_BYTES, "{}", disk.used());
     }
-    let now = work.now.clone();
-    drop(work);
+    let model = workload.model.clone();
+    drop(workload);
     disk.restart();
-    spoil(&disk);
-    let (_, again) = open(&disk, options(Durability::Process));
-    assert_eq!(aside(&disk), again.set_aside);
-    assert_ne!(found.set_aside, again.set_aside);
-    assert!(disk.used() <= DISK && !now.is_empty());
+    corrupt_first_segment(&disk);
+    let (_, second_report) = open(&disk, options(Durability::Process));
+    assert_eq!(quarantined_files(&disk), second_report.quarantined);
+    assert_ne!(report.quarantined, second_report.quarantined);
+    assert!(disk.used() <= DISK_LIMIT_BYTES && !model.is_empty());
 }
 
 #[test]
-fn bytes_that_a_client_chose_are_never_taken_for_a_frame() {
+fn bytes_chosen_by_a_client_are_never_decoded_as_a_frame() {
     let disk = Disk::new();
     let (mut journal, _) = open(&disk, options(Durability::Process));
-    let first = taken(1, 30);
-    journal.append(&[Record::Taken(Rc::new(first))], 1).unwrap();
-    // A body that holds a copy of the frame before it, and of this folder's file as a whole.
-    let file = disk.get(&segments(&disk)[0]).unwrap();
-    let mut sly = taken(2, 0);
-    sly.body = file.clone().into();
-    journal.append(&[Record::Ended(1)], 1).unwrap();
-    journal.append(&[Record::Taken(Rc::new(sly))], 1).unwrap();
-    journal.append(&[Record::Taken(Rc::new(taken(3, 5)))], 1).unwrap();
+    let first = message(1, 30);
+    journal.append(&[Record::Accepted(Rc::new(first))], 1).unwrap();
+    // A body that contains a copy of the preceding frame and of the whole segment file.
+    let file = disk.get(&segment_names(&disk)[0]).unwrap();
+    let mut forged = message(2, 0);
+    forged.body = file.clone().into();
+    journal.append(&[Record::Finished(1)], 1).unwrap();
+    journal.append(&[Record::Accepted(Rc::new(forged))], 1).unwrap();
+    journal.append(&[Record::Accepted(Rc::new(message(3, 5)))], 1).unwrap();
     drop(journal);
     disk.restart();
-    let name = segments(&disk).remove(0);
+    let name = segment_names(&disk).remove(0);
     let mut bytes = disk.get(&name).unwrap();
-    let inner = bytes.windows(file.len()).rposition(|w| w == file).unwrap();
+    let inner = bytes.windows(file.len()).rposition(|window| window == file).unwrap();
     bytes[inner - 5] ^= 1;
     disk.put(&name, &bytes);
-    let (journal, found) = open(&disk, options(Durability::Process));
-    assert_eq!(found.damage.len(), 1);
+    let (journal, report) = open(&disk, options(Durability::Process));
+    assert_eq!(report.damage.len(), 1);
     assert_eq!(
         journal.live().keys().copied().collect::<Vec<_>>(),
         [3],
-        "2 is lost, and 1 does not come back"
+        "2 is lost, and finished 1 is not recovered"
     );
 }
 
 #[test]
-fn a_newer_versions_folder_is_left_as_it_is() {
-    let (disk, _, _) = folder(options(Durability::Process), 2);
-    let name = segments(&disk).pop().unwrap();
+fn a_folder_of_a_newer_version_is_left_unchanged() {
+    let (disk, _, _) = build_folder(options(Durability::Process), 2);
+    let name = segment_names(&disk).pop().unwrap();
     let mut bytes = disk.get(&name).unwrap();
     for block in [0, 32] {
-        bytes[block + 4] = VERSION as u8 + 1;
-        let sum = crc32fast::hash(&bytes[block..block + 28]);
-        bytes[block + 28..block + 32].copy_from_slice(&sum.to_le_bytes());
+        bytes[block + 4] = FORMAT_VERSION as u8 + 1;
+        let checksum = crc32fast::hash(&bytes[block..block + 28]);
+        bytes[block + 28..block + 32].copy_from_slice(&checksum.to_le_bytes());
     }
     disk.put(&name, &bytes);
-    let before: Vec<_> = disk.names().into_iter().map(|n| (n.clone(), disk.get(&n))).collect();
+    let files_before: Vec<_> = disk.names().into_iter().map(|name| (name.clone(), disk.get(&name))).collect();
     let Err(error) = try_open(&disk, options(Durability::Process)) else { panic!("opened") };
-    assert!(matches!(error, OpenError::Newer { version: 2, .. }), "{error}");
+    assert!(matches!(error, OpenError::NewerFormat { version: 2, .. }), "{error}");
     assert!(error.to_string().contains("Nothing was changed"), "{error}");
-    let after: Vec<_> = disk.names().into_iter().map(|n| (n.clone(), disk.get(&n))).collect();
-    assert!(before == after);
+    let files_after: Vec<_> = disk.names().into_iter().map(|name| (name.clone(), disk.get(&name))).collect();
+    assert!(files_before == files_after);
 }
 
 #[test]
-fn a_second_process_is_turned_away() {
+fn a_second_process_is_refused() {
     let disk = Disk::new();
     let _first = open(&disk, options(Durability::Process));
     let Err(error) = try_open(&disk, options(Durability::Process)) else { panic!("opened twice") };
--- a/crates/serve/nickelshed-journal/tests/full.rs
+++ b/crates/serve/nickelshed-journal/tests/full.rs
@@ -1,4 +1,4 @@
-//! Room: a journal near its limit, a disk that others fill, and what copying costs.
+//! Space tests: a journal near its limit, a disk filled by other programs, and the cost of compaction.
 mod common;
 use common::*;
 use nickelshed_journal::*;
@@ -8,236 +8,263 @@
 
 const SEED: u64 = 0x6675_6c6c;
 
-/// What is owed to a message that is held, to its end.
-fn owed(id: u64) -> Vec<Vec<Record>> {
-    let mut all = Vec::new();
+/// The longest possible records that may follow the acceptance of a message, one commit each.
+fn remaining_records(id: u64) -> Vec<Vec<Record>> {
+    let mut commits = Vec::new();
     for number in 0..8 {
-        let name = "n".repeat(MAX_NAME);
-        all.push(vec![Record::Begun(id, Begun { number, at: i64::MAX, endpoint: name, never_ran: false })]);
-        all.push(vec![Record::NeverRan(id, number)]);
+        let name = "n".repeat(MAX_ENDPOINT_NAME_BYTES);
+        commits.push(vec![Record::AttemptStarted(
+            id,
+            AttemptRecord { number, started_at_ms: i64::MAX, endpoint: name, never_ran: false },
+        )]);
+        commits.push(vec![Record::AttemptNeverRan(id, number)]);
     }
-    all.push(vec![Record::Decided(id, Ending::HandedBack(Some(u64::MAX)))]);
-    all.push(vec![Record::Ended(id)]);
-    all
+    commits.push(vec![Record::EndingDecided(id, Ending::HandedBack(Some(u64::MAX)))]);
+    commits.push(vec![Record::Finished(id)]);
+    commits
 }
 
 #[test]
-fn whatever_was_taken_on_has_room_to_its_end_and_the_limit_is_never_passed() {
+fn accepted_messages_have_space_to_finish_and_the_limit_is_never_exceeded() {
     println!("seed {SEED:#x}");
     let mut random = fastrand::Rng::with_seed(SEED);
-    let sizes = [(100_000, 300), (DISK, 0), (DISK, 4_000), (400_000, 60_000), (3_000_000, 64 << 10)];
-    let process = sizes.map(|(disk, body)| (disk, body, Durability::Process));
-    let machine = sizes[1..].iter().map(|(disk, body)| (*disk, *body, Durability::Machine));
-    for (disk_size, body, durability) in process.into_iter().chain(machine) {
+    let sizes = [
+        (100_000, 300),
+        (DISK_LIMIT_BYTES, 0),
+        (DISK_LIMIT_BYTES, 4_000),
+        (400_000, 60_000),
+        (3_000_000, 64 << 10),
+    ];
+    let process_cases =
+        sizes.map(|(disk_limit_bytes, body_bytes)| (disk_limit_bytes, body_bytes, Durability::Process));
+    let machine_cases = sizes[1..]
+        .iter()
+        .map(|(disk_limit_bytes, body_bytes)| (*disk_limit_bytes, *body_bytes, Durability::Machine));
+    for (disk_limit_bytes, body_bytes, durability) in process_cases.into_iter().chain(machine_cases) {
         let disk = Disk::new();
-        let options = Options { disk: disk_size, max_attempts: 8, durability };
+        let options = Options { disk_limit_bytes: disk_limit_bytes, max_attempts: 8, durability };
         let (mut journal, _) = open(&disk, options);
-        let mut held: Vec<(u64, Vec<Vec<Record>>)> = Vec::new();
-        let (mut next, mut refused, mut most) = (u64::MAX / 2, 0, 0);
-        for round in 0..6_000 {
-            let mut claim = Claim::default();
+        let mut open_messages: Vec<(u64, Vec<Vec<Record>>)> = Vec::new();
+        let (mut next_id, mut rejected, mut max_open) = (u64::MAX / 2, 0, 0);
+        for commit in 0..6_000 {
+            let mut reservation = Reservation::default();
             let mut records = Vec::new();
             for _ in 0..random.usize(..4) {
-                let taken = taken(next, body);
-                if journal.claim(&taken, &mut claim, 1) {
-                    records.push(Record::Taken(Rc::new(taken)));
-                    held.push((next, owed(next).into_iter().rev().collect()));
-                    next += 1;
+                let message = message(next_id, body_bytes);
+                if journal.reserve(&message, &mut reservation, 1) {
+                    records.push(Record::Accepted(Rc::new(message)));
+                    open_messages.push((next_id, remaining_records(next_id).into_iter().rev().collect()));
+                    next_id += 1;
                 } else {
-                    refused += 1;
+                    rejected += 1;
                 }
             }
-            // All that is held moves on, one record each in a frame of its own at the worst.
-            let news = held.iter_mut().filter(|_| random.u8(..8) == 0 || round > 5_000);
-            for record in news.filter_map(|(_, owed)| owed.pop()) {
+            // Random messages write their next record, each in a frame of its own, which is the worst case
+            // for space.
+            let advancing = open_messages.iter_mut().filter(|_| random.u8(..8) == 0 || commit > 5_000);
+            for record in advancing.filter_map(|(_, remaining)| remaining.pop()) {
                 journal.append(&record, 1).expect("what is owed has room");
             }
-            held.retain(|(_, owed)| !owed.is_empty());
+            open_messages.retain(|(_, remaining)| !remaining.is_empty());
             journal.append(&records, 1).expect("what was claimed has room");
-            if round % 3 == 0 {
-                if let Some(sync) = journal.sync() {
-                    journal.synced(sync.run(), 1);
+            if commit % 3 == 0 {
+                if let Some(sync_task) = journal.start_sync() {
+                    journal.finish_sync(sync_task.run(), 1);
                 }
             }
-            most = most.max(held.len());
-            assert!(disk.used() <= disk_size, "{} of {disk_size}", disk.used());
-            assert!(journal.stats().disk <= disk_size);
+            max_open = max_open.max(open_messages.len());
+            assert!(disk.used() <= disk_limit_bytes, "{} of {disk_limit_bytes}", disk.used());
+            assert!(journal.stats().disk_bytes <= disk_limit_bytes);
         }
-        assert!(refused > 0 && most > 0, "{disk_size} {body} {durability:?}: {refused} refused, {most} held");
+        assert!(
+            rejected > 0 && max_open > 0,
+            "{disk_limit_bytes} {body_bytes} {durability:?}: {rejected} refused, {max_open} held"
+        );
     }
 }
 
 #[test]
-fn copying_costs_at_most_its_bound_however_full_the_journal_is() {
+fn write_amplification_stays_within_its_bound_however_full_the_journal_is() {
     println!("seed {SEED:#x}");
-    for lasting in [0, 30, 70, 95] {
+    for long_lived_percent in [0, 30, 70, 95] {
         for seed in 0..4 {
             let disk = Disk::new();
-            let mut work = Work::new(open(&disk, options(Durability::Process)).0, SEED + seed);
-            work.lasting = lasting;
+            let mut workload = Workload::new(open(&disk, options(Durability::Process)).0, SEED + seed);
+            workload.long_lived_percent = long_lived_percent;
             for _ in 0..8_000 {
-                work.round().unwrap();
+                workload.commit().unwrap();
             }
-            let stats = work.journal.stats();
-            let bound = (AMPLIFICATION - 1) * stats.appended + DISK;
-            assert!(stats.copied <= bound, "lasting {lasting}%: {stats:?}");
-            assert!(stats.copied > 0, "lasting {lasting}%: {stats:?}");
+            let stats = workload.journal.stats();
+            let bound = (MAX_WRITE_AMPLIFICATION - 1) * stats.appended_bytes + DISK_LIMIT_BYTES;
+            assert!(stats.copied_bytes <= bound, "lasting {long_lived_percent}%: {stats:?}");
+            assert!(stats.copied_bytes > 0, "lasting {long_lived_percent}%: {stats:?}");
         }
     }
 }
 
 #[test]
-fn nothing_is_copied_again_and_again_where_all_of_it_lives() {
+fn a_journal_full_of_live_messages_is_not_compacted_repeatedly() {
     let disk = Disk::new();
     let (mut journal, _) = open(&disk, options(Durability::Process));
     let mut id = 0;
-    while journal.claim(&taken(id, 900), &mut Claim::default(), 1) {
-        journal.append(&[Record::Taken(Rc::new(taken(id, 900)))], 1).unwrap();
+    while journal.reserve(&message(id, 900), &mut Reservation::default(), 1) {
+        journal.append(&[Record::Accepted(Rc::new(message(id, 900)))], 1).unwrap();
         id += 1;
     }
-    let copied = journal.stats().copied;
+    let copied = journal.stats().copied_bytes;
     for _ in 0..1_000 {
-        assert!(!journal.claim(&taken(id, 900), &mut Claim::default(), 1));
+        assert!(!journal.reserve(&message(id, 900), &mut Reservation::default(), 1));
     }
-    assert!(journal.stats().copied <= copied + STEP, "{:?}", journal.stats());
+    assert!(journal.stats().copied_bytes <= copied + MAX_COMPACTION_STEP_BYTES, "{:?}", journal.stats());
 }
 
 #[test]
-fn a_disk_that_others_fill_refuses_new_work_lets_the_held_go_on_and_recovers_by_itself() {
+fn on_a_disk_filled_by_others_open_messages_finish_and_acceptance_resumes_by_itself() {
     println!("seed {SEED:#x}");
     for seed in 0..40 {
         let disk = Disk::new();
-        let mut work = Work::new(open(&disk, options(Durability::Process)).0, SEED + seed);
+        let mut workload = Workload::new(open(&disk, options(Durability::Process)).0, SEED + seed);
         let mut rounds = 0;
-        while rounds < 50 + seed || work.now.is_empty() {
-            work.round().unwrap();
+        while rounds < 50 + seed || workload.model.is_empty() {
+            workload.commit().unwrap();
             rounds += 1;
         }
-        // Full from here on, perhaps in the middle of a copy or of a round.
+        // The disk is full from here on, possibly in the middle of a compaction step or a commit.
         disk.capacity(disk.used() + seed * 37);
-        let mut failed = 0;
+        let mut failed_commits = 0;
         for _ in 0..200 {
-            failed += usize::from(work.round().is_err());
+            failed_commits += usize::from(workload.commit().is_err());
         }
-        assert!(failed > 0);
-        // What is held goes on: from what was held back.
-        let held: Vec<u64> = work.now.keys().copied().collect();
-        for id in held {
-            let record = Record::Ended(id);
-            work.journal.append_owed(std::slice::from_ref(&record), 1).expect("what is owed has room");
-            note(&mut work.now, &record);
+        assert!(failed_commits > 0);
+        // Open messages can finish, using the space of the ballast file.
+        let open_ids: Vec<u64> = workload.model.keys().copied().collect();
+        for id in open_ids {
+            let record = Record::Finished(id);
+            workload
+                .journal
+                .append_reserved(std::slice::from_ref(&record), 1)
+                .expect("what is owed has room");
+            apply_record(&mut workload.model, &record);
         }
-        assert!(work.now.is_empty());
-        // Everything can be read, now and by a process that starts on the full disk.
-        assert_eq!(says(&work.journal), work.now);
-        // Empty again: it takes on without being told so.
+        assert!(workload.model.is_empty());
+        // The state is intact.
+        assert_eq!(read_model(&workload.journal), workload.model);
+        // Space is free again: the journal must accept messages without any external signal.
         disk.capacity(u64::MAX);
-        // It looks for room once a second.
+        // The ballast file is retried once a second.
         for _ in 0..12 {
-            let _ = work.round();
+            let _ = workload.commit();
         }
-        let next = work.next;
+        let first_new_id = workload.next_id;
         for _ in 0..50 {
-            work.round().unwrap();
+            workload.commit().unwrap();
         }
-        let taken_on = work.now.keys().filter(|id| **id >= next).count();
-        assert!(!work.journal.is_short() && taken_on > 5, "{taken_on} taken on");
-        let now = work.now.clone();
-        drop(work);
+        let accepted = workload.model.keys().filter(|id| **id >= first_new_id).count();
+        assert!(!workload.journal.is_ballast_missing() && accepted > 5, "{accepted} taken on");
+        let model = workload.model.clone();
+        drop(workload);
         disk.restart();
-        let (journal, found) = open(&disk, options(Durability::Process));
-        assert_eq!(says(&journal), now);
-        assert!(found.damage.is_empty(), "{found:?}");
+        let (journal, report) = open(&disk, options(Durability::Process));
+        assert_eq!(read_model(&journal), model);
+        assert!(report.damage.is_empty(), "{report:?}");
     }
 }
 
 #[test]
-fn a_folder_that_turns_read_only_keeps_its_records_and_is_taken_up_again() {
+fn a_folder_that_turns_read_only_keeps_its_records_and_works_again_later() {
     println!("seed {SEED:#x}");
     for kind in [io::ErrorKind::ReadOnlyFilesystem, io::ErrorKind::Other, io::ErrorKind::StorageFull] {
         for seed in 0..30 {
             let disk = Disk::new();
-            let mut work = Work::new(open(&disk, options(Durability::Process)).0, SEED + seed);
+            let mut workload = Workload::new(open(&disk, options(Durability::Process)).0, SEED + seed);
             for _ in 0..60 + seed {
-                work.round().unwrap();
+                workload.commit().unwrap();
             }
             disk.fault(0, Fault::FailOn(kind));
-            let held = work.now.clone();
+            let model_before = workload.model.clone();
             for _ in 0..100 {
-                let _ = work.round();
+                let _ = workload.commit();
             }
-            assert_eq!(work.now, held, "nothing was taken on or lost");
+            assert_eq!(workload.model, model_before, "nothing was taken on or lost");
             disk.lift();
             for _ in 0..100 {
-                work.round().unwrap();
+                workload.commit().unwrap();
             }
-            let now = work.now.clone();
-            drop(work);
+            let model = workload.model.clone();
+            drop(workload);
             disk.restart();
-            let (journal, found) = open(&disk, options(Durability::Process));
-            assert_eq!(says(&journal), now, "{kind} {seed}");
-            assert!(found.damage.is_empty(), "{found:?}");
+            let (journal, report) = open(&disk, options(Durability::Process));
+            assert_eq!(read_model(&journal), model, "{kind} {seed}");
+            assert!(report.damage.is_empty(), "{report:?}");
         }
     }
 }
 
-/// What the configuration tool reckons that a disk carries is there, and no more than half as much again: a file that
-/// passes the check keeps its promise, and none is refused that would do.
+/// The number of messages that the configuration check computes for a disk must fit, so that an accepted
+/// configuration works. At most half as many more may fit, so that no sufficient configuration is rejected.
 #[test]
-fn as_many_messages_find_room_as_are_told_beforehand() {
-    for disk in [100_000u64, 400_000, 3_000_000, 20_000_000] {
-        for (body, max_attempts) in [(0usize, 1u32), (200, 8), (1_024, 8), (1_024, 64), (16_384, 8)] {
+fn the_computed_number_of_messages_fits_on_the_disk() {
+    for disk_limit_bytes in [100_000u64, 400_000, 3_000_000, 20_000_000] {
+        for (body_bytes, max_attempts) in [(0usize, 1u32), (200, 8), (1_024, 8), (1_024, 64), (16_384, 8)] {
             for durability in [Durability::Process, Durability::Machine] {
-                let synced = durability == Durability::Machine;
-                let told = nickelshed_budget::messages_on_disk(disk, body as u64, max_attempts, synced);
-                let (mut journal, _) = open(&Disk::new(), Options { disk, max_attempts, durability });
-                let mut held = 0;
+                let is_synced = durability == Durability::Machine;
+                let computed = nickelshed_budget::messages_on_disk(
+                    disk_limit_bytes,
+                    body_bytes as u64,
+                    max_attempts,
+                    is_synced,
+                );
+                let (mut journal, _) =
+                    open(&Disk::new(), Options { disk_limit_bytes, max_attempts, durability });
+                let mut accepted = 0;
                 loop {
-                    let names = |n: usize| "n".repeat(n);
-                    let taken = Taken {
-                        class: names(14),
-                        tenant: names(10),
-                        trace: names(16),
-                        key: Some(names(32)),
-                        ..taken(held, body)
+                    let name_of = |length: usize| "n".repeat(length);
+                    let message = AcceptedMessage {
+                        class: name_of(14),
+                        tenant: name_of(10),
+                        trace: name_of(16),
+                        key: Some(name_of(32)),
+                        ..message(accepted, body_bytes)
                     };
-                    if !journal.claim(&taken, &mut Claim::default(), 1) {
+                    if !journal.reserve(&message, &mut Reservation::default(), 1) {
                         break;
                     }
-                    journal.append(&[Record::Taken(Rc::new(taken))], 1).expect("what was claimed has room");
-                    if let Some(sync) = journal.sync() {
-                        journal.synced(sync.run(), 1);
+                    journal
+                        .append(&[Record::Accepted(Rc::new(message))], 1)
+                        .expect("what was claimed has room");
+                    if let Some(sync_task) = journal.start_sync() {
+                        journal.finish_sync(sync_task.run(), 1);
                     }
-                    held += 1;
+                    accepted += 1;
                 }
-                let of = format!("{disk} {body} {max_attempts} {durability:?}: {held} held, {told} told");
-                assert!(held >= told, "{of}");
-                assert!(disk < 3_000_000 || held <= told + told / 2, "{of}");
+                let case = format!("{disk_limit_bytes} {body_bytes} {max_attempts} {durability:?}: {accepted} held, {computed} told");
+                assert!(accepted >= computed, "{case}");
+                assert!(disk_limit_bytes < 3_000_000 || accepted <= computed + computed / 2, "{case}");
             }
         }
     }
 }
 
 #[test]
-fn a_note_outlasts_the_process_takes_no_claimed_room_and_is_nothing_once_it_is_spoilt() {
+fn an_outage_snapshot_survives_restarts_and_a_torn_one_leaves_the_previous() {
     let disk = Disk::new();
     let (mut journal, _) = open(&disk, options(Durability::Process));
-    let room = format!("{:?}", journal.stats().room);
-    assert_eq!(journal.note(), None);
-    let most = journal.most_note();
-    journal.keep_note(&vec![7; most]).unwrap();
-    journal.keep_note(b"shorter").unwrap();
-    assert!(journal.keep_note(&vec![7; most + 1]).is_err());
-    assert_eq!(format!("{:?}", journal.stats().room), room, "its room counts from the start");
+    let space_before = format!("{:?}", journal.stats().space);
+    assert_eq!(journal.read_outage_snapshot(), None);
+    let max_bytes = journal.max_outage_snapshot_bytes();
+    journal.write_outage_snapshot(&vec![7; max_bytes]).unwrap();
+    journal.write_outage_snapshot(b"shorter").unwrap();
+    assert!(journal.write_outage_snapshot(&vec![7; max_bytes + 1]).is_err());
+    assert_eq!(format!("{:?}", journal.stats().space), space_before, "its room counts from the start");
     for part in [0, 1, 100, 255] {
         drop(journal);
         disk.restart();
-        let (mut next, found) = open(&disk, options(Durability::Process));
-        assert_eq!(next.note().unwrap(), b"shorter", "the one before");
-        assert!(found.damage.is_empty());
-        // Opening is the first operation, and the process ends in the second one.
+        let (mut reopened, report) = open(&disk, options(Durability::Process));
+        assert_eq!(reopened.read_outage_snapshot().unwrap(), b"shorter", "the one before");
+        assert!(report.damage.is_empty());
+        // Opening performs one operation (number 0); the crash happens in the second one.
         disk.fault(1, Fault::Crash(part));
-        assert!(next.keep_note(&[9; 300]).is_err());
-        journal = next;
+        assert!(reopened.write_outage_snapshot(&[9; 300]).is_err());
+        journal = reopened;
     }
 }
--- a/crates/serve/nickelshed/src/calls.rs
+++ b/crates/serve/nickelshed/src/calls.rs
@@ -10,7 +10,7 @@
 use hyper::header::{HeaderMap, CONNECTION, RETRY_AFTER};
 use hyper::Request;
 use nickelshed_host::{Host, Stream};
-use nickelshed_journal::{Taken, MAX_BODY};
+use nickelshed_journal::{AcceptedMessage, MAX_BODY_BYTES};
 use nickelshed_policy::api::{AttemptEnd, EndpointId, Ns, Outcome, Report};
 use serde_json::{json, Value};
 use std::cell::Cell;
@@ -51,7 +51,7 @@
 /// A message's part in a call.
 pub struct Member {
     pub attempt: u32,
-    pub taken: Rc<Taken>,
+    pub taken: Rc<AcceptedMessage>,
     /// When its time is up.
     pub end: Instant,
     /// When this attempt is given up; not after `end`.
@@ -231,7 +231,7 @@
         }
         let (status, headers) = (head.status.as_u16(), head.headers);
         if status == 200 && several {
-            let whole = timeout(WHOLE, Limited::new(body, MAX_BODY).collect()).await;
+            let whole = timeout(WHOLE, Limited::new(body, MAX_BODY_BYTES).collect()).await;
             let whole = whole.map_err(|_| Fault::Broken("the answer does not end".into()))?;
             let whole = whole.map_err(|e| Fault::Broken(format!("the answer can't be read: {e}")))?;
             return Ok(Answer { status, headers, ends: Some(whole.to_bytes()), rest: None });
@@ -254,7 +254,7 @@
             return self.probed(endpoint, Outcome::NotSent, None).await;
         }
         let asked = request("GET", "/healthz", link.at, &[], Bytes::new());
-        let (outcome, report) = match timeout(self.pool.dial, link.exchange(asked, MAX_BODY)).await {
+        let (outcome, report) = match timeout(self.pool.dial, link.exchange(asked, MAX_BODY_BYTES)).await {
             Ok(Ok((status, headers, _))) => {
                 let (outcome, ..) = outcome(status, &headers);
                 self.pool.give_back(endpoint, link);
@@ -291,7 +291,7 @@
         let t = &member.taken;
         let texts = t.trace.len() + t.key.as_ref().map_or(0, String::len);
         let own = t.body.len().div_ceil(3) * 4 + 2 * texts + 40;
-        match parts.last_mut().filter(|_| size + own < MAX_BODY) {
+        match parts.last_mut().filter(|_| size + own < MAX_BODY_BYTES) {
             Some(part) => part.push(member),
             None => {
                 parts.push(vec![member]);
--- a/crates/serve/nickelshed/src/connections.rs
+++ b/crates/serve/nickelshed/src/connections.rs
@@ -8,7 +8,7 @@
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use nickelshed_host::Host;
-use nickelshed_journal::MAX_BODY;
+use nickelshed_journal::MAX_BODY_BYTES;
 use nickelshed_policy::api::{DestId, EndpointId, Ns, Outcome, MS};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -138,7 +138,7 @@
     pub async fn finish(&mut self, rest: Option<Incoming>) -> bool {
         let read = async {
             let whole = match rest {
-                Some(rest) => Limited::new(rest, MAX_BODY).collect().await.is_ok(),
+                Some(rest) => Limited::new(rest, MAX_BODY_BYTES).collect().await.is_ok(),
                 None => true,
             };
             whole && self.sender.ready().await.is_ok()
--- a/crates/serve/nickelshed/src/core.rs
+++ b/crates/serve/nickelshed/src/core.rs
@@ -11,7 +11,10 @@
 use crate::notices::Notice;
 use effects::Effects;
 use nickelshed_host::Host;
-use nickelshed_journal::{Begun, Claim, Ending, Journal, Record, Round as Mark, Storage, Sync, Taken};
+use nickelshed_journal::{
+    AcceptedMessage, AttemptRecord, CommitSeq as Mark, Ending, Journal, Record, Reservation, Storage,
+    SyncTask,
+};
 use nickelshed_policy::api::*;
 use nickelshed_policy::rules::Sender;
 use nickelshed_settings::Around;
@@ -23,7 +26,7 @@
 
 /// A message that the module has not ended.
 struct Held {
-    taken: Rc<Taken>,
+    taken: Rc<AcceptedMessage>,
     end: Ns,
     attempts: u32,
 }
@@ -37,7 +40,7 @@
 }
 
 struct Offered {
-    taken: Rc<Taken>,
+    taken: Rc<AcceptedMessage>,
     /// More than one where the same message came twice in a round.
     replies: Vec<oneshot::Sender<Reply>>,
 }
@@ -55,7 +58,7 @@
     events: Vec<Event>,
     offered: BTreeMap<u64, Offered>,
     /// Room in the journal for the messages of this round.
-    claim: Claim,
+    claim: Reservation,
 }
 
 pub struct Core<S: Storage, H: Host> {
@@ -65,7 +68,7 @@
     around: Around,
     journal: Journal<S>,
     /// Where syncs are run, if rounds wait for them.
-    syncs: Option<std::sync::mpsc::Sender<Sync<S::File>>>,
+    syncs: Option<std::sync::mpsc::Sender<SyncTask<S::File>>>,
     /// Rounds whose records are not kept yet, in order.
     waiting: VecDeque<(Mark, Effects)>,
     client: Rc<Client<H>>,
@@ -112,7 +115,7 @@
         host: H,
         config: Config,
         journal: Journal<S>,
-        syncs: Option<std::sync::mpsc::Sender<Sync<S::File>>>,
+        syncs: Option<std::sync::mpsc::Sender<SyncTask<S::File>>>,
         client: Rc<Client<H>>,
         inbox: mpsc::Receiver<Input>,
         notices: mpsc::UnboundedSender<Notice>,
@@ -258,7 +261,7 @@
         let (now, wall) = (self.clock(at), self.host.wall_ms());
         let mut records = Vec::new();
         let mut endings: Vec<(u64, Ending)> = Vec::new();
-        let mut round = Round { at, events, offered: BTreeMap::new(), claim: Claim::default() };
+        let mut round = Round { at, events, offered: BTreeMap::new(), claim: Reservation::default() };
         self.put_forward(&mut round, wall);
         for input in inputs {
             match input {
@@ -289,16 +292,17 @@
                 Input::Noticed(ids) => {
                     for id in ids {
                         self.noticing.remove(&id);
-                        records.push(Record::Ended(id));
+                        records.push(Record::Finished(id));
                     }
                 }
                 Input::Synced(synced) => {
-                    self.journal.synced(synced, wall);
+                    self.journal.finish_sync(synced, wall);
                     self.carry_out_kept();
                 }
                 Input::Senders(senders) => round.events.push(Event::Senders(senders)),
                 Input::Start(start) => {
-                    let kept = self.journal.keep_beside(crate::fleet::START, format!("{start}\n").as_bytes());
+                    let kept =
+                        self.journal.write_side_file(crate::fleet::START, format!("{start}\n").as_bytes());
                     if let Err(error) = kept {
                         tracing::warn!(start, %error, "cannot keep the start; others may hold an earlier life for this one");
                     }
@@ -321,8 +325,13 @@
                     let (Some(held), Some(known)) = (self.held.get_mut(&id), known) else { continue };
                     let (name, kind) = (known.name.clone(), known.kind);
                     let attempt = held.attempts;
-                    let record = Begun { number: attempt, at: wall, endpoint: name, never_ran: false };
-                    begun.push(Record::Begun(id, record));
+                    let record = AttemptRecord {
+                        number: attempt,
+                        started_at_ms: wall,
+                        endpoint: name,
+                        never_ran: false,
+                    };
+                    begun.push(Record::AttemptStarted(id, record));
                     held.attempts += 1;
                     let (taken, end) = (held.taken.clone(), held.end);
                     tracing::debug!(id, attempt, endpoint, dest = taken.dest, limit = limit / MS, "send");
@@ -372,7 +381,7 @@
                 tracing::debug!(id, dest = held.taken.dest, attempts = held.attempts, ?ending, "given up");
                 let has_time = held.end > now + LEAST_TIME;
                 tell_untried(self.untried.ended(id, has_time));
-                records.push(Record::Decided(id, ending));
+                records.push(Record::EndingDecided(id, ending));
                 effects.notices.push(self.notice(&held.taken, ending));
             }
         }
@@ -384,7 +393,7 @@
             }
             effects.calls.push((endpoint, members, cancel));
         }
-        let mut all: Vec<Record> = offered.values().map(|o| Record::Taken(o.taken.clone())).collect();
+        let mut all: Vec<Record> = offered.values().map(|o| Record::Accepted(o.taken.clone())).collect();
         all.extend(records.iter().chain(&begun).cloned());
         if self.write(&all) {
             effects.taken_on = offered;
@@ -400,7 +409,7 @@
     /// winding down the module is not asked any more, so that nothing can be taken on.
     fn put_forward(&mut self, round: &mut Round, wall: i64) {
         for (id, o) in std::mem::take(&mut self.undecided) {
-            if !self.winding() && self.journal.claim(&o.taken, &mut round.claim, wall) {
+            if !self.winding() && self.journal.reserve(&o.taken, &mut round.claim, wall) {
                 round.offered.insert(id, o);
             } else {
                 self.forget(id);
@@ -410,12 +419,18 @@
         }
     }
 
-    fn offer(&mut self, mut taken: Taken, end: Instant, reply: oneshot::Sender<Reply>, round: &mut Round) {
+    fn offer(
+        &mut self,
+        mut taken: AcceptedMessage,
+        end: Instant,
+        reply: oneshot::Sender<Reply>,
+        round: &mut Round,
+    ) {
         if let Some(id) = self.traces.get(&taken.trace) {
             // The same message once more, while it is held: it is taken on already, or shares this round's fate.
             // Another one under its id is told nothing of either.
             match round.offered.get_mut(id) {
-                _ if !self.held.get(id).is_some_and(|held| held.taken.is_same(&taken)) => {
+                _ if !self.held.get(id).is_some_and(|held| held.taken.is_same_submission(&taken)) => {
                     _ = reply.send(Reply::Conflict)
                 }
                 Some(first) => first.replies.push(reply),
@@ -436,7 +451,7 @@
         taken.id = self.next_id;
         let class = position(&self.around.classes, &taken.class);
         let class = class.filter(|_| self.held.len() < self.settings.max_open && self.wind.is_none());
-        let class = class.filter(|_| self.journal.claim(&taken, &mut round.claim, self.host.wall_ms()));
+        let class = class.filter(|_| self.journal.reserve(&taken, &mut round.claim, self.host.wall_ms()));
         let Some(class) = class else {
             let after = Duration::from_nanos(self.sender.backoff(taken.dest).max(0) as u64);
             tracing::debug!(dest = taken.dest, held = self.held.len(), "no room");
@@ -460,7 +475,14 @@
     }
 
     /// Enters a message that the module is about to be told of.
-    fn hold(&mut self, taken: Rc<Taken>, class: usize, left: Ns, end: Ns, attempts: u32) -> Message {
+    fn hold(
+        &mut self,
+        taken: Rc<AcceptedMessage>,
+        class: usize,
+        left: Ns,
+        end: Ns,
+        attempts: u32,
+    ) -> Message {
         let (id, dest) = (taken.id, taken.dest);
         let tenant = position(&self.around.tenants, &taken.tenant).unwrap_or(0);
         self.traces.insert(taken.trace.clone(), id);
@@ -469,7 +491,7 @@
     }
 
     /// Its notice, which is owed until the platform has answered it.
-    fn notice(&mut self, taken: &Taken, ending: Ending) -> Notice {
+    fn notice(&mut self, taken: &AcceptedMessage, ending: Ending) -> Notice {
         self.noticing.insert(taken.id);
         let (trace, class) = (taken.trace.clone(), taken.class.clone());
         Notice { id: taken.id, trace, class, dest: taken.dest, ending, at: self.host.wall_ms() }
@@ -489,11 +511,11 @@
         }
         if end.done {
             if !late {
-                records.push(Record::Ended(end.id));
+                records.push(Record::Finished(end.id));
                 self.forget(end.id);
             }
         } else if end.outcome.never_ran() {
-            records.push(Record::NeverRan(end.id, end.attempt));
+            records.push(Record::AttemptNeverRan(end.id, end.attempt));
         }
     }
 
--- a/crates/serve/nickelshed/src/core/effects.rs
+++ b/crates/serve/nickelshed/src/core/effects.rs
@@ -28,7 +28,8 @@
     ) {
         let settled = records.len();
         let is_new = |id: &u64| offered.contains_key(id);
-        records.extend(begun.into_iter().filter(|r| !matches!(r, Record::Begun(id, _) if is_new(id))));
+        records
+            .extend(begun.into_iter().filter(|r| !matches!(r, Record::AttemptStarted(id, _) if is_new(id))));
         let kept = self.write_owed(&records);
         if !kept {
             records.truncate(settled);
@@ -57,13 +58,13 @@
 
     /// Does what a round has decided, now or when the journal has it for good.
     pub(super) fn once_kept(&mut self, effects: Effects) {
-        let mark = self.journal.last();
+        let mark = self.journal.last_commit();
         self.waiting.push_back((mark, effects));
         self.carry_out_kept();
     }
 
     pub(super) fn carry_out_kept(&mut self) {
-        let kept = self.journal.kept();
+        let kept = self.journal.durable_commit();
         while let Some((_, effects)) = self.waiting.pop_front_if(|(mark, _)| *mark <= kept) {
             self.carry_out(effects);
         }
@@ -78,7 +79,7 @@
                 unheard.insert(id);
                 self.next.push(Event::Expired { id });
                 self.forget(id);
-                self.write_owed(&[Record::Ended(id)]);
+                self.write_owed(&[Record::Finished(id)]);
             }
         }
         for notice in effects.notices {
@@ -93,7 +94,7 @@
     /// Has the next sync run, where rounds wait for one.
     pub(super) fn sync(&mut self) {
         let Some(syncs) = &self.syncs else { return };
-        if let Some(sync) = self.journal.sync() {
+        if let Some(sync) = self.journal.start_sync() {
             // Its thread ends with this one.
             let _ = syncs.send(sync);
         }
@@ -106,7 +107,7 @@
 
     /// For messages that are held, also where nothing new has room.
     pub(super) fn write_owed(&mut self, records: &[Record]) -> bool {
-        let result = self.journal.append_owed(records, self.host.wall_ms());
+        let result = self.journal.append_reserved(records, self.host.wall_ms());
         self.wrote(result)
     }
 
@@ -115,12 +116,12 @@
             Err(error) if !self.write_failed => {
                 tracing::error!(%error, "cannot write the journal; nothing new is taken on")
             }
-            Ok(_) if self.write_failed && !self.journal.is_short() => {
+            Ok(_) if self.write_failed && !self.journal.is_ballast_missing() => {
                 tracing::info!("the journal is written again")
             }
             _ => {}
         }
-        self.write_failed = result.is_err() || (self.write_failed && self.journal.is_short());
+        self.write_failed = result.is_err() || (self.write_failed && self.journal.is_ballast_missing());
         result.is_ok()
     }
 }
--- a/crates/serve/nickelshed/src/core/outages.rs
+++ b/crates/serve/nickelshed/src/core/outages.rs
@@ -59,7 +59,7 @@
         }
         self.keeper.looked = Some(at);
         let all = self.sender.outages().filter_map(|o| self.kept(&o, now, wall)).collect();
-        let all = that_fit(all, self.journal.most_note());
+        let all = that_fit(all, self.journal.max_outage_snapshot_bytes());
         if all == self.keeper.last {
             return;
         }
@@ -69,7 +69,7 @@
             tracing::debug!(dest = k.dest, endpoint = k.endpoint, doubt = k.doubt, "out");
         }
         // Without it the next process learns anew who is out, as one on a new machine does.
-        match self.journal.keep_note(&written(&all)) {
+        match self.journal.write_outage_snapshot(&written(&all)) {
             Ok(()) => self.keeper.last = all,
             Err(error) => tracing::debug!(%error, "cannot keep who is out"),
         }
@@ -89,7 +89,7 @@
 
     /// What an earlier process has kept, as the module is told it: after the list, which names the endpoints.
     pub(super) fn recalled(&self, now: Ns, wall: i64) -> Vec<Event> {
-        let kept = self.journal.note().map(|bytes| read(&bytes)).unwrap_or_default();
+        let kept = self.journal.read_outage_snapshot().map(|bytes| read(&bytes)).unwrap_or_default();
         let event = |k: Kept| {
             let ago = wall.saturating_sub(k.last_failure.saturating_mul(100)).max(0);
             let endpoint = match &k.endpoint {
--- a/crates/serve/nickelshed/src/core/outages/tests.rs
+++ b/crates/serve/nickelshed/src/core/outages/tests.rs
@@ -8,7 +8,7 @@
 fn as_many_as_are_kept_find_room_and_what_cannot_be_read_is_nothing() {
     let longest = Kept {
         dest: u64::MAX,
-        endpoint: Some("e".repeat(nickelshed_journal::MAX_NAME)),
+        endpoint: Some("e".repeat(nickelshed_journal::MAX_ENDPOINT_NAME_BYTES)),
         doubt: true,
         last_failure: i64::MIN,
         proved: u32::MAX,
--- a/crates/serve/nickelshed/src/core/resume.rs
+++ b/crates/serve/nickelshed/src/core/resume.rs
@@ -17,7 +17,7 @@
         events.extend(self.recalled(now, wall));
         let (mut lost, mut resumed) = (Vec::new(), Vec::new());
         for (&id, live) in self.journal.live() {
-            let taken = live.taken.clone();
+            let taken = live.message.clone();
             if let Some(ending) = live.ending {
                 lost.push((id, taken, ending, false));
                 continue;
@@ -27,14 +27,14 @@
                 .iter()
                 .map(|a| PastAttempt {
                     endpoint: self.names.get(&a.endpoint).copied(),
-                    sent: now - (wall - a.at).max(0).saturating_mul(MS).min(CLOCK_START),
+                    sent: now - (wall - a.started_at_ms).max(0).saturating_mul(MS).min(CLOCK_START),
                     may_have_run: !a.never_ran,
                 })
                 .collect();
             // Numbers have a gap where an attempt could not be written down, and so was not made. The module counts
             // on from how many there are, and no number may be given twice.
             let gap = PastAttempt { endpoint: None, sent: now, may_have_run: false };
-            past.resize(past.len().max(live.next_number() as usize), gap);
+            past.resize(past.len().max(live.next_attempt_number() as usize), gap);
             let attempts = past.len() as u32;
             let Some(class) = position(&self.around.classes, &taken.class) else {
                 // The settings no longer have its class, so the module can't be asked.
@@ -43,7 +43,7 @@
                 lost.push((id, taken, ending, true));
                 continue;
             };
-            let left = (taken.end - wall).saturating_mul(MS);
+            let left = (taken.deadline_ms - wall).saturating_mul(MS);
             resumed.push((taken, class, left, attempts, past));
         }
         for (taken, class, left, attempts, past) in resumed {
@@ -65,7 +65,7 @@
         let mut effects = Effects::default();
         for (id, taken, ending, decide) in lost {
             if decide {
-                records.push(Record::Decided(id, ending));
+                records.push(Record::EndingDecided(id, ending));
             }
             effects.notices.push(self.notice(&taken, ending));
         }
--- a/crates/serve/nickelshed/src/inbox.rs
+++ b/crates/serve/nickelshed/src/inbox.rs
@@ -1,6 +1,6 @@
 //! What the parts of the sender say to its core, and what the core answers a client.
 use crate::list::List;
-use nickelshed_journal::{Synced, Taken};
+use nickelshed_journal::{AcceptedMessage, SyncResult};
 use nickelshed_policy::api::{AttemptEnd, EndpointId, Outcome, Report};
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -22,7 +22,7 @@
 pub enum Input {
     /// A message handed in; `taken.id` is given by the core.
     Offer {
-        taken: Taken,
+        taken: AcceptedMessage,
         end: Instant,
         reply: oneshot::Sender<Reply>,
     },
@@ -36,7 +36,7 @@
     /// The platform has answered for these notices.
     Noticed(Vec<u64>),
     /// How a sync of the journal has ended.
-    Synced(Synced),
+    Synced(SyncResult),
     /// So many senders share each limit, by the view of the fleet.
     Senders(usize),
     /// The start of this member of the fleet, to be kept for its next process.
--- a/crates/serve/nickelshed/src/lib.rs
+++ b/crates/serve/nickelshed/src/lib.rs
@@ -21,7 +21,7 @@
 use nickelshed_budget::{Budget, Sockets};
 use nickelshed_config::sidecar::Durability;
 use nickelshed_host::{Host, Machine};
-use nickelshed_journal::{Handle, Journal, Options, Storage, Sync};
+use nickelshed_journal::{FileHandle, Journal, Options, Storage, SyncTask};
 use nickelshed_policy::api::Class;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -90,8 +90,10 @@
 }
 
 /// Syncs, on a thread of their own, for as long as the core asks for them.
-fn sync_thread<F: Handle>(core: mpsc::Sender<Input>) -> Result<std::sync::mpsc::Sender<Sync<F>>, String> {
-    let (syncs, jobs) = std::sync::mpsc::channel::<Sync<F>>();
+fn sync_thread<F: FileHandle>(
+    core: mpsc::Sender<Input>,
+) -> Result<std::sync::mpsc::Sender<SyncTask<F>>, String> {
+    let (syncs, jobs) = std::sync::mpsc::channel::<SyncTask<F>>();
     let (out, mut done) = mpsc::unbounded_channel();
     spawn_local(async move {
         while let Some(synced) = done.recv().await {
@@ -129,8 +131,8 @@
     let limits = &config.limits;
     let options = Options {
         // The start that a member keeps lies in the folder too, and for a moment beside the one before it.
-        disk: ((limits.disk_mb * 1e6) as u64).saturating_sub(if config.fleet.is_some() {
-            nickelshed_journal::ROOM_BESIDE
+        disk_limit_bytes: ((limits.disk_mb * 1e6) as u64).saturating_sub(if config.fleet.is_some() {
+            nickelshed_journal::SIDE_FILE_RESERVED_BYTES
         } else {
             0
         }),
@@ -146,14 +148,14 @@
     if let Some(torn) = &found.torn {
         tracing::info!(
             segment = torn.seq,
-            kept = torn.kept,
-            cut = torn.cut,
+            kept = torn.valid_bytes,
+            cut = torn.cut_bytes,
             "the last write was cut off; it had been promised to nobody"
         );
     }
     if let Some(first) = found.damage.first() {
-        let (places, doubted) = (found.damage.len(), found.doubted);
-        let aside = found.set_aside.join(", ");
+        let (places, doubted) = (found.damage.len(), found.uncertain);
+        let aside = found.quarantined.join(", ");
         tracing::error!(
             segment = first.seq, from = first.from, to = first.to, places, doubted, aside,
             "the journal is damaged; what can be read is kept, and messages whose attempts may be lost count as tried"
@@ -254,7 +256,8 @@
     let deadline = |c: &Class| Duration::from_nanos(c.deadline.max(0) as u64);
     let class = |c: &Class| server::Class { effect: c.effect, deadline: deadline(c) };
     let classes = settings.classes.iter().map(class).collect();
-    let fellowship = config.fleet.take().map(|told| (told, fleet::start_after(journal.beside(fleet::START))));
+    let fellowship =
+        config.fleet.take().map(|told| (told, fleet::start_after(journal.read_side_file(fleet::START))));
     let mut core = core::Core::new(host.clone(), config, journal, syncs, client, inbox, notices_in);
     let (leave, leaving) = tokio::sync::oneshot::channel();
     let member = fellowship.map(|(told, start)| {
--- a/crates/serve/nickelshed/src/list.rs
+++ b/crates/serve/nickelshed/src/list.rs
@@ -1,5 +1,5 @@
 //! A list of endpoints in the form in which discovery and the configuration give it.
-use nickelshed_journal::MAX_NAME;
+use nickelshed_journal::MAX_ENDPOINT_NAME_BYTES;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 use std::collections::HashSet;
@@ -54,7 +54,7 @@
 
 fn instance(v: &Value) -> Option<Instance> {
     let text = |key: &str| v.get(key).and_then(Value::as_str);
-    let name = text("instanceId").filter(|n| n.len() <= MAX_NAME)?;
+    let name = text("instanceId").filter(|n| n.len() <= MAX_ENDPOINT_NAME_BYTES)?;
     Some(Instance {
         name: name.to_string(),
         address: text("hostPort")?.parse().ok()?,
--- a/crates/serve/nickelshed/src/server.rs
+++ b/crates/serve/nickelshed/src/server.rs
@@ -12,7 +12,7 @@
 use hyper_util::rt::TokioIo;
 use nickelshed_budget::Budget;
 use nickelshed_host::{Host, Listener, Stream};
-use nickelshed_journal::{Taken, MAX_BODY};
+use nickelshed_journal::{AcceptedMessage, MAX_BODY_BYTES};
 use nickelshed_policy::api::Effect;
 use nickelshed_settings::Around;
 use std::cell::{Cell, RefCell};
@@ -228,7 +228,7 @@
             return wrong_method("POST");
         }
         let length = body.size_hint().lower();
-        if length > MAX_BODY as u64 {
+        if length > MAX_BODY_BYTES as u64 {
             return bad(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB");
         }
         let (mut taken, left) = match self.read_head(&head.headers, class) {
@@ -237,11 +237,11 @@
         };
         // Held until the message's end, or until it is turned away.
         let Some(share) = self.budget.claim(length as usize) else { return closing(refused(None)) };
-        taken.share = Some(share);
+        taken.memory_share = Some(share);
         let end = Instant::now() + left;
-        taken.since = self.host.wall_ms();
-        taken.end = taken.since + left.as_millis() as i64;
-        taken.body = match timeout_at(by, Limited::new(body, MAX_BODY).collect()).await {
+        taken.accepted_at_ms = self.host.wall_ms();
+        taken.deadline_ms = taken.accepted_at_ms + left.as_millis() as i64;
+        taken.body = match timeout_at(by, Limited::new(body, MAX_BODY_BYTES).collect()).await {
             // Copied: the library's own buffer, of which this is a part, is far larger than most messages.
             Ok(Ok(body)) => Bytes::copy_from_slice(&body.to_bytes()),
             Ok(Err(e)) if e.is::<LengthLimitError>() => {
@@ -265,7 +265,11 @@
     }
 
     /// What a message's headers say, with its body still to come.
-    fn read_head(&self, headers: &HeaderMap, class: usize) -> Result<(Taken, Duration), &'static str> {
+    fn read_head(
+        &self,
+        headers: &HeaderMap,
+        class: usize,
+    ) -> Result<(AcceptedMessage, Duration), &'static str> {
         let text = |name: &str| {
             headers.get(name).map(|v| v.to_str().map(str::trim).ok().filter(|t| t.len() <= MAX_NAME))
         };
@@ -300,17 +304,17 @@
             return Err("Idempotency-Key is missing");
         }
         let (class, tenant, trace) = (name.clone(), tenant.to_string(), trace.to_string());
-        let taken = Taken {
+        let taken = AcceptedMessage {
             id: 0,
             class,
             tenant,
             dest,
             trace,
             key,
-            since: 0,
-            end: 0,
+            accepted_at_ms: 0,
+            deadline_ms: 0,
             body: Bytes::new(),
-            share: None,
+            memory_share: None,
         };
         Ok((taken, left))
     }
--- a/crates/tools/nickelshed-journal-tool/src/report.rs
+++ b/crates/tools/nickelshed-journal-tool/src/report.rs
@@ -1,6 +1,8 @@
-//! What is printed of a journal, as text and as JSON.
+//! Reports on a journal, as text and as JSON.
 use base64::Engine;
-use nickelshed_journal::{recover::Damage, segment_name, Begun, Ending, Live, State, View};
+use nickelshed_journal::{
+    recover::DamagedRange, segment_name, AttemptRecord, Ending, Inspection, Integrity, LiveMessage,
+};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,60 +12,69 @@
 struct Group {
     messages: usize,
     bytes: usize,
-    untried: usize,
+    unattempted: usize,
     attempts: usize,
-    /// Messages whose notice is under way.
-    ending: usize,
-    oldest: Option<i64>,
-    first_end: Option<i64>,
+    /// Messages whose notice is being sent.
+    notices_in_progress: usize,
+    oldest_accepted_at_ms: Option<i64>,
+    first_deadline_ms: Option<i64>,
 }
 
-fn groups(view: &View) -> BTreeMap<(String, u64), Group> {
+fn groups(inspection: &Inspection) -> BTreeMap<(String, u64), Group> {
     let mut groups: BTreeMap<(String, u64), Group> = BTreeMap::new();
-    for live in &view.live {
-        let taken = &live.taken;
-        let group = groups.entry((taken.class.clone(), taken.dest)).or_default();
+    for live in &inspection.live {
+        let message = &live.message;
+        let group = groups.entry((message.class.clone(), message.dest)).or_default();
         group.messages += 1;
-        group.bytes += taken.body.len();
-        group.untried += usize::from(live.attempts.is_empty());
+        group.bytes += message.body.len();
+        group.unattempted += usize::from(live.attempts.is_empty());
         group.attempts += live.attempts.len();
-        group.ending += usize::from(live.ending.is_some());
-        if taken.since > 0 {
-            group.oldest = Some(group.oldest.map_or(taken.since, |o| o.min(taken.since)));
+        group.notices_in_progress += usize::from(live.ending.is_some());
+        if message.accepted_at_ms > 0 {
+            group.oldest_accepted_at_ms = Some(
+                group
+                    .oldest_accepted_at_ms
+                    .map_or(message.accepted_at_ms, |earliest| earliest.min(message.accepted_at_ms)),
+            );
         }
-        group.first_end = Some(group.first_end.map_or(taken.end, |e| e.min(taken.end)));
+        group.first_deadline_ms = Some(
+            group.first_deadline_ms.map_or(message.deadline_ms, |earliest| earliest.min(message.deadline_ms)),
+        );
     }
     groups
 }
 
-fn seconds(ms: i64) -> String {
+fn format_seconds(ms: i64) -> String {
     format!("{:.1} s", ms as f64 / 1e3)
 }
 
-/// Bytes that are left of the disk's limit.
-fn left(view: &View, disk_mb: Option<f64>) -> Option<i64> {
-    disk_mb.map(|mb| (mb * 1e6) as i64 - view.disk as i64)
+/// Returns the number of bytes left of the disk limit; negative if it is exceeded.
+fn remaining_disk_bytes(inspection: &Inspection, disk_mb: Option<f64>) -> Option<i64> {
+    disk_mb.map(|mb| (mb * 1e6) as i64 - inspection.disk_bytes as i64)
 }
 
-/// `now`: Unix time in milliseconds.
-pub fn inspect(view: &View, now: i64, disk_mb: Option<f64>) -> String {
-    let mut out = String::new();
-    let bodies: usize = view.live.iter().map(|l| l.taken.body.len()).sum();
-    let (messages, segments) = (view.live.len(), view.segments.len());
+/// `now_ms`: Unix time.
+pub fn inspect(inspection: &Inspection, now_ms: i64, disk_mb: Option<f64>) -> String {
+    let mut report = String::new();
+    let body_bytes: usize = inspection.live.iter().map(|live| live.message.body.len()).sum();
+    let (messages, segments) = (inspection.live.len(), inspection.segments.len());
     let _ = writeln!(
-        out,
-        "{messages} messages held, {bodies} bytes of bodies; {} bytes on the disk in {segments} segments",
-        view.disk
+        report,
+        "{messages} messages held, {body_bytes} bytes of bodies; {} bytes on the disk in {segments} segments",
+        inspection.disk_bytes
     );
-    if let Some(left) = left(view, disk_mb) {
-        let _ = writeln!(out, "{left} bytes left of the disk's limit");
+    if let Some(bytes_left) = remaining_disk_bytes(inspection, disk_mb) {
+        let _ = writeln!(report, "{bytes_left} bytes left of the disk's limit");
     }
-    if view.legacy {
-        let _ = writeln!(out, "the file of the version before is still there; a start takes it over");
+    if inspection.legacy {
+        let _ = writeln!(
+            report,
+            "the journal file of an earlier version still exists; the next start imports it"
+        );
     }
-    let groups = groups(view);
+    let groups = groups(inspection);
     if !groups.is_empty() {
-        let head = [
+        let header = [
             "class",
             "dest",
             "messages",
@@ -74,117 +85,130 @@
             "oldest",
             "first deadline in",
         ];
-        let mut rows: Vec<Vec<String>> = vec![head.map(str::to_string).to_vec()];
-        for ((class, dest), g) in &groups {
+        let mut rows: Vec<Vec<String>> = vec![header.map(str::to_string).to_vec()];
+        for ((class, dest), group) in &groups {
             rows.push(vec![
                 class.clone(),
                 dest.to_string(),
-                g.messages.to_string(),
-                g.bytes.to_string(),
-                g.untried.to_string(),
-                g.attempts.to_string(),
-                g.ending.to_string(),
-                g.oldest.map_or("unknown".into(), |o| seconds(now - o)),
-                g.first_end.map_or(String::new(), |e| seconds(e - now)),
+                group.messages.to_string(),
+                group.bytes.to_string(),
+                group.unattempted.to_string(),
+                group.attempts.to_string(),
+                group.notices_in_progress.to_string(),
+                group
+                    .oldest_accepted_at_ms
+                    .map_or("unknown".into(), |accepted_at_ms| format_seconds(now_ms - accepted_at_ms)),
+                group
+                    .first_deadline_ms
+                    .map_or(String::new(), |deadline_ms| format_seconds(deadline_ms - now_ms)),
             ]);
         }
-        let width = |column: usize| rows.iter().map(|r| r[column].chars().count()).max().unwrap_or(0);
-        let widths: Vec<usize> = (0..head.len()).map(width).collect();
+        let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
+        let widths: Vec<usize> = (0..header.len()).map(width).collect();
         for row in &rows {
             let cells: Vec<String> =
                 row.iter().zip(&widths).map(|(cell, &width)| format!("{cell:>width$}")).collect();
-            let _ = writeln!(out, "{}", cells.join("  "));
+            let _ = writeln!(report, "{}", cells.join("  "));
         }
     }
-    if view.state() != State::Whole {
-        out.push_str(&verify(view));
+    if inspection.integrity() != Integrity::Intact {
+        report.push_str(&verify(inspection));
     }
-    out
+    report
 }
 
-pub fn inspect_json(view: &View, now: i64, disk_mb: Option<f64>) -> String {
-    let groups: Vec<Value> = groups(view)
+pub fn inspect_json(inspection: &Inspection, now_ms: i64, disk_mb: Option<f64>) -> String {
+    let groups: Vec<Value> = groups(inspection)
         .into_iter()
-        .map(|((class, dest), g)| {
-            json!({"class": class, "dest": dest, "messages": g.messages, "bytes": g.bytes, "untried": g.untried,
-                "attempts": g.attempts, "ending": g.ending, "oldest_ms": g.oldest.map(|o| now - o),
-                "first_deadline_in_ms": g.first_end.map(|e| e - now)})
+        .map(|((class, dest), group)| {
+            json!({"class": class, "dest": dest, "messages": group.messages, "bytes": group.bytes, "untried": group.unattempted,
+                "attempts": group.attempts, "ending": group.notices_in_progress, "oldest_ms": group.oldest_accepted_at_ms.map(|accepted_at_ms| now_ms - accepted_at_ms),
+                "first_deadline_in_ms": group.first_deadline_ms.map(|deadline_ms| deadline_ms - now_ms)})
         })
         .collect();
-    let whole = json!({"messages": view.live.len(), "disk_bytes": view.disk, "segments": view.segments.len(),
-        "left_bytes": left(view, disk_mb), "legacy": view.legacy, "state": state(view), "groups": groups});
-    format!("{whole}\n")
+    let object = json!({"messages": inspection.live.len(), "disk_bytes": inspection.disk_bytes, "segments": inspection.segments.len(),
+        "left_bytes": remaining_disk_bytes(inspection, disk_mb), "legacy": inspection.legacy, "state": integrity_name(inspection), "groups": groups});
+    format!("{object}\n")
 }
 
-fn state(view: &View) -> &'static str {
-    match view.state() {
-        State::Whole => "whole",
-        State::Torn => "torn",
-        State::Damaged => "damaged",
+fn integrity_name(inspection: &Inspection) -> &'static str {
+    match inspection.integrity() {
+        Integrity::Intact => "whole",
+        Integrity::Torn => "torn",
+        Integrity::Damaged => "damaged",
     }
 }
 
-pub fn verify(view: &View) -> String {
-    let mut out =
-        format!("{}: {} messages in {} segments\n", state(view), view.live.len(), view.segments.len());
-    for Damage { seq, from, to } in &view.damage {
+pub fn verify(inspection: &Inspection) -> String {
+    let mut report = format!(
+        "{}: {} messages in {} segments\n",
+        integrity_name(inspection),
+        inspection.live.len(),
+        inspection.segments.len()
+    );
+    for DamagedRange { seq, from, to } in &inspection.damage {
         let name = segment_name(*seq);
         let _ = match to {
-            0 => writeln!(out, "{name} is missing"),
-            _ => writeln!(out, "{name}: bytes {from} to {to} can't be read"),
+            0 => writeln!(report, "{name} is missing"),
+            _ => writeln!(report, "{name}: bytes {from} to {to} cannot be read"),
         };
     }
-    if view.doubted > 0 {
+    if inspection.uncertain > 0 {
         let _ = writeln!(
-            out,
-            "{} messages may have attempts among what is lost; a start counts each as tried once, so that nothing \
-             runs twice beyond its class",
-            view.doubted
+            report,
+            "attempts of {} messages may be lost; the next start assumes one attempt for each, so that none \
+             runs more often than its class allows",
+            inspection.uncertain
         );
     }
-    if let Some(torn) = &view.torn {
+    if let Some(torn) = &inspection.torn {
         let name = if torn.seq == 0 { "journal".into() } else { segment_name(torn.seq) };
         let _ = writeln!(
-            out,
-            "{name}: {} bytes from {} on are a write that was cut off, or is under way; nothing of it was promised",
-            torn.cut, torn.kept
+            report,
+            "{name}: {} bytes from offset {} are a write that was cut off or is in progress; none of it was acknowledged",
+            torn.cut_bytes, torn.valid_bytes
         );
     }
-    out
+    report
 }
 
-pub fn verify_json(view: &View) -> String {
-    let damage: Vec<Value> = view
+pub fn verify_json(inspection: &Inspection) -> String {
+    let damage: Vec<Value> = inspection
         .damage
         .iter()
-        .map(|d| json!({"file": segment_name(d.seq), "from": d.from, "to": d.to, "missing": d.to == 0}))
+        .map(|range| json!({"file": segment_name(range.seq), "from": range.from, "to": range.to, "missing": range.to == 0}))
         .collect();
-    let torn = view.torn.as_ref().map(|t| json!({"segment": t.seq, "from": t.kept, "bytes": t.cut}));
-    let whole = json!({"state": state(view), "messages": view.live.len(), "doubted": view.doubted,
+    let torn = inspection
+        .torn
+        .as_ref()
+        .map(|torn| json!({"segment": torn.seq, "from": torn.valid_bytes, "bytes": torn.cut_bytes}));
+    let object = json!({"state": integrity_name(inspection), "messages": inspection.live.len(), "doubted": inspection.uncertain,
         "damage": damage, "torn": torn});
-    format!("{whole}\n")
+    format!("{object}\n")
 }
 
-fn attempt(a: &Begun) -> Value {
-    let supposed = a.endpoint.is_empty();
-    json!({"at_ms": a.at, "endpoint": a.endpoint, "never_ran": a.never_ran, "supposed": supposed})
+fn attempt_json(attempt: &AttemptRecord) -> Value {
+    let assumed = attempt.endpoint.is_empty();
+    json!({"at_ms": attempt.started_at_ms, "endpoint": attempt.endpoint, "never_ran": attempt.never_ran, "supposed": assumed})
 }
 
-fn message(live: &Live) -> Value {
-    let taken = &live.taken;
-    let ending = live.ending.map(|e| match e {
-        Ending::GivenUp => json!({"outcome": e.name()}),
-        Ending::HandedBack(ms) => json!({"outcome": e.name(), "retry_in_ms": ms}),
+fn message_json(live: &LiveMessage) -> Value {
+    let message = &live.message;
+    let ending = live.ending.map(|ending| match ending {
+        Ending::GivenUp => json!({"outcome": ending.name()}),
+        Ending::HandedBack(retry_after_ms) => {
+            json!({"outcome": ending.name(), "retry_in_ms": retry_after_ms})
+        }
     });
-    json!({"message": taken.trace, "class": taken.class, "tenant": taken.tenant, "dest": taken.dest,
-        "key": taken.key, "since_ms": taken.since, "deadline_ms": taken.end,
-        "attempts": live.attempts.iter().map(attempt).collect::<Vec<_>>(), "ending": ending,
-        "body": base64::engine::general_purpose::STANDARD.encode(&taken.body)})
+    json!({"message": message.trace, "class": message.class, "tenant": message.tenant, "dest": message.dest,
+        "key": message.key, "since_ms": message.accepted_at_ms, "deadline_ms": message.deadline_ms,
+        "attempts": live.attempts.iter().map(attempt_json).collect::<Vec<_>>(), "ending": ending,
+        "body": base64::engine::general_purpose::STANDARD.encode(&message.body)})
 }
 
-pub fn export(view: &View) -> String {
-    view.live.iter().fold(String::new(), |mut out, live| {
-        let _ = writeln!(out, "{}", message(live));
-        out
+pub fn export(inspection: &Inspection) -> String {
+    inspection.live.iter().fold(String::new(), |mut report, live| {
+        let _ = writeln!(report, "{}", message_json(live));
+        report
     })
 }
