--- a/crates/proof/nickelshed-crashtest/tests/kill.rs
+++ b/crates/proof/nickelshed-crashtest/tests/kill.rs
@@ -45,7 +45,7 @@
             let class = if next_message % 3 == 0 { "order" } else { "alert" };
             let id = format!("{class}-{next_message}");
             next_message += 1;
-            // A submission in progress at the halt gets no response, so nothing is promised for it.
+            // A submission in progress at the halt gets no response, so its result is not checked.
             if sender.try_hand_in(class, &id, dest, 16_000, &[7; 1_024]) == Some(202) {
                 accepted_ids.insert(id);
             }
--- a/crates/serve/nickelshed-journal/src/format.rs
+++ b/crates/serve/nickelshed-journal/src/format.rs
@@ -1,16 +1,17 @@
-//! Encoding of a segment: a header, then one frame for each write. No I/O.
+//! Encoding of a segment: a header, then one frame for each commit and for each message that
+//! compaction copies. No I/O.
 //!
 //! ```text
 //! segment = header header frame*      two copies, so that one damaged block does not lose the segment
 //! header  = "nsjl" version:u16 flags:u16 nonce:u64 seq:u64 prev:u32 crc:u32
-//! frame   = magic:u32 length:u32 written_at:u64 header_crc:u32 crc:u32 record*      `length` bytes of records
+//! frame   = magic:u32 length:u32 written_at:u64 header_crc:u32 crc:u32 record*    `length` bytes of records
 //! ```
 //!
 //! All numbers are little-endian; records are encoded with postcard. The checksum of a frame also covers the
 //! folder's nonce, the segment number and the offset of the frame. Therefore no message body that a client
 //! sends can be mistaken for a frame, nor can a frame copied from another position. `prev` is the number of
-//! valid bytes in the preceding segment: bytes behind it belong to a failed write. `header_crc` is the checksum of
-//! the first 16 bytes of a frame: it distinguishes a frame that is cut off by the end of the file from a
+//! valid bytes in the preceding segment: later bytes belong to a failed write. `header_crc` is the checksum
+//! of the first 16 bytes of a frame: it distinguishes a frame that is cut off by the end of the file from a
 //! frame with a damaged length.
 use crate::record::{AcceptedMessage, AttemptRecord, Ending, LiveMessage, Record};
 use bytes::Bytes;
@@ -28,6 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
     pub nonce: u64,
+    /// Number of this segment.
     pub seq: u64,
     /// Number of valid bytes in the preceding segment.
     pub prev_valid_bytes: u32,
@@ -107,6 +109,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FramePosition {
     pub nonce: u64,
+    /// Number of the segment.
     pub seq: u64,
     pub offset: u64,
 }
--- a/crates/serve/nickelshed-journal/src/journal.rs
+++ b/crates/serve/nickelshed-journal/src/journal.rs
@@ -39,7 +39,9 @@
 /// Space reserved for the messages that are to be accepted in one commit, in bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reservation {
+    /// Including the records that may follow the acceptance.
     reserved_bytes: u64,
+    /// Bound of the frame with the acceptance records.
     frame_bytes: u64,
 }
 
@@ -93,6 +95,7 @@
 pub struct SyncTask<F> {
     files: Vec<F>,
     folder: Option<F>,
+    /// The last commit that this sync covers.
     through: CommitSeq,
 }
 
@@ -127,12 +130,12 @@
     table: MessageTable,
     frames: FrameBatch,
     /// Set if the active segment must not be written to again, for example since a failed write may have left
-    /// bytes behind its valid part. The next write starts a new segment.
+    /// bytes after its valid part. The next write starts a new segment.
     must_roll: bool,
     has_ballast: bool,
     /// Unix time in milliseconds.
     ballast_tried_at_ms: i64,
-    /// Total size of other files in the folder.
+    /// Total size of the files that are neither segments nor the ballast file.
     other_files_bytes: u64,
     /// Whether the outage snapshot file exists. Its space is counted from the start, so that it never uses
     /// reserved space.
@@ -410,7 +413,7 @@
         let new_name = format!("{name}.new");
         match self.storage.remove(&new_name) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
-            // Left behind by a process that ended before the rename.
+            // A leftover of a process that ended before the rename.
             _ => {}
         }
         self.storage.write_all_at(&self.storage.create(&new_name)?, bytes, 0)?;
@@ -441,7 +444,7 @@
             return false;
         }
         let created = match self.storage.create(BALLAST_FILE) {
-            // Its removal failed, or its write was interrupted.
+            // An earlier file is still there: its removal failed, or its write was interrupted.
             Err(e) if e.kind() == io::ErrorKind::AlreadyExists => {
                 self.storage.remove(BALLAST_FILE).and_then(|()| self.storage.create(BALLAST_FILE))
             }
@@ -529,7 +532,7 @@
                 (self.storage.open(&name)?, spare.file_bytes)
             }
             None => match self.storage.create(&name) {
-                // Left behind by an earlier failed attempt.
+                // A leftover of an earlier failed attempt.
                 Err(e) if e.kind() == io::ErrorKind::AlreadyExists => {
                     self.storage.remove(&name)?;
                     (self.storage.create(&name)?, 0)
--- a/crates/serve/nickelshed-journal/src/legacy.rs
+++ b/crates/serve/nickelshed-journal/src/legacy.rs
@@ -10,7 +10,7 @@
 /// Maximum length of a record: a body and its headers.
 const MAX_RECORD_BYTES: usize = 4 * MAX_BODY_BYTES;
 
-/// How far to search for valid records behind an unreadable one. A torn write is usually shorter. A longer
+/// How far to search for valid records after an unreadable one. A torn write is usually shorter. A longer
 /// one, from a commit of several large messages, is treated as damage, which only marks messages as uncertain
 /// without need.
 const MAX_SCAN_BYTES: usize = 128 << 10;
--- a/crates/serve/nickelshed-journal/src/lib.rs
+++ b/crates/serve/nickelshed-journal/src/lib.rs
@@ -5,7 +5,7 @@
 //! that are still live in the oldest segments to the end of the log in bounded steps, and removes the emptied
 //! segments. `docs/design/journal.md` compares this design with alternatives.
 //!
-//! - [`Journal`] is the log of one folder on a [`Storage`]; tests use a storage that fails at every
+//! - [`Journal`] is the log of one folder on a [`Storage`]; tests use one that can fail at any
 //!   operation.
 //! - `format`, `table`, `compaction` and [`recover`] do no I/O. They cover the encoding of segments, the set
 //!   of live messages, the amount of compaction, and the replay of a folder's segments.
--- a/crates/serve/nickelshed-journal/src/record.rs
+++ b/crates/serve/nickelshed-journal/src/record.rs
@@ -17,8 +17,10 @@
     pub id: u64,
     pub class: String,
     pub tenant: String,
+    /// Number of the destination.
     pub dest: u64,
     pub trace: String,
+    /// Idempotency key.
     pub key: Option<String>,
     /// Unix time in milliseconds, or 0 if imported from the legacy format, which has no such field.
     pub accepted_at_ms: i64,
--- a/crates/serve/nickelshed-journal/src/recover.rs
+++ b/crates/serve/nickelshed-journal/src/recover.rs
@@ -137,6 +137,7 @@
     recovered: RecoveredFolder,
     last_written_at_ms: i64,
     low_water_mark: u64,
+    /// Ranges of segment numbers without a file.
     missing: Vec<std::ops::Range<u64>>,
 }
 
--- a/crates/serve/nickelshed-journal/tests/common/mod.rs
+++ b/crates/serve/nickelshed-journal/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A random workload of commits like those of a sender, and a simple model of the promised state after each
+//! A random workload of commits like those of a sender, and a simple model of the expected state after each
 //! commit.
 #![allow(dead_code)]
 use bytes::Bytes;
@@ -165,7 +165,12 @@
         let mut records = self.next_records();
         let journal = &mut self.journal;
         let submitted_count = records.len();
-        records.retain(|record| !matches!(record, Record::Accepted(message) if !journal.reserve(message, &mut reservation, clock_ms)));
+        records.retain(|record| {
+            !matches!(
+                record,
+                Record::Accepted(message) if !journal.reserve(message, &mut reservation, clock_ms)
+            )
+        });
         self.rejected += submitted_count - records.len();
         self.last_records.clone_from(&records);
         let commit_seq = self.journal.append(&records, clock_ms)?;
--- a/crates/serve/nickelshed-journal/tests/crash.rs
+++ b/crates/serve/nickelshed-journal/tests/crash.rs
@@ -103,10 +103,10 @@
     let commits = 500;
     let operation_count = count_operations(commits, Durability::Machine);
     for operation in 0..operation_count {
-        for attempt in 0..4u64 {
+        for variant in 0..4u64 {
             let disk = Disk::new();
-            disk.fault(operation, Fault::Crash([0, 100, 255, 256][attempt as usize]));
-            let mut random = fastrand::Rng::with_seed(SEED ^ (operation << 8) ^ attempt);
+            disk.fault(operation, Fault::Crash([0, 100, 255, 256][variant as usize]));
+            let mut random = fastrand::Rng::with_seed(SEED ^ (operation << 8) ^ variant);
             let Ok((journal, _)) = try_open(&disk, options(Durability::Machine)) else {
                 disk.lose_power(&mut random);
                 assert!(read_model(&open(&disk, options(Durability::Machine)).0).is_empty());
@@ -134,7 +134,7 @@
             }
             disk.lose_power(&mut random);
             let (journal, _) = open(&disk, options(Durability::Machine));
-            let case = format!("operation {operation}, try {attempt}, {:?}", disk.trace().last());
+            let case = format!("operation {operation}, variant {variant}, {:?}", disk.trace().last());
             check_recovered(&durable, &latest, &latest_bodies, &read_model(&journal), &case);
         }
     }
--- a/crates/serve/nickelshed-journal/tests/full.rs
+++ b/crates/serve/nickelshed-journal/tests/full.rs
@@ -42,7 +42,7 @@
         .map(|(disk_limit_bytes, body_bytes)| (*disk_limit_bytes, *body_bytes, Durability::Machine));
     for (disk_limit_bytes, body_bytes, durability) in process_cases.into_iter().chain(machine_cases) {
         let disk = Disk::new();
-        let options = Options { disk_limit_bytes: disk_limit_bytes, max_attempts: 8, durability };
+        let options = Options { disk_limit_bytes, max_attempts: 8, durability };
         let (mut journal, _) = open(&disk, options);
         let mut open_messages: Vec<(u64, Vec<Vec<Record>>)> = Vec::new();
         let (mut next_id, mut rejected, mut max_open) = (u64::MAX / 2, 0, 0);
@@ -63,10 +63,10 @@
             // for space.
             let advancing = open_messages.iter_mut().filter(|_| random.u8(..8) == 0 || commit > 5_000);
             for record in advancing.filter_map(|(_, remaining)| remaining.pop()) {
-                journal.append(&record, 1).expect("what is owed has room");
+                journal.append(&record, 1).expect("the space is reserved");
             }
             open_messages.retain(|(_, remaining)| !remaining.is_empty());
-            journal.append(&records, 1).expect("what was claimed has room");
+            journal.append(&records, 1).expect("the space is reserved");
             if commit % 3 == 0 {
                 if let Some(sync_task) = journal.start_sync() {
                     journal.finish_sync(sync_task.run(), 1);
@@ -78,7 +78,7 @@
         }
         assert!(
             rejected > 0 && max_open > 0,
-            "{disk_limit_bytes} {body_bytes} {durability:?}: {rejected} refused, {max_open} held"
+            "{disk_limit_bytes} {body_bytes} {durability:?}: {rejected} rejected, {max_open} open"
         );
     }
 }
@@ -96,8 +96,8 @@
             }
             let stats = workload.journal.stats();
             let bound = (MAX_WRITE_AMPLIFICATION - 1) * stats.appended_bytes + DISK_LIMIT_BYTES;
-            assert!(stats.copied_bytes <= bound, "lasting {long_lived_percent}%: {stats:?}");
-            assert!(stats.copied_bytes > 0, "lasting {long_lived_percent}%: {stats:?}");
+            assert!(stats.copied_bytes <= bound, "{long_lived_percent}% long-lived: {stats:?}");
+            assert!(stats.copied_bytes > 0, "{long_lived_percent}% long-lived: {stats:?}");
         }
     }
 }
@@ -124,10 +124,10 @@
     for seed in 0..40 {
         let disk = Disk::new();
         let mut workload = Workload::new(open(&disk, options(Durability::Process)).0, SEED + seed);
-        let mut rounds = 0;
-        while rounds < 50 + seed || workload.model.is_empty() {
+        let mut commits = 0;
+        while commits < 50 + seed || workload.model.is_empty() {
             workload.commit().unwrap();
-            rounds += 1;
+            commits += 1;
         }
         // The disk is full from here on, possibly in the middle of a compaction step or a commit.
         disk.capacity(disk.used() + seed * 37);
@@ -143,11 +143,11 @@
             workload
                 .journal
                 .append_reserved(std::slice::from_ref(&record), 1)
-                .expect("what is owed has room");
+                .expect("the space is reserved");
             apply_record(&mut workload.model, &record);
         }
         assert!(workload.model.is_empty());
-        // The state is intact.
+        // All records are still readable.
         assert_eq!(read_model(&workload.journal), workload.model);
         // Space is free again: the journal must accept messages without any external signal.
         disk.capacity(u64::MAX);
@@ -160,7 +160,7 @@
             workload.commit().unwrap();
         }
         let accepted = workload.model.keys().filter(|id| **id >= first_new_id).count();
-        assert!(!workload.journal.is_ballast_missing() && accepted > 5, "{accepted} taken on");
+        assert!(!workload.journal.is_ballast_missing() && accepted > 5, "{accepted} accepted");
         let model = workload.model.clone();
         drop(workload);
         disk.restart();
@@ -185,7 +185,7 @@
             for _ in 0..100 {
                 let _ = workload.commit();
             }
-            assert_eq!(workload.model, model_before, "nothing was taken on or lost");
+            assert_eq!(workload.model, model_before, "no message was accepted or lost");
             disk.lift();
             for _ in 0..100 {
                 workload.commit().unwrap();
@@ -229,15 +229,16 @@
                     if !journal.reserve(&message, &mut Reservation::default(), 1) {
                         break;
                     }
-                    journal
-                        .append(&[Record::Accepted(Rc::new(message))], 1)
-                        .expect("what was claimed has room");
+                    journal.append(&[Record::Accepted(Rc::new(message))], 1).expect("the space is reserved");
                     if let Some(sync_task) = journal.start_sync() {
                         journal.finish_sync(sync_task.run(), 1);
                     }
                     accepted += 1;
                 }
-                let case = format!("{disk_limit_bytes} {body_bytes} {max_attempts} {durability:?}: {accepted} held, {computed} told");
+                let case = format!(
+                    "{disk_limit_bytes} {body_bytes} {max_attempts} {durability:?}: \
+                     {accepted} accepted, {computed} computed"
+                );
                 assert!(accepted >= computed, "{case}");
                 assert!(disk_limit_bytes < 3_000_000 || accepted <= computed + computed / 2, "{case}");
             }
@@ -255,14 +256,14 @@
     journal.write_outage_snapshot(&vec![7; max_bytes]).unwrap();
     journal.write_outage_snapshot(b"shorter").unwrap();
     assert!(journal.write_outage_snapshot(&vec![7; max_bytes + 1]).is_err());
-    assert_eq!(format!("{:?}", journal.stats().space), space_before, "its room counts from the start");
+    assert_eq!(format!("{:?}", journal.stats().space), space_before, "its space is counted from the start");
     for part in [0, 1, 100, 255] {
         drop(journal);
         disk.restart();
         let (mut reopened, report) = open(&disk, options(Durability::Process));
-        assert_eq!(reopened.read_outage_snapshot().unwrap(), b"shorter", "the one before");
+        assert_eq!(reopened.read_outage_snapshot().unwrap(), b"shorter", "the previous snapshot");
         assert!(report.damage.is_empty());
-        // Opening performs one operation (number 0); the crash happens in the second one.
+        // Operation 0 opens the file; the crash happens in operation 1, the write.
         disk.fault(1, Fault::Crash(part));
         assert!(reopened.write_outage_snapshot(&[9; 300]).is_err());
         journal = reopened;
--- a/crates/serve/nickelshed-journal/tests/upgrade.rs
+++ b/crates/serve/nickelshed-journal/tests/upgrade.rs
@@ -16,7 +16,8 @@
 
 fn encode_legacy_message(id: u64, body_bytes: usize) -> Vec<u8> {
     let message = message(id, body_bytes);
-    let head = json!({"T": {"i": id, "c": message.class, "u": message.tenant, "d": message.dest, "m": message.trace, "k": message.key, "t": message.deadline_ms}});
+    let head = json!({"T": {"i": id, "c": message.class, "u": message.tenant, "d": message.dest,
+        "m": message.trace, "k": message.key, "t": message.deadline_ms}});
     encode_legacy_record(head, &message.body)
 }
 
@@ -121,9 +122,9 @@
     assert!(by_trace(&journal).iter().all(|(_, attempts, ..)| attempts.len() == 1));
 
     let disk = Disk::new();
-    let mut spoilt = file.clone();
-    spoilt[file.len() / 2] ^= 1;
-    disk.put("journal", &spoilt);
+    let mut corrupted = file.clone();
+    corrupted[file.len() / 2] ^= 1;
+    disk.put("journal", &corrupted);
     let (journal, _) = open(&disk, options(Durability::Process));
     assert!(journal.live().len() > live_count / 3);
     assert!(by_trace(&journal).iter().all(|(_, attempts, ..)| attempts.last().unwrap().endpoint.is_empty()));
--- a/crates/tools/nickelshed-journal-tool/src/report.rs
+++ b/crates/tools/nickelshed-journal-tool/src/report.rs
@@ -121,13 +121,15 @@
     let groups: Vec<Value> = groups(inspection)
         .into_iter()
         .map(|((class, dest), group)| {
-            json!({"class": class, "dest": dest, "messages": group.messages, "bytes": group.bytes, "untried": group.unattempted,
-                "attempts": group.attempts, "ending": group.notices_in_progress, "oldest_ms": group.oldest_accepted_at_ms.map(|accepted_at_ms| now_ms - accepted_at_ms),
+            json!({"class": class, "dest": dest, "messages": group.messages, "bytes": group.bytes,
+                "untried": group.unattempted, "attempts": group.attempts, "ending": group.notices_in_progress,
+                "oldest_ms": group.oldest_accepted_at_ms.map(|accepted_at_ms| now_ms - accepted_at_ms),
                 "first_deadline_in_ms": group.first_deadline_ms.map(|deadline_ms| deadline_ms - now_ms)})
         })
         .collect();
-    let object = json!({"messages": inspection.live.len(), "disk_bytes": inspection.disk_bytes, "segments": inspection.segments.len(),
-        "left_bytes": remaining_disk_bytes(inspection, disk_mb), "legacy": inspection.legacy, "state": integrity_name(inspection), "groups": groups});
+    let object = json!({"messages": inspection.live.len(), "disk_bytes": inspection.disk_bytes,
+        "segments": inspection.segments.len(), "left_bytes": remaining_disk_bytes(inspection, disk_mb),
+        "legacy": inspection.legacy, "state": integrity_name(inspection), "groups": groups});
     format!("{object}\n")
 }
 
@@ -165,7 +167,8 @@
         let name = if torn.seq == 0 { "journal".into() } else { segment_name(torn.seq) };
         let _ = writeln!(
             report,
-            "{name}: {} bytes from offset {} are a write that was cut off or is in progress; none of it was acknowledged",
+            "{name}: {} bytes from offset {} are a write that was cut off or is in progress; \
+             none of it was acknowledged",
             torn.cut_bytes, torn.valid_bytes
         );
     }
@@ -176,20 +179,25 @@
     let damage: Vec<Value> = inspection
         .damage
         .iter()
-        .map(|range| json!({"file": segment_name(range.seq), "from": range.from, "to": range.to, "missing": range.to == 0}))
+        .map(|range| {
+            json!({"file": segment_name(range.seq), "from": range.from, "to": range.to,
+                "missing": range.to == 0})
+        })
         .collect();
     let torn = inspection
         .torn
         .as_ref()
         .map(|torn| json!({"segment": torn.seq, "from": torn.valid_bytes, "bytes": torn.cut_bytes}));
-    let object = json!({"state": integrity_name(inspection), "messages": inspection.live.len(), "doubted": inspection.uncertain,
+    let object = json!({"state": integrity_name(inspection), "messages": inspection.live.len(),
+        "doubted": inspection.uncertain,
         "damage": damage, "torn": torn});
     format!("{object}\n")
 }
 
 fn attempt_json(attempt: &AttemptRecord) -> Value {
     let assumed = attempt.endpoint.is_empty();
-    json!({"at_ms": attempt.started_at_ms, "endpoint": attempt.endpoint, "never_ran": attempt.never_ran, "supposed": assumed})
+    json!({"at_ms": attempt.started_at_ms, "endpoint": attempt.endpoint,
+        "never_ran": attempt.never_ran, "supposed": assumed})
 }
 
 fn message_json(live: &LiveMessage) -> Value {
