--- a/crates/serve/nickelshed-journal/src/journal.rs
+++ b/crates/serve/nickelshed-journal/src/journal.rs
@@ -1,5 +1,5 @@
 //! The log of one folder: appends, compaction, removal of segments, and the order of syncs. When and how much
-//! to compact is decided in `compaction`.
+//! to compact is decided in `pace`.
 mod open;
 
 pub use open::{OpenError, RecoveryReport};
--- a/crates/serve/nickelshed-journal/src/lib.rs
+++ b/crates/serve/nickelshed-journal/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! - [`Journal`] is the log of one folder on a [`Storage`]; tests use one that can fail at any
 //!   operation.
-//! - `format`, `table`, `compaction` and [`recover`] do no I/O. They cover the encoding of segments, the set
+//! - `format`, `table`, `pace` and [`recover`] do no I/O. They cover the encoding of segments, the set
 //!   of live messages, the amount of compaction, and the replay of a folder's segments.
 //! - This crate starts no threads: with [`Durability::Machine`] the caller runs each [`SyncTask`] on a thread
 //!   of its choice.
