--- a/crates/serve/nickelshed/src/calls.rs
+++ b/crates/serve/nickelshed/src/calls.rs
@@ -10,7 +10,7 @@
 use hyper::header::{HeaderMap, CONNECTION, RETRY_AFTER};
 use hyper::Request;
 use nickelshed_host::{Host, Stream};
-use nickelshed_journal::{Taken, MAX_BODY};
+use nickelshed_journal::{AcceptedMessage, MAX_BODY_BYTES};
 use nickelshed_policy::api::{AttemptEnd, EndpointId, Ns, Outcome, Report};
 use serde_json::{json, Value};
 use std::cell::Cell;
@@ -52,7 +52,7 @@
 /// One message in a call.
 pub struct CallEntry {
     pub attempt: u32,
-    pub message: Rc<Taken>,
+    pub message: Rc<AcceptedMessage>,
     /// When the message expires.
     pub deadline: Instant,
     /// When this attempt times out; not later than `deadline`.
@@ -263,7 +263,7 @@
         }
         let (status, headers) = (head.status.as_u16(), head.headers);
         if status == 200 && is_batch {
-            let collected = timeout(BATCH_ANSWER_TIMEOUT, Limited::new(body, MAX_BODY).collect()).await;
+            let collected = timeout(BATCH_ANSWER_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await;
             let collected =
                 collected.map_err(|_| Fault::Interrupted("the response body did not end in time".into()))?;
             let collected =
@@ -289,7 +289,7 @@
         }
         let health_check = request("GET", "/healthz", connection.address, &[], Bytes::new());
         let (outcome, report) =
-            match timeout(self.pool.dial_timeout, connection.exchange(health_check, MAX_BODY)).await {
+            match timeout(self.pool.dial_timeout, connection.exchange(health_check, MAX_BODY_BYTES)).await {
                 Ok(Ok((status, headers, _))) => {
                     let (outcome, ..) = outcome_of_status(status, &headers);
                     self.pool.release(endpoint, connection);
@@ -326,7 +326,7 @@
         let message = &entry.message;
         let text_len = message.trace.len() + message.key.as_ref().map_or(0, String::len);
         let entry_size = message.body.len().div_ceil(3) * 4 + 2 * text_len + 40;
-        match chunks.last_mut().filter(|_| chunk_size + entry_size < MAX_BODY) {
+        match chunks.last_mut().filter(|_| chunk_size + entry_size < MAX_BODY_BYTES) {
             Some(chunk) => chunk.push(entry),
             None => {
                 chunks.push(vec![entry]);
--- a/crates/serve/nickelshed/src/connections.rs
+++ b/crates/serve/nickelshed/src/connections.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use nickelshed_host::Host;
-use nickelshed_journal::MAX_BODY;
+use nickelshed_journal::MAX_BODY_BYTES;
 use nickelshed_policy::api::{DestId, EndpointId, Ns, Outcome, MS};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -158,7 +158,7 @@
     pub async fn drain_answer(&mut self, remaining: Option<Incoming>) -> bool {
         let read = async {
             let complete = match remaining {
-                Some(remaining) => Limited::new(remaining, MAX_BODY).collect().await.is_ok(),
+                Some(remaining) => Limited::new(remaining, MAX_BODY_BYTES).collect().await.is_ok(),
                 None => true,
             };
             complete && self.request_sender.ready().await.is_ok()
--- a/crates/serve/nickelshed/src/core.rs
+++ b/crates/serve/nickelshed/src/core.rs
@@ -12,7 +12,9 @@
 use crate::notices::Notice;
 use effects::Effects;
 use nickelshed_host::Host;
-use nickelshed_journal::{Begun, Claim, Ending, Journal, Record, Round as CommitSeq, Storage, Sync, Taken};
+use nickelshed_journal::{
+    AcceptedMessage, AttemptRecord, CommitSeq, Ending, Journal, Record, Reservation, Storage, SyncTask,
+};
 use nickelshed_policy::api::*;
 use nickelshed_policy::rules::Sender;
 use nickelshed_settings::Around;
@@ -24,7 +26,7 @@
 
 /// A message that the policy has not finished.
 struct OpenMessage {
-    message: Rc<Taken>,
+    message: Rc<AcceptedMessage>,
     deadline: Ns,
     attempts: u32,
 }
@@ -38,7 +40,7 @@
 }
 
 struct Submission {
-    message: Rc<Taken>,
+    message: Rc<AcceptedMessage>,
     /// More than one if the same message was submitted again before it was decided on.
     replies: Vec<oneshot::Sender<Reply>>,
 }
@@ -56,7 +58,7 @@
     events: Vec<Event>,
     submissions: BTreeMap<u64, Submission>,
     /// Journal space reserved for the messages of this iteration.
-    reservation: Claim,
+    reservation: Reservation,
 }
 
 pub struct Core<S: Storage, H: Host> {
@@ -66,7 +68,7 @@
     context: Around,
     journal: Journal<S>,
     /// Queue of the sync thread; None if records need not be synced.
-    sync_jobs: Option<std::sync::mpsc::Sender<Sync<S::File>>>,
+    sync_jobs: Option<std::sync::mpsc::Sender<SyncTask<S::File>>>,
     /// Iterations whose records are not durable yet, in order, with what they may do once they are.
     uncommitted: VecDeque<(CommitSeq, Effects)>,
     executor: Rc<CallExecutor<H>>,
@@ -121,7 +123,7 @@
         host: H,
         config: Config,
         journal: Journal<S>,
-        sync_jobs: Option<std::sync::mpsc::Sender<Sync<S::File>>>,
+        sync_jobs: Option<std::sync::mpsc::Sender<SyncTask<S::File>>>,
         executor: Rc<CallExecutor<H>>,
         inbox: mpsc::Receiver<Input>,
         notices: mpsc::UnboundedSender<Notice>,
@@ -291,8 +293,12 @@
         let (now, wall_ms) = (self.to_ns(started_at), self.host.wall_ms());
         let mut records = Vec::new();
         let mut endings: Vec<(u64, Ending)> = Vec::new();
-        let mut iteration =
-            Iteration { started_at, events, submissions: BTreeMap::new(), reservation: Claim::default() };
+        let mut iteration = Iteration {
+            started_at,
+            events,
+            submissions: BTreeMap::new(),
+            reservation: Reservation::default(),
+        };
         self.resubmit_undecided(&mut iteration, wall_ms);
         for input in inputs {
             match input {
@@ -326,17 +332,18 @@
                 Input::NoticesDelivered(ids) => {
                     for id in ids {
                         self.undelivered_notices.remove(&id);
-                        records.push(Record::Ended(id));
+                        records.push(Record::Finished(id));
                     }
                 }
                 Input::Synced(synced) => {
-                    self.journal.synced(synced, wall_ms);
+                    self.journal.finish_sync(synced, wall_ms);
                     self.run_durable_effects();
                 }
                 Input::SenderCount(senders) => iteration.events.push(Event::SenderCount(senders)),
                 Input::StartNumber(start) => {
-                    let persisted =
-                        self.journal.keep_beside(crate::fleet::START_FILE, format!("{start}\n").as_bytes());
+                    let persisted = self
+                        .journal
+                        .write_side_file(crate::fleet::START_FILE, format!("{start}\n").as_bytes());
                     if let Err(error) = persisted {
                         tracing::warn!(
                             start, %error,
@@ -362,8 +369,13 @@
                     let (Some(open), Some(info)) = (self.open_messages.get_mut(&id), info) else { continue };
                     let (name, kind) = (info.name.clone(), info.kind);
                     let attempt = open.attempts;
-                    let record = Begun { number: attempt, at: wall_ms, endpoint: name, never_ran: false };
-                    attempt_records.push(Record::Begun(id, record));
+                    let record = AttemptRecord {
+                        number: attempt,
+                        started_at_ms: wall_ms,
+                        endpoint: name,
+                        never_ran: false,
+                    };
+                    attempt_records.push(Record::AttemptStarted(id, record));
                     open.attempts += 1;
                     let (message, deadline) = (open.message.clone(), open.deadline);
                     tracing::debug!(id, attempt, endpoint, dest = message.dest, limit = limit / MS, "send");
@@ -423,7 +435,7 @@
                 );
                 let has_time = open_message.deadline > now + MIN_TIME_FOR_ATTEMPT;
                 log_unattempted(self.unattempted.finished(id, has_time));
-                records.push(Record::Decided(id, ending));
+                records.push(Record::EndingDecided(id, ending));
                 effects.notices.push(self.make_notice(&open_message.message, ending));
             }
         }
@@ -436,7 +448,7 @@
             effects.calls.push((endpoint, entries, cancel));
         }
         let mut all: Vec<Record> =
-            submissions.values().map(|submission| Record::Taken(submission.message.clone())).collect();
+            submissions.values().map(|submission| Record::Accepted(submission.message.clone())).collect();
         all.extend(records.iter().chain(&attempt_records).cloned());
         if self.append(&all) {
             effects.accepted = submissions;
@@ -454,7 +466,7 @@
     fn resubmit_undecided(&mut self, iteration: &mut Iteration, wall_ms: i64) {
         for (id, submission) in std::mem::take(&mut self.undecided) {
             if !self.is_past_shutdown_deadline()
-                && self.journal.claim(&submission.message, &mut iteration.reservation, wall_ms)
+                && self.journal.reserve(&submission.message, &mut iteration.reservation, wall_ms)
             {
                 iteration.submissions.insert(id, submission);
             } else {
@@ -467,7 +479,7 @@
 
     fn submit(
         &mut self,
-        mut message: Taken,
+        mut message: AcceptedMessage,
         deadline: Instant,
         reply: oneshot::Sender<Reply>,
         iteration: &mut Iteration,
@@ -480,7 +492,7 @@
                 _ if !self
                     .open_messages
                     .get(id)
-                    .is_some_and(|open_message| open_message.message.is_same(&message)) =>
+                    .is_some_and(|open_message| open_message.message.is_same_submission(&message)) =>
                 {
                     _ = reply.send(Reply::Conflict)
                 }
@@ -506,7 +518,7 @@
             self.open_messages.len() < self.settings.max_open && self.shutdown_deadline.is_none()
         });
         let class =
-            class.filter(|_| self.journal.claim(&message, &mut iteration.reservation, self.host.wall_ms()));
+            class.filter(|_| self.journal.reserve(&message, &mut iteration.reservation, self.host.wall_ms()));
         let Some(class) = class else {
             let after = Duration::from_nanos(self.policy.backoff(message.dest).max(0) as u64);
             tracing::debug!(dest = message.dest, held = self.open_messages.len(), "no room");
@@ -533,7 +545,7 @@
     /// Registers a message as open and builds the policy's description of it.
     fn register_message(
         &mut self,
-        message: Rc<Taken>,
+        message: Rc<AcceptedMessage>,
         class: usize,
         time_left: Ns,
         deadline: Ns,
@@ -547,7 +559,7 @@
     }
 
     /// Builds the notice of a message. It stays pending until every sink has received it.
-    fn make_notice(&mut self, message: &Taken, ending: Ending) -> Notice {
+    fn make_notice(&mut self, message: &AcceptedMessage, ending: Ending) -> Notice {
         self.undelivered_notices.insert(message.id);
         let (trace, class) = (message.trace.clone(), message.class.clone());
         Notice { id: message.id, trace, class, dest: message.dest, ending, ended_at_ms: self.host.wall_ms() }
@@ -573,11 +585,11 @@
         }
         if end.finished {
             if !is_late {
-                records.push(Record::Ended(end.id));
+                records.push(Record::Finished(end.id));
                 self.remove_message(end.id);
             }
         } else if end.outcome.never_ran() {
-            records.push(Record::NeverRan(end.id, end.attempt));
+            records.push(Record::AttemptNeverRan(end.id, end.attempt));
         }
     }
 
--- a/crates/serve/nickelshed/src/core/effects.rs
+++ b/crates/serve/nickelshed/src/core/effects.rs
@@ -30,8 +30,9 @@
     ) {
         let settled_count = records.len();
         let is_new = |id: &u64| submissions.contains_key(id);
-        records
-            .extend(attempt_records.into_iter().filter(|r| !matches!(r, Record::Begun(id, _) if is_new(id))));
+        records.extend(
+            attempt_records.into_iter().filter(|r| !matches!(r, Record::AttemptStarted(id, _) if is_new(id))),
+        );
         let written = self.append_reserved(&records);
         if !written {
             records.truncate(settled_count);
@@ -61,13 +62,13 @@
 
     /// Carries out the effects of an iteration now, or once the journal has made its records durable.
     pub(super) fn run_once_durable(&mut self, effects: Effects) {
-        let commit_seq = self.journal.last();
+        let commit_seq = self.journal.last_commit();
         self.uncommitted.push_back((commit_seq, effects));
         self.run_durable_effects();
     }
 
     pub(super) fn run_durable_effects(&mut self) {
-        let durable = self.journal.kept();
+        let durable = self.journal.durable_commit();
         while let Some((_, effects)) = self.uncommitted.pop_front_if(|(commit_seq, _)| *commit_seq <= durable)
         {
             self.run_effects(effects);
@@ -83,7 +84,7 @@
                 unanswered.insert(id);
                 self.next_events.push(Event::Withdrawn { id });
                 self.remove_message(id);
-                self.append_reserved(&[Record::Ended(id)]);
+                self.append_reserved(&[Record::Finished(id)]);
             }
         }
         for notice in effects.notices {
@@ -98,7 +99,7 @@
     /// Hands the next sync to the sync thread, if records need to be synced.
     pub(super) fn start_sync(&mut self) {
         let Some(sync_jobs) = &self.sync_jobs else { return };
-        if let Some(sync) = self.journal.sync() {
+        if let Some(sync) = self.journal.start_sync() {
             // The sync thread ends only with this one.
             let _ = sync_jobs.send(sync);
         }
@@ -112,7 +113,7 @@
     /// Writes records for open messages; may use the journal's reserved space when new messages no longer
     /// fit.
     pub(super) fn append_reserved(&mut self, records: &[Record]) -> bool {
-        let result = self.journal.append_owed(records, self.host.wall_ms());
+        let result = self.journal.append_reserved(records, self.host.wall_ms());
         self.check_write(result)
     }
 
@@ -121,12 +122,13 @@
             Err(error) if !self.is_write_failing => {
                 tracing::error!(%error, "cannot write the journal; nothing new is taken on")
             }
-            Ok(_) if self.is_write_failing && !self.journal.is_short() => {
+            Ok(_) if self.is_write_failing && !self.journal.is_ballast_missing() => {
                 tracing::info!("the journal is written again")
             }
             _ => {}
         }
-        self.is_write_failing = result.is_err() || (self.is_write_failing && self.journal.is_short());
+        self.is_write_failing =
+            result.is_err() || (self.is_write_failing && self.journal.is_ballast_missing());
         result.is_ok()
     }
 }
--- a/crates/serve/nickelshed/src/core/outages.rs
+++ b/crates/serve/nickelshed/src/core/outages.rs
@@ -64,7 +64,7 @@
         self.outage_store.last_checked = Some(at);
         let all =
             self.policy.outages().filter_map(|outage| self.to_persisted(&outage, now, wall_ms)).collect();
-        let all = newest_that_fit(all, self.journal.most_note());
+        let all = newest_that_fit(all, self.journal.max_outage_snapshot_bytes());
         if all == self.outage_store.last_written {
             return;
         }
@@ -75,7 +75,7 @@
         }
         // If the write fails, the next process run only has to learn the outages again, like a sender on a
         // new machine.
-        match self.journal.keep_note(&encode(&all)) {
+        match self.journal.write_outage_snapshot(&encode(&all)) {
             Ok(()) => self.outage_store.last_written = all,
             Err(error) => tracing::debug!(%error, "cannot persist the known outages"),
         }
@@ -103,7 +103,7 @@
     /// Returns the outages that an earlier process run persisted, as events for the policy. The endpoint list
     /// must have been applied before, because it maps names to endpoints.
     pub(super) fn recovered_outages(&self, now: Ns, wall_ms: i64) -> Vec<Event> {
-        let persisted = self.journal.note().map(|bytes| decode(&bytes)).unwrap_or_default();
+        let persisted = self.journal.read_outage_snapshot().map(|bytes| decode(&bytes)).unwrap_or_default();
         let event = |stored: PersistedOutage| {
             let age = wall_ms.saturating_sub(stored.last_failure_ds.saturating_mul(100)).max(0);
             let endpoint = match &stored.endpoint {
--- a/crates/serve/nickelshed/src/core/outages/tests.rs
+++ b/crates/serve/nickelshed/src/core/outages/tests.rs
@@ -8,7 +8,7 @@
 fn newest_outages_fit_the_capacity_and_damaged_data_reads_as_none() {
     let longest = PersistedOutage {
         dest: u64::MAX,
-        endpoint: Some("e".repeat(nickelshed_journal::MAX_NAME)),
+        endpoint: Some("e".repeat(nickelshed_journal::MAX_ENDPOINT_NAME_BYTES)),
         suspect: true,
         last_failure_ds: i64::MIN,
         proved_per_10s: u32::MAX,
--- a/crates/serve/nickelshed/src/core/recovery.rs
+++ b/crates/serve/nickelshed/src/core/recovery.rs
@@ -18,7 +18,7 @@
         events.extend(self.recovered_outages(now, wall_ms));
         let (mut finished, mut recovered) = (Vec::new(), Vec::new());
         for (&id, live) in self.journal.live() {
-            let accepted = live.taken.clone();
+            let accepted = live.message.clone();
             if let Some(ending) = live.ending {
                 finished.push((id, accepted, ending, false));
                 continue;
@@ -28,7 +28,7 @@
                 .iter()
                 .map(|a| PastAttempt {
                     endpoint: self.endpoint_ids.get(&a.endpoint).copied(),
-                    sent: now - (wall_ms - a.at).max(0).saturating_mul(MS).min(CLOCK_ORIGIN),
+                    sent: now - (wall_ms - a.started_at_ms).max(0).saturating_mul(MS).min(CLOCK_ORIGIN),
                     may_have_run: !a.never_ran,
                 })
                 .collect();
@@ -36,7 +36,7 @@
             // in the numbering. The policy continues from the number of attempts, and no number may be used
             // twice, so the gaps are filled up.
             let gap = PastAttempt { endpoint: None, sent: now, may_have_run: false };
-            past.resize(past.len().max(live.next_number() as usize), gap);
+            past.resize(past.len().max(live.next_attempt_number() as usize), gap);
             let attempts = past.len() as u32;
             let Some(class) = position(&self.context.classes, &accepted.class) else {
                 // The settings no longer contain the message's class, so the policy cannot decide on it.
@@ -45,7 +45,7 @@
                 finished.push((id, accepted, ending, true));
                 continue;
             };
-            let time_left = (accepted.end - wall_ms).saturating_mul(MS);
+            let time_left = (accepted.deadline_ms - wall_ms).saturating_mul(MS);
             recovered.push((accepted, class, time_left, attempts, past));
         }
         for (accepted, class, time_left, attempts, past) in recovered {
@@ -67,7 +67,7 @@
         let mut effects = Effects::default();
         for (id, accepted, ending, needs_record) in finished {
             if needs_record {
-                records.push(Record::Decided(id, ending));
+                records.push(Record::EndingDecided(id, ending));
             }
             effects.notices.push(self.make_notice(&accepted, ending));
         }
--- a/crates/serve/nickelshed/src/inbox.rs
+++ b/crates/serve/nickelshed/src/inbox.rs
@@ -1,6 +1,6 @@
 //! Inputs to the core from the other parts of the sender, and the core's replies to clients.
 use crate::list::EndpointList;
-use nickelshed_journal::{Synced, Taken};
+use nickelshed_journal::{AcceptedMessage, SyncResult};
 use nickelshed_policy::api::{AttemptEnd, EndpointId, Outcome, Report};
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -22,7 +22,7 @@
 pub enum Input {
     /// A submitted message; the core assigns `message.id`.
     Submit {
-        message: Taken,
+        message: AcceptedMessage,
         deadline: Instant,
         reply: oneshot::Sender<Reply>,
     },
@@ -36,7 +36,7 @@
     /// Every sink has received these notices.
     NoticesDelivered(Vec<u64>),
     /// The result of a journal sync.
-    Synced(Synced),
+    Synced(SyncResult),
     /// How many senders share each limit, by the membership view of the fleet.
     SenderCount(usize),
     /// The start number of this fleet member, to be persisted for the next process run.
--- a/crates/serve/nickelshed/src/lib.rs
+++ b/crates/serve/nickelshed/src/lib.rs
@@ -21,7 +21,7 @@
 use nickelshed_budget::{Budget, Sockets};
 use nickelshed_config::sidecar::Durability;
 use nickelshed_host::{Host, Machine};
-use nickelshed_journal::{Handle, Journal, Options, Storage, Sync};
+use nickelshed_journal::{FileHandle, Journal, Options, Storage, SyncTask};
 use nickelshed_policy::api::Class;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -97,8 +97,10 @@
 
 /// Starts the thread that runs the journal's syncs, and returns the queue by which the core requests them.
 /// The results go back to the core as [`Input::Synced`].
-fn sync_thread<F: Handle>(core: mpsc::Sender<Input>) -> Result<std::sync::mpsc::Sender<Sync<F>>, String> {
-    let (job_tx, job_rx) = std::sync::mpsc::channel::<Sync<F>>();
+fn sync_thread<F: FileHandle>(
+    core: mpsc::Sender<Input>,
+) -> Result<std::sync::mpsc::Sender<SyncTask<F>>, String> {
+    let (job_tx, job_rx) = std::sync::mpsc::channel::<SyncTask<F>>();
     let (result_tx, mut result_rx) = mpsc::unbounded_channel();
     spawn_local(async move {
         while let Some(synced) = result_rx.recv().await {
@@ -137,8 +139,8 @@
     let options = Options {
         // A member of a fleet also keeps its start number in the state folder. Replacing that file needs
         // space for the old and the new one at the same time.
-        disk: ((limits.disk_mb * 1e6) as u64).saturating_sub(if config.fleet.is_some() {
-            nickelshed_journal::ROOM_BESIDE
+        disk_limit_bytes: ((limits.disk_mb * 1e6) as u64).saturating_sub(if config.fleet.is_some() {
+            nickelshed_journal::SIDE_FILE_RESERVED_BYTES
         } else {
             0
         }),
@@ -154,14 +156,14 @@
     if let Some(torn) = &report.torn {
         tracing::info!(
             segment = torn.seq,
-            kept = torn.kept,
-            cut = torn.cut,
+            kept = torn.valid_bytes,
+            cut = torn.cut_bytes,
             "the last write was cut off; nothing in it had been acknowledged"
         );
     }
     if let Some(first) = report.damage.first() {
-        let (places, doubted) = (report.damage.len(), report.doubted);
-        let aside = report.set_aside.join(", ");
+        let (places, doubted) = (report.damage.len(), report.uncertain);
+        let aside = report.quarantined.join(", ");
         tracing::error!(
             segment = first.seq,
             from = first.from,
@@ -281,7 +283,7 @@
     let fleet_config = config
         .fleet
         .take()
-        .map(|fleet_config| (fleet_config, fleet::next_start(journal.beside(fleet::START_FILE))));
+        .map(|fleet_config| (fleet_config, fleet::next_start(journal.read_side_file(fleet::START_FILE))));
     let mut core = core::Core::new(host.clone(), config, journal, sync_jobs, executor, inbox, notice_tx);
     let (leave_tx, leave_rx) = tokio::sync::oneshot::channel();
     let member = fleet_config.map(|(fleet_config, start)| {
--- a/crates/serve/nickelshed/src/list.rs
+++ b/crates/serve/nickelshed/src/list.rs
@@ -1,5 +1,5 @@
 //! A list of endpoints as discovery and the configuration provide it.
-use nickelshed_journal::MAX_NAME;
+use nickelshed_journal::MAX_ENDPOINT_NAME_BYTES;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 use std::collections::HashSet;
@@ -55,7 +55,7 @@
 
 fn parse_instance(value: &Value) -> Option<Instance> {
     let text = |key: &str| value.get(key).and_then(Value::as_str);
-    let name = text("instanceId").filter(|n| n.len() <= MAX_NAME)?;
+    let name = text("instanceId").filter(|n| n.len() <= MAX_ENDPOINT_NAME_BYTES)?;
     Some(Instance {
         name: name.to_string(),
         address: text("hostPort")?.parse().ok()?,
--- a/crates/serve/nickelshed/src/server.rs
+++ b/crates/serve/nickelshed/src/server.rs
@@ -12,7 +12,7 @@
 use hyper_util::rt::TokioIo;
 use nickelshed_budget::Budget;
 use nickelshed_host::{Host, Listener, Stream};
-use nickelshed_journal::{Taken, MAX_BODY};
+use nickelshed_journal::{AcceptedMessage, MAX_BODY_BYTES};
 use nickelshed_policy::api::Effect;
 use nickelshed_settings::Around;
 use std::cell::{Cell, RefCell};
@@ -250,7 +250,7 @@
             return method_not_allowed("POST");
         }
         let length = body.size_hint().lower();
-        if length > MAX_BODY as u64 {
+        if length > MAX_BODY_BYTES as u64 {
             return error_and_close(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB");
         }
         let (mut message, time_left) = match self.parse_headers(&head.headers, class) {
@@ -259,11 +259,11 @@
         };
         // Reserves memory for the body until the message is finished or rejected.
         let Some(share) = self.budget.claim(length as usize) else { return close_after(unavailable(None)) };
-        message.share = Some(share);
+        message.memory_share = Some(share);
         let deadline = Instant::now() + time_left;
-        message.since = self.host.wall_ms();
-        message.end = message.since + time_left.as_millis() as i64;
-        message.body = match timeout_at(receive_by, Limited::new(body, MAX_BODY).collect()).await {
+        message.accepted_at_ms = self.host.wall_ms();
+        message.deadline_ms = message.accepted_at_ms + time_left.as_millis() as i64;
+        message.body = match timeout_at(receive_by, Limited::new(body, MAX_BODY_BYTES).collect()).await {
             // Copied because the library's buffer, of which this is a slice, is far larger than most
             // messages.
             Ok(Ok(body)) => Bytes::copy_from_slice(&body.to_bytes()),
@@ -291,7 +291,11 @@
 
     /// Parses the headers of a message whose body has not been read yet. Also returns the time until its
     /// deadline.
-    fn parse_headers(&self, headers: &HeaderMap, class: usize) -> Result<(Taken, Duration), &'static str> {
+    fn parse_headers(
+        &self,
+        headers: &HeaderMap,
+        class: usize,
+    ) -> Result<(AcceptedMessage, Duration), &'static str> {
         let text = |name: &str| {
             headers
                 .get(name)
@@ -331,17 +335,17 @@
             return Err("Idempotency-Key is missing");
         }
         let (class, tenant, trace) = (name.clone(), tenant.to_string(), trace.to_string());
-        let message = Taken {
+        let message = AcceptedMessage {
             id: 0,
             class,
             tenant,
             dest,
             trace,
             key,
-            since: 0,
-            end: 0,
+            accepted_at_ms: 0,
+            deadline_ms: 0,
             body: Bytes::new(),
-            share: None,
+            memory_share: None,
         };
         Ok((message, time_left))
     }
