--- a/crates/serve/nickelshed-journal/benches/journal.rs
+++ b/crates/serve/nickelshed-journal/benches/journal.rs
@@ -3,7 +3,7 @@
 //! `cargo bench -p nickelshed-journal`. It writes below the build folder and takes about a minute. It times
 //! the calls that the sender's core thread makes, so the times include compaction and rewrites.
 #[allow(dead_code)]
-mod before;
+mod legacy_journal;
 
 use bytes::Bytes;
 use nickelshed_budget::Budget;
@@ -80,11 +80,11 @@
     }
 }
 
-struct LegacyJournal(before::Journal);
+struct LegacyJournal(legacy_journal::Journal);
 
 impl BenchJournal for LegacyJournal {
     fn accept(&mut self, id: u64, body: &Bytes) -> bool {
-        let message = before::AcceptedMessage {
+        let message = legacy_journal::AcceptedMessage {
             id,
             class: "alert-prognozy".into(),
             tenant: "rolnictwo".into(),
@@ -96,21 +96,21 @@
             memory_share: None,
         };
         self.0.bytes_to_reserve(&message, 0).is_some()
-            && self.0.write(&[before::Record::Accepted(Rc::new(message))]).is_ok()
+            && self.0.write(&[legacy_journal::Record::Accepted(Rc::new(message))]).is_ok()
     }
 
     fn start_attempt(&mut self, id: u64) {
-        let attempt = before::AttemptRecord {
+        let attempt = legacy_journal::AttemptRecord {
             number: 0,
             started_at_ms: 0,
             endpoint: "s-5be2a07c".into(),
             never_ran: false,
         };
-        self.0.write(&[before::Record::AttemptStarted(id, attempt)]).expect("the space is reserved");
+        self.0.write(&[legacy_journal::Record::AttemptStarted(id, attempt)]).expect("the space is reserved");
     }
 
     fn finish(&mut self, id: u64) {
-        self.0.write(&[before::Record::Finished(id)]).expect("the space is reserved");
+        self.0.write(&[legacy_journal::Record::Finished(id)]).expect("the space is reserved");
     }
 }
 
@@ -171,7 +171,7 @@
         let path = scratch("old");
         let budget = Budget::new(4_000.0);
         let mut legacy_journal =
-            LegacyJournal(before::Journal::open(&path, disk_mb, 8, &budget).expect("opens"));
+            LegacyJournal(legacy_journal::Journal::open(&path, disk_mb, 8, &budget).expect("opens"));
         let (times, rejected, max_live) = run_workload(&mut legacy_journal, body_bytes);
         println!(
             "{disk_mb:>5} MB {body_bytes:>6} B  legacy {}  live {max_live:>4} rejected {rejected}",
--- a/crates/serve/nickelshed-journal/src/journal.rs
+++ b/crates/serve/nickelshed-journal/src/journal.rs
@@ -1,12 +1,12 @@
 //! The log of one folder: appends, compaction, removal of segments, and the order of syncs. When and how much
-//! to compact is decided in `pace`.
+//! to compact is decided in `compaction`.
 mod open;
 
 pub use open::{OpenError, RecoveryReport};
 
+use crate::compaction::{SpaceUsage, MAX_COMPACTION_STEP_BYTES};
 use crate::format::{self, bound, FrameBatch, FramePosition, Header, FRAME_HEADER_BYTES, HEADER_BYTES};
-use crate::note::{self, OUTAGE_SNAPSHOT_FILE};
-use crate::pace::{SpaceUsage, MAX_COMPACTION_STEP_BYTES};
+use crate::outage_snapshot::{self, OUTAGE_SNAPSHOT_FILE};
 use crate::record::{AcceptedMessage, LiveMessage, Record};
 use crate::storage::{FileHandle, Storage};
 use crate::table::MessageTable;
@@ -378,7 +378,7 @@
         // The previous snapshot stays intact in the other slot until this write is complete.
         self.storage.write_all_at(
             &file,
-            &note::encode_slot(number, bytes),
+            &outage_snapshot::encode_slot(number, bytes),
             self.outage_snapshot_layout().offset(number),
         )?;
         self.outage_snapshot_number = number;
@@ -395,8 +395,8 @@
         layout.newest(&self.storage.read(OUTAGE_SNAPSHOT_FILE, layout.file_size()).ok()?)
     }
 
-    fn outage_snapshot_layout(&self) -> note::Layout {
-        note::Layout::for_disk_limit(self.options.disk_limit_bytes)
+    fn outage_snapshot_layout(&self) -> outage_snapshot::Layout {
+        outage_snapshot::Layout::for_disk_limit(self.options.disk_limit_bytes)
     }
 
     /// Maximum length of an outage snapshot in bytes.
