--- a/crates/serve/nickelshed/src/config/mod.rs
+++ b/crates/serve/nickelshed/src/config/mod.rs
@@ -1,6 +1,7 @@
 //! The configuration of a sender, read from either of two sources at startup, and the part of it that can be
 //! reloaded.
 mod platform;
+mod settings_digest;
 mod sidecar;
 
 pub use platform::EnvironmentVariables;
--- a/crates/serve/nickelshed/src/config/sidecar.rs
+++ b/crates/serve/nickelshed/src/config/sidecar.rs
@@ -61,7 +61,7 @@
     let http = http.map(|url| Sink::Http { address: url.address, path: url.path });
     let file = sidecar.notices.file.as_ref().map(|file| Sink::File(folder.join(file)));
     let seed = std::collections::hash_map::RandomState::new().build_hasher().finish();
-    let settings_digest = crc32fast::hash(format!("{settings:?}").as_bytes());
+    let settings_digest = super::settings_digest::settings_digest(&settings);
     let fleet_config = |membership| {
         let (application, configured_senders) = (&sidecar.application, settings.sender_count);
         crate::fleet::FleetConfig::from_sidecar(
