--- a/crates/decide/nickelshed-budget/src/lib.rs
+++ b/crates/decide/nickelshed-budget/src/lib.rs
@@ -1,4 +1,5 @@
-//! One budget of bytes for messages, from their first byte to their end.
+//! Memory budget shared by all messages: a message reserves its size before its body is read and frees it when it has
+//! finished.
 mod limits;
 
 pub use limits::{messages_in_memory, messages_on_disk, note_place, Sockets};
@@ -6,18 +7,19 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Part of the memory limit that messages may take; the rest is for connections, the journal's file (which
-/// counts as memory) and the copies of a body while it is written.
+/// Fraction of the memory limit that messages may use. The rest is for connections, the journal's file (which counts
+/// as memory of the process) and the copies of a body that exist while it is written.
 const PART: f64 = 0.2;
-/// What a message takes besides its body, in all tables.
+/// Memory that a message uses besides its body, over all tables.
 const OVERHEAD: usize = 1_536;
-/// No message takes more than this part of what is left: bodies of 64 KiB never keep the usual ones out.
+/// A message may reserve at most one part in this many of the free budget, so that bodies of 64 KiB cannot use up the
+/// memory that messages of usual size need.
 const LARGEST: usize = 8;
 
 #[derive(Clone)]
 pub struct Budget(Rc<Cell<usize>>);
 
-/// Given back when it is dropped.
+/// Bytes reserved for one message. Dropping it returns them to the budget.
 #[derive(Debug)]
 pub struct Share {
     left: Rc<Cell<usize>>,
@@ -29,14 +31,16 @@
         Budget(Rc::new(Cell::new((memory_mb * 1e6 * PART) as usize)))
     }
 
-    /// Room for a message with a body of this length, if there is any.
+    /// Reserves memory for a message with a body of `body` bytes. Returns `None` if the message is too large for what is
+    /// free.
     pub fn claim(&self, body: usize) -> Option<Share> {
         let bytes = body + OVERHEAD;
         let left = self.0.get();
         (bytes <= left / LARGEST).then(|| self.take(bytes))
     }
 
-    /// For what was taken on before and must be kept.
+    /// Reserves memory for a message recovered from the journal. It was accepted before and must be kept, so this never
+    /// fails: if too little is free, it reserves what there is.
     pub fn owe(&self, body: usize) -> Share {
         self.take(body + OVERHEAD)
     }
--- a/crates/decide/nickelshed-budget/src/limits.rs
+++ b/crates/decide/nickelshed-budget/src/limits.rs
@@ -1,23 +1,24 @@
-//! What the limits of a process carry: the sender divides by it, and the configuration tool reckons with it.
+//! Capacities that follow from the limits of a process. The sender divides its resources by them, and the configuration
+//! checks compute with the same code.
 use crate::{LARGEST, OVERHEAD, PART};
 
-/// Descriptors that neither clients nor calls use: the listener, the watch, notices and files.
+/// File descriptors reserved for the listener, the discovery watch, notices and files.
 const OWN_SOCKETS: usize = 24;
 
-/// How a process's descriptors are divided.
+/// Division of the file descriptors of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sockets {
     /// Connections to endpoints.
     pub calls: usize,
-    /// Connections of clients that are only told to come again.
+    /// Client connections that are answered only with a request to retry later.
     pub turned_away: usize,
-    /// Connections of clients that are served.
+    /// Client connections that are served.
     pub clients: usize,
 }
 
 impl Sockets {
-    /// Calls always find theirs, a sixteenth is for clients that are only told to come again, and all others are for
-    /// clients: some connect by hundreds.
+    /// Calls get enough for their slots where possible, a sixteenth is for clients that are only told to retry later, and
+    /// the remainder is for served clients, because some clients open hundreds of connections.
     pub fn divide(sockets: usize, slots: usize) -> Sockets {
         let sockets = sockets.saturating_sub(OWN_SOCKETS);
         let calls = slots.saturating_mul(2).saturating_add(32).max(sockets / 4).min(sockets * 3 / 8);
@@ -25,39 +26,40 @@
         Sockets { calls, turned_away, clients: sockets.saturating_sub(calls + turned_away) }
     }
 
-    /// Whether so many calls can be out with clients still served.
+    /// Whether `slots` calls can be in flight while clients are still served.
     pub fn carry(&self, slots: usize) -> bool {
         self.calls >= slots && self.clients > 0
     }
 }
 
-/// How many messages with bodies of this many bytes are held at once in so many bytes of memory.
+/// Number of open messages with bodies of `body` bytes that fit into a memory limit of `memory` bytes.
 pub fn messages_in_memory(memory: u64, body: usize) -> u64 {
     let each = (body + OVERHEAD) as u64;
     let all = (memory as f64 * PART) as u64;
-    // The last one must still be no more than its part of what is left.
+    // The last message, too, may reserve only its fraction of what is then free.
     all.checked_sub(LARGEST as u64 * each).map_or(0, |rest| rest / each + 1)
 }
 
-/// Figures of the journal, from above; its tests hold them against what it really takes.
+/// Upper bounds of what the journal writes, in bytes. The tests of the journal compare them with its real use of the
+/// disk.
 mod journal {
-    /// Of the disk, what blocks that files fill in part and frames leave over, and the ballast beside it.
+    /// Fraction of the disk limit left for records after partly filled blocks, record framing and the ballast (1/32).
     pub const USABLE: f64 = 0.93 - 1.0 / 32.0;
-    /// A segment is a sixteenth of that, within these bounds. One is kept free, and two more where syncs are waited
-    /// for.
+    /// A segment is one part in this many of the usable space, within the two bounds below. One segment is kept free,
+    /// and two more where a 202 waits for a sync.
     pub const SEGMENTS: u64 = 16;
     pub const LEAST_SEGMENT: u64 = 16 << 10;
     pub const MOST_SEGMENT: u64 = 1 << 20;
     pub const HEADERS: u64 = 16 << 10;
-    /// A message's record besides its body: numbers, and names of usual length.
+    /// Record of an accepted message without its body: numbers, and names of usual length.
     pub const RECORD: u64 = 91 + 24 + 32 + 100;
-    /// What may still be written of it: for each attempt, and once.
+    /// Records that may still follow for the message: `ATTEMPT` for each attempt, `ENDING` once.
     pub const ATTEMPT: u64 = 97 + 21 + 48 + 86;
     pub const ENDING: u64 = 34 + 48 + 20;
 }
 
-/// Bytes of each of the two places for a note of who is out: a sixty-fourth of the disk, which on 3 MB holds 1,024 routes
-/// with names of 32 bytes. At least 2 KiB, at most 96, in whole blocks.
+/// Size in bytes of each of the two copies of the list of unavailable routes: a sixty-fourth of the disk limit, which
+/// at 3 MB holds 1,024 routes with names of 32 bytes. At least 2 KiB, at most 96 KiB, rounded down to whole blocks.
 pub fn note_place(disk: u64) -> u64 {
     const DISK_PART: u64 = 64;
     const LEAST: u64 = 2 << 10;
@@ -66,13 +68,13 @@
     (disk / DISK_PART).clamp(LEAST, MOST) / BLOCK * BLOCK
 }
 
-/// How many messages with bodies of this many bytes a journal carries in so many bytes of disk, with room for all
-/// that may be written of them. `synced`: it waits for syncs.
+/// Number of open messages with bodies of `body` bytes that a journal with a disk limit of `disk` bytes can hold, with
+/// space for every record that may follow for them. `synced`: a 202 waits for a sync of the disk.
 pub fn messages_on_disk(disk: u64, body: u64, attempts: u32, synced: bool) -> u64 {
     let usable = (disk as f64 * journal::USABLE) as u64;
     let segment = (usable / journal::SEGMENTS).clamp(journal::LEAST_SEGMENT, journal::MOST_SEGMENT);
     let record = journal::RECORD + body;
-    // The note, and as much again: what is left is divided into whole segments.
+    // The two copies of the list of unavailable routes, and as much again for what rounding to whole segments loses.
     let note = 4 * note_place(disk);
     let aside = segment * if synced { 3 } else { 1 } + 6 * record + journal::HEADERS + note;
     let each = record + journal::ATTEMPT * u64::from(attempts.min(1_000)) + journal::ENDING;
--- a/crates/decide/nickelshed-settings/src/lib.rs
+++ b/crates/decide/nickelshed-settings/src/lib.rs
@@ -1,8 +1,9 @@
-//! The settings object, read into `api::Settings` for both programs. Unknown keys are skipped.
+//! Reads the platform's JSON settings object into the policy's `api::Settings`, for the sender and for the simulator
+//! host. Unknown keys are ignored.
 use nickelshed_policy::api::*;
 use serde_json::Value;
 
-/// Three years, in nanoseconds.
+/// About three years, in nanoseconds.
 const LONGEST: f64 = 1e17;
 
 struct At<'a> {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// A time in nanoseconds. One of years is taken as one of three: sums of some of them must have room in a clock.
+    /// A time in nanoseconds, capped at about three years so that sums of several times do not overflow a clock value.
     fn time(&self, low: f64) -> Result<Ns, String> {
         Ok(self.number(low)?.min(LONGEST) as Ns)
     }
@@ -59,7 +60,7 @@
         match self.value {
             Value::String(s) => Ok(s),
             Value::Null => self.fail("is missing"),
-            _ => self.fail("is not a text"),
+            _ => self.fail("is not a string"),
         }
     }
 
@@ -76,26 +77,27 @@
     }
 }
 
-/// Who answers a sender that asks for the list of endpoints.
+/// Kind of service that answers a sender's requests for the list of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lister {
-    /// An agent of its own, at once and at no cost. What the agent has been sent counts as told to the sender.
+    /// An agent of the sender's own, which answers immediately and at no cost. The sender counts as notified of a change
+    /// once its agent has been sent it.
     Agent,
-    /// A discovery that all senders ask, and that each call costs work. A sender that has not asked counts as told
-    /// only much later.
+    /// A discovery service shared by all senders, for which each request costs work. A sender that has not asked counts
+    /// as notified of a change only much later.
     Shared,
 }
 
-/// What a program needs besides the module's settings.
+/// What a program needs to know about its deployment besides the policy's settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Around {
     pub lister: Lister,
-    /// Senders may send one another datagrams.
+    /// Whether senders may exchange datagrams.
     pub notes: bool,
-    /// Where x0 and x1 stand in a load report.
+    /// Positions of the fields `x0` and `x1` in a load report; `None` if the report lacks them.
     pub x0: Option<usize>,
     pub x1: Option<usize>,
-    /// Names in the order of the module's numbers.
+    /// Names of the classes, by the index that the policy uses; the lists below alike.
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub kinds: Vec<String>,
@@ -122,7 +124,7 @@
             "safe" => Effect::Safe,
             "keyed" => Effect::Keyed,
             "unsafe" => Effect::Unsafe,
-            _ => return c.get("Effect").fail("is none of safe, keyed, unsafe"),
+            _ => return c.get("Effect").fail("is not one of safe, keyed, unsafe"),
         };
         let scope = match c.get("DedupScope").word().unwrap_or("all") {
             "all" | "" => DedupScope::All,
@@ -171,7 +173,7 @@
         tenants,
         over_share_worth: root.get("OverShareWorth").number_or(0.0, 1.0)?,
         halves: family.get("Decay").word().unwrap_or("line") == "halves",
-        // None is no fleet without this one: it counts as alone.
+        // The count includes this sender, so 0 is read as 1.
         n_instances: root.get("NInstances").number(0.0)?.max(1.0) as usize,
         zone: root.get("Zone").number_or(0.0, 0.0)? as usize,
         tick: root.get("TickNs").time(0.0)?,
--- a/crates/serve/nickelshed-host/src/lib.rs
+++ b/crates/serve/nickelshed-host/src/lib.rs
@@ -1,6 +1,6 @@
-//! What a sender is handed by the machine that it runs on: a network and a wall clock. Chosen when the program is built,
-//! so real sockets cost nothing for it. The monotonic clock and timers are Tokio's, which can be paused and driven;
-//! storage has a trait of its own in the journal.
+//! Network and clocks of the machine that a sender runs on, as traits, so that tests can simulate them. The
+//! implementation is a type parameter, so real sockets pay no dynamic dispatch. Timers are Tokio's, which a test can
+//! pause and advance; storage has its own trait in the journal.
 mod real;
 
 pub use real::Machine;
@@ -11,7 +11,7 @@
 use std::task::{Context, Poll};
 use tokio::time::Instant;
 
-/// A machine as its programs see it.
+/// A machine as seen by the programs that run on it.
 pub trait Host: Clone + 'static {
     type Stream: Stream;
     type Listener: Listener<Stream = Self::Stream>;
@@ -20,62 +20,69 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// If it is refused. Where nobody answers it never ends; the caller has its own bound.
+    /// If the connection is refused. If nothing answers, the future never completes, so the caller needs a time-out.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 
+    /// Listens for connections at an address.
+    ///
     /// # Errors
-    /// If the address is taken, or not this machine's.
+    /// If the address is in use or does not belong to this machine.
     fn listen(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>>;
 
-    /// Sends and receives datagrams at an address.
+    /// Opens a socket that sends and receives datagrams at an address.
     ///
     /// # Errors
-    /// If the address is taken, or not this machine's, or there are no datagrams on this machine.
+    /// If the address is in use or does not belong to this machine, or if the machine does not support datagrams.
     fn datagrams(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Datagrams>>;
 
-    /// The machine's monotonic clock. Real time goes on in the middle of a step of the process, for as long as a disk
-    /// keeps it there; where time is simulated, only this clock does.
+    /// The machine's monotonic clock. It advances even while the process is blocked, for example by a slow disk. Under
+    /// simulated time this is the only clock that does; Tokio's stands still until the process yields.
     fn monotonic(&self) -> Instant;
 
-    /// Unix time in milliseconds. It may jump; it is for what outlasts the process.
+    /// Unix time in milliseconds. It may jump; use it only for times that must remain valid after a restart.
     fn wall_ms(&self) -> i64;
 }
 
 pub trait Listener: 'static {
     type Stream: Stream;
 
+    /// Accepts the next connection.
+    ///
     /// # Errors
-    /// If the machine has no room for one more; the next may go well.
+    /// If the machine cannot take another connection now; the next call may succeed.
     fn accept(&self) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
-/// A socket for datagrams.
+/// A datagram socket.
 pub trait Datagrams: 'static {
-    /// Sends one, or drops it: where the machine has no room for it now, it is lost like any other on its way.
+    /// Sends a datagram without blocking. It is dropped if the machine's send buffer is full, like a datagram lost in
+    /// the network.
     fn send(&self, bytes: &[u8], to: SocketAddr);
 
-    /// The next that comes; what does not fit into the buffer is cut off.
+    /// Receives the next datagram and its source. Bytes that do not fit into the buffer are discarded.
     ///
     /// # Errors
-    /// Passing ones of the machine: the next may go well.
+    /// Transient errors of the machine; the next call may succeed.
     fn receive(&self, buffer: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
 }
 
-/// A connection, shared by those who read, write and watch it. Dropping it closes it; with bytes unread the other side
-/// sees a reset.
+/// A connection that can be read, written and watched through shared references. Dropping it closes the connection; if
+/// received bytes are then unread, the peer sees a reset.
 pub trait Stream: 'static {
-    /// `Ready(Ok(0))`: the other side has ended its sending, or `buffer` is empty. Wakes the last who asked.
+    /// Reads into `buffer`. `Ready(Ok(0))` means that the peer has shut down its sending side, or that `buffer` is empty.
+    /// Only the task that polled last is woken.
     fn poll_read(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>>;
 
-    /// Writes some of it; how much. Wakes the last who asked.
+    /// Writes a part of the bytes and returns how many. Only the task that polled last is woken.
     fn poll_write(&self, cx: &mut Context<'_>, parts: &[IoSlice<'_>]) -> Poll<io::Result<usize>>;
 
-    /// Whether bytes wait, or the end: asked of the machine, as the runtime may not know yet.
+    /// Whether unread bytes or the end of the connection are pending. Asks the machine, since the runtime may not have
+    /// been told yet.
     fn has_news(&self) -> bool;
 
-    /// Ends the sending; reading goes on.
+    /// Shuts down the sending side; reading remains possible.
     ///
     /// # Errors
-    /// If the connection is gone.
+    /// If the connection no longer exists.
     fn end_sending(&self) -> io::Result<()>;
 }
--- a/crates/serve/nickelshed-host/src/real.rs
+++ b/crates/serve/nickelshed-host/src/real.rs
@@ -1,4 +1,4 @@
-//! The real machine: TCP sockets and the system's clock.
+//! The traits implemented on the operating system: TCP and UDP sockets of Tokio, and the system's clocks.
 use crate::{Datagrams, Host, Listener, Stream};
 use socket2::SockRef;
 use std::io::{self, IoSlice};
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Machine;
 
-/// A small answer must not wait for the other side's acknowledgement.
+/// Disables Nagle's algorithm, so that a small response does not wait for an acknowledgement from the peer.
 fn prompt(stream: TcpStream) -> TcpStream {
     let _ = stream.set_nodelay(true);
     stream
