--- a/crates/decide/nickelshed-budget/src/lib.rs
+++ b/crates/decide/nickelshed-budget/src/lib.rs
@@ -2,58 +2,58 @@
 //! finished.
 mod limits;
 
-pub use limits::{messages_in_memory, messages_on_disk, note_place, Sockets};
+pub use limits::{max_messages_in_memory, max_messages_on_disk, outage_list_bytes, SocketAllocation};
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 /// Fraction of the memory limit that messages may use. The rest is for connections, the journal's file (which counts
 /// as memory of the process) and the copies of a body that exist while it is written.
-const PART: f64 = 0.2;
+const MESSAGE_MEMORY_FRACTION: f64 = 0.2;
 /// Memory that a message uses besides its body, over all tables.
-const OVERHEAD: usize = 1_536;
+const MESSAGE_OVERHEAD_BYTES: usize = 1_536;
 /// A message may reserve at most one part in this many of the free budget, so that bodies of 64 KiB cannot use up the
 /// memory that messages of usual size need.
-const LARGEST: usize = 8;
+const MAX_MESSAGE_DIVISOR: usize = 8;
 
 #[derive(Clone)]
 pub struct Budget(Rc<Cell<usize>>);
 
 /// Bytes reserved for one message. Dropping it returns them to the budget.
 #[derive(Debug)]
-pub struct Share {
-    left: Rc<Cell<usize>>,
+pub struct MemoryReservation {
+    free: Rc<Cell<usize>>,
     bytes: usize,
 }
 
 impl Budget {
     pub fn new(memory_mb: f64) -> Budget {
-        Budget(Rc::new(Cell::new((memory_mb * 1e6 * PART) as usize)))
+        Budget(Rc::new(Cell::new((memory_mb * 1e6 * MESSAGE_MEMORY_FRACTION) as usize)))
     }
 
     /// Reserves memory for a message with a body of `body` bytes. Returns `None` if the message is too large for what is
     /// free.
-    pub fn claim(&self, body: usize) -> Option<Share> {
-        let bytes = body + OVERHEAD;
-        let left = self.0.get();
-        (bytes <= left / LARGEST).then(|| self.take(bytes))
+    pub fn try_reserve(&self, body: usize) -> Option<MemoryReservation> {
+        let bytes = body + MESSAGE_OVERHEAD_BYTES;
+        let free = self.0.get();
+        (bytes <= free / MAX_MESSAGE_DIVISOR).then(|| self.reserve_up_to(bytes))
     }
 
     /// Reserves memory for a message recovered from the journal. It was accepted before and must be kept, so this never
     /// fails: if too little is free, it reserves what there is.
-    pub fn owe(&self, body: usize) -> Share {
-        self.take(body + OVERHEAD)
+    pub fn reserve_recovered(&self, body: usize) -> MemoryReservation {
+        self.reserve_up_to(body + MESSAGE_OVERHEAD_BYTES)
     }
 
-    fn take(&self, bytes: usize) -> Share {
+    fn reserve_up_to(&self, bytes: usize) -> MemoryReservation {
         let bytes = bytes.min(self.0.get());
         self.0.set(self.0.get() - bytes);
-        Share { left: self.0.clone(), bytes }
+        MemoryReservation { free: self.0.clone(), bytes }
     }
 }
 
-impl Drop for Share {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.left.set(self.left.get() + self.bytes);
+        self.free.set(self.free.get() + self.bytes);
     }
 }
--- a/crates/proof/nickelshed-lab/src/net.rs
+++ b/crates/proof/nickelshed-lab/src/net.rs
@@ -1,7 +1,7 @@
 //! A network in memory, in Tokio's paused time: connections with latency, windows, ends and resets. Everything happens in
 //! one thread and in one order, so the same day is the same bytes.
 use crate::life::Life;
-use nickelshed_host::{Datagrams, Host, Listener, Stream};
+use nickelshed_host::{DatagramSocket, Host, Listener, Stream};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::future::{poll_fn, Future};
@@ -205,7 +205,7 @@
 impl Host for SimHost {
     type Stream = SimStream;
     type Listener = SimListener;
-    type Datagrams = SimDatagrams;
+    type DatagramSocket = SimDatagrams;
 
     async fn connect(&self, to: SocketAddr) -> io::Result<SimStream> {
         let Some(life) = &self.life else { return self.make(to).await };
@@ -226,7 +226,7 @@
         Ok(SimListener { net: self.net.clone(), life: self.life.clone(), at, queue })
     }
 
-    async fn datagrams(&self, at: SocketAddr) -> io::Result<SimDatagrams> {
+    async fn bind_datagrams(&self, at: SocketAddr) -> io::Result<SimDatagrams> {
         let mut ports = self.net.0.ports.borrow_mut();
         if ports.contains_key(&at) {
             return Err(ErrorKind::AddrInUse.into());
@@ -261,7 +261,7 @@
     port: Rc<Port>,
 }
 
-impl Datagrams for SimDatagrams {
+impl DatagramSocket for SimDatagrams {
     fn send(&self, bytes: &[u8], to: SocketAddr) {
         if let Some(life) = &self.life {
             // One that has ended sends nothing, and what is cut off in the middle of it never leaves.
@@ -545,7 +545,7 @@
 impl Stream for SimStream {
     fn poll_read(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         // Waiting for bytes is no step.
-        let life = self.life.as_ref().filter(|_| self.has_news());
+        let life = self.life.as_ref().filter(|_| self.has_readable_data());
         at_step(life, || self.read_now(cx, buffer)).unwrap_or(Poll::Pending)
     }
 
@@ -553,11 +553,11 @@
         at_step(self.life.as_ref(), || self.write_now(cx, parts)).unwrap_or(Poll::Pending)
     }
 
-    fn has_news(&self) -> bool {
+    fn has_readable_data(&self) -> bool {
         self.input.borrow().news().is_some_and(|at| at <= Instant::now())
     }
 
-    fn end_sending(&self) -> io::Result<()> {
+    fn shutdown_write(&self) -> io::Result<()> {
         let mut pipe = self.output.borrow_mut();
         let sent = self.leaves();
         pipe.ended.get_or_insert((sent, self.arrives(sent)));
@@ -571,7 +571,7 @@
         if self.leaks {
             return;
         }
-        let unread = self.has_news() && !self.input.borrow().segments.is_empty();
+        let unread = self.has_readable_data() && !self.input.borrow().segments.is_empty();
         let mut input = self.input.borrow_mut();
         input.gone = true;
         input.wake_writer();
@@ -579,6 +579,6 @@
         if unread {
             self.reset();
         }
-        let _ = self.end_sending();
+        let _ = self.shutdown_write();
     }
 }
--- a/crates/proof/nickelshed-lab/src/rude.rs
+++ b/crates/proof/nickelshed-lab/src/rude.rs
@@ -66,7 +66,7 @@
 
 async fn guest(world: Rc<World>, sender: usize, text: Vec<u8>, ends: bool) {
     let Ok(stream) = world.net.host(None).connect(sender_address(sender)).await else { return };
-    if stream.write_all(&text).await.is_err() || ends && stream.end_sending().is_err() {
+    if stream.write_all(&text).await.is_err() || ends && stream.shutdown_write().is_err() {
         return;
     }
     let mut link = Link::new(stream);
--- a/crates/proof/nickelshed-lab/src/sockets.rs
+++ b/crates/proof/nickelshed-lab/src/sockets.rs
@@ -2,7 +2,7 @@
 //! stand-ins and the same sender run over them in real time.
 use crate::life::Life;
 use crate::net::{is_far, Net};
-use nickelshed_host::{Host, Machine, Stream};
+use nickelshed_host::{Host, Stream, SystemHost};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::poll_fn;
@@ -57,7 +57,7 @@
         sleep(2 * self.latency(to)).await;
         let at = self.ports.0.borrow().get(&to).and_then(|open| open.at);
         let made = match at {
-            Some(at) => Machine.connect(at).await,
+            Some(at) => SystemHost.connect(at).await,
             None => Err(ErrorKind::ConnectionRefused.into()),
         };
         if let (Err(_), Some(life)) = (&made, &self.life) {
@@ -168,11 +168,11 @@
         Stream::poll_write(&self.tcp, cx, parts)
     }
 
-    fn has_news(&self) -> bool {
-        self.tcp.has_news()
+    fn has_readable_data(&self) -> bool {
+        self.tcp.has_readable_data()
     }
 
-    fn end_sending(&self) -> io::Result<()> {
-        Stream::end_sending(&self.tcp)
+    fn shutdown_write(&self) -> io::Result<()> {
+        Stream::shutdown_write(&self.tcp)
     }
 }
--- a/crates/proof/nickelshed-lab/src/wire.rs
+++ b/crates/proof/nickelshed-lab/src/wire.rs
@@ -2,7 +2,7 @@
 use crate::life::Life;
 use crate::net::{Net, Severed, SimDatagrams, SimHost, SimListener, SimStream};
 use crate::sockets::{Ports, SocketHost, SocketListener, SocketStream};
-use nickelshed_host::{Host, Listener, Machine, Stream};
+use nickelshed_host::{Host, Listener, Stream, SystemHost};
 use std::io::{self, IoSlice};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -84,7 +84,7 @@
 impl Host for LabHost {
     type Stream = Wire;
     type Listener = LabListener;
-    type Datagrams = SimDatagrams;
+    type DatagramSocket = SimDatagrams;
 
     async fn connect(&self, to: SocketAddr) -> io::Result<Wire> {
         match self {
@@ -101,9 +101,9 @@
     }
 
     /// Only in simulated time.
-    async fn datagrams(&self, at: SocketAddr) -> io::Result<SimDatagrams> {
+    async fn bind_datagrams(&self, at: SocketAddr) -> io::Result<SimDatagrams> {
         match self {
-            LabHost::Simulated(host) => host.datagrams(at).await,
+            LabHost::Simulated(host) => host.bind_datagrams(at).await,
             LabHost::Real(_) => Err(io::ErrorKind::Unsupported.into()),
         }
     }
@@ -111,14 +111,14 @@
     fn monotonic(&self) -> tokio::time::Instant {
         match self {
             LabHost::Simulated(host) => host.monotonic(),
-            LabHost::Real(_) => Machine.monotonic(),
+            LabHost::Real(_) => SystemHost.monotonic(),
         }
     }
 
     fn wall_ms(&self) -> i64 {
         match self {
             LabHost::Simulated(host) => host.wall_ms(),
-            LabHost::Real(host) => Machine.wall_ms() + host.net.jumped(),
+            LabHost::Real(host) => SystemHost.wall_ms() + host.net.jumped(),
         }
     }
 }
@@ -207,17 +207,17 @@
         }
     }
 
-    fn has_news(&self) -> bool {
+    fn has_readable_data(&self) -> bool {
         match self {
-            Wire::Simulated(stream) => stream.has_news(),
-            Wire::Real(stream) => stream.has_news(),
+            Wire::Simulated(stream) => stream.has_readable_data(),
+            Wire::Real(stream) => stream.has_readable_data(),
         }
     }
 
-    fn end_sending(&self) -> io::Result<()> {
+    fn shutdown_write(&self) -> io::Result<()> {
         match self {
-            Wire::Simulated(stream) => stream.end_sending(),
-            Wire::Real(stream) => stream.end_sending(),
+            Wire::Simulated(stream) => stream.shutdown_write(),
+            Wire::Real(stream) => stream.shutdown_write(),
         }
     }
 }
--- a/crates/serve/nickelshed-host/src/lib.rs
+++ b/crates/serve/nickelshed-host/src/lib.rs
@@ -1,9 +1,9 @@
 //! Network and clocks of the machine that a sender runs on, as traits, so that tests can simulate them. The
 //! implementation is a type parameter, so real sockets pay no dynamic dispatch. Timers are Tokio's, which a test can
 //! pause and advance; storage has its own trait in the journal.
-mod real;
+mod system;
 
-pub use real::Machine;
+pub use system::SystemHost;
 
 use std::future::Future;
 use std::io::{self, IoSlice};
@@ -15,7 +15,7 @@
 pub trait Host: Clone + 'static {
     type Stream: Stream;
     type Listener: Listener<Stream = Self::Stream>;
-    type Datagrams: Datagrams;
+    type DatagramSocket: DatagramSocket;
 
     /// Opens a connection.
     ///
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     /// If the address is in use or does not belong to this machine, or if the machine does not support datagrams.
-    fn datagrams(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Datagrams>>;
+    fn bind_datagrams(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::DatagramSocket>>;
 
     /// The machine's monotonic clock. It advances even while the process is blocked, for example by a slow disk. Under
     /// simulated time this is the only clock that does; Tokio's stands still until the process yields.
@@ -54,7 +54,7 @@
 }
 
 /// A datagram socket.
-pub trait Datagrams: 'static {
+pub trait DatagramSocket: 'static {
     /// Sends a datagram without blocking. It is dropped if the machine's send buffer is full, like a datagram lost in
     /// the network.
     fn send(&self, bytes: &[u8], to: SocketAddr);
@@ -78,11 +78,11 @@
 
     /// Whether unread bytes or the end of the connection are pending. Asks the machine, since the runtime may not have
     /// been told yet.
-    fn has_news(&self) -> bool;
+    fn has_readable_data(&self) -> bool;
 
     /// Shuts down the sending side; reading remains possible.
     ///
     /// # Errors
     /// If the connection no longer exists.
-    fn end_sending(&self) -> io::Result<()>;
+    fn shutdown_write(&self) -> io::Result<()>;
 }
--- a/crates/serve/nickelshed-host/src/real.rs
+++ b/crates/serve/nickelshed-host/src/system.rs
@@ -1,5 +1,5 @@
 //! The traits implemented on the operating system: TCP and UDP sockets of Tokio, and the system's clocks.
-use crate::{Datagrams, Host, Listener, Stream};
+use crate::{DatagramSocket, Host, Listener, Stream};
 use socket2::SockRef;
 use std::io::{self, IoSlice};
 use std::mem::MaybeUninit;
@@ -10,28 +10,28 @@
 use tokio::time::Instant;
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Machine;
+pub struct SystemHost;
 
 /// Disables Nagle's algorithm, so that a small response does not wait for an acknowledgement from the peer.
-fn prompt(stream: TcpStream) -> TcpStream {
+fn with_nodelay(stream: TcpStream) -> TcpStream {
     let _ = stream.set_nodelay(true);
     stream
 }
 
-impl Host for Machine {
+impl Host for SystemHost {
     type Stream = TcpStream;
     type Listener = TcpListener;
-    type Datagrams = UdpSocket;
+    type DatagramSocket = UdpSocket;
 
     async fn connect(&self, to: SocketAddr) -> io::Result<TcpStream> {
-        TcpStream::connect(to).await.map(prompt)
+        TcpStream::connect(to).await.map(with_nodelay)
     }
 
     async fn listen(&self, at: SocketAddr) -> io::Result<TcpListener> {
         TcpListener::bind(at).await
     }
 
-    async fn datagrams(&self, at: SocketAddr) -> io::Result<UdpSocket> {
+    async fn bind_datagrams(&self, at: SocketAddr) -> io::Result<UdpSocket> {
         UdpSocket::bind(at).await
     }
 
@@ -40,7 +40,7 @@
     }
 
     fn wall_ms(&self) -> i64 {
-        SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as i64)
+        SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as i64)
     }
 }
 
@@ -48,11 +48,11 @@
     type Stream = TcpStream;
 
     async fn accept(&self) -> io::Result<TcpStream> {
-        TcpListener::accept(self).await.map(|(stream, _)| prompt(stream))
+        TcpListener::accept(self).await.map(|(stream, _)| with_nodelay(stream))
     }
 }
 
-impl Datagrams for UdpSocket {
+impl DatagramSocket for UdpSocket {
     fn send(&self, bytes: &[u8], to: SocketAddr) {
         let _ = self.try_send_to(bytes, to);
     }
@@ -67,8 +67,8 @@
         loop {
             ready!(self.poll_read_ready(cx))?;
             match self.try_read(buffer) {
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                done => return Poll::Ready(done),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                result => return Poll::Ready(result),
             }
         }
     }
@@ -77,18 +77,18 @@
         loop {
             ready!(self.poll_write_ready(cx))?;
             match self.try_write_vectored(parts) {
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                done => return Poll::Ready(done),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                result => return Poll::Ready(result),
             }
         }
     }
 
-    fn has_news(&self) -> bool {
+    fn has_readable_data(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
-        !matches!(SockRef::from(self).peek(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+        !matches!(SockRef::from(self).peek(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    fn end_sending(&self) -> io::Result<()> {
+    fn shutdown_write(&self) -> io::Result<()> {
         SockRef::from(self).shutdown(Shutdown::Write)
     }
 }
--- a/crates/serve/nickelshed-journal/benches/before.rs
+++ b/crates/serve/nickelshed-journal/benches/before.rs
@@ -5,7 +5,7 @@
 //! One file of records, each framed by its length and a checksum. It is rewritten with what still lives once
 //! it would pass half of the disk's limit, so that both files together stay under it.
 use bytes::Bytes;
-use nickelshed_budget::{Budget, Share};
+use nickelshed_budget::{Budget, MemoryReservation};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -37,7 +37,7 @@
     pub body: Bytes,
     /// Its part of the memory.
     #[serde(skip)]
-    pub share: Option<Share>,
+    pub share: Option<MemoryReservation>,
 }
 
 impl Taken {
@@ -150,7 +150,7 @@
     if let Record::Taken(taken) = &mut record {
         let taken = Rc::get_mut(taken)?;
         taken.body = Bytes::copy_from_slice(body);
-        taken.share = Some(budget.owe(body.len()));
+        taken.share = Some(budget.reserve_recovered(body.len()));
     }
     Some((record, FRAME + length))
 }
--- a/crates/serve/nickelshed-journal/src/journal/open.rs
+++ b/crates/serve/nickelshed-journal/src/journal/open.rs
@@ -161,7 +161,7 @@
         for live in journal.table.live_mut() {
             // Nobody else has it yet.
             if let Some(taken) = Rc::get_mut(&mut live.taken) {
-                taken.share = Some(budget.owe(taken.body.len()));
+                taken.share = Some(budget.reserve_recovered(taken.body.len()));
             }
         }
         // What a process before wrote was kept from its own end, but perhaps not from the machine's.
--- a/crates/serve/nickelshed-journal/src/note.rs
+++ b/crates/serve/nickelshed-journal/src/note.rs
@@ -16,7 +16,7 @@
 impl Layout {
     /// `disk`: the bytes that the folder may take.
     pub fn on(disk: u64) -> Layout {
-        Layout { place: nickelshed_budget::note_place(disk) as usize }
+        Layout { place: nickelshed_budget::outage_list_bytes(disk) as usize }
     }
 
     /// The most bytes of the file.
--- a/crates/serve/nickelshed-journal/src/record.rs
+++ b/crates/serve/nickelshed-journal/src/record.rs
@@ -1,6 +1,6 @@
 //! What is written down of a message: that it was taken on, its attempts, and how it ended.
 use bytes::Bytes;
-use nickelshed_budget::Share;
+use nickelshed_budget::MemoryReservation;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
@@ -25,7 +25,7 @@
     pub end: i64,
     pub body: Bytes,
     /// Its part of the memory, given back with the message.
-    pub share: Option<Share>,
+    pub share: Option<MemoryReservation>,
 }
 
 impl Taken {
--- a/crates/serve/nickelshed-journal/tests/full.rs
+++ b/crates/serve/nickelshed-journal/tests/full.rs
@@ -189,7 +189,7 @@
         for (body, max_attempts) in [(0usize, 1u32), (200, 8), (1_024, 8), (1_024, 64), (16_384, 8)] {
             for durability in [Durability::Process, Durability::Machine] {
                 let synced = durability == Durability::Machine;
-                let told = nickelshed_budget::messages_on_disk(disk, body as u64, max_attempts, synced);
+                let told = nickelshed_budget::max_messages_on_disk(disk, body as u64, max_attempts, synced);
                 let (mut journal, _) = open(&Disk::new(), Options { disk, max_attempts, durability });
                 let mut held = 0;
                 loop {
--- a/crates/serve/nickelshed/src/config/mod.rs
+++ b/crates/serve/nickelshed/src/config/mod.rs
@@ -8,7 +8,7 @@
 use nickelshed_config::sidecar::Durability;
 use nickelshed_config::Operator;
 use nickelshed_policy::api::Settings;
-use nickelshed_settings::Around;
+use nickelshed_settings::DeploymentContext;
 use serde::Deserialize;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
     pub durability: Durability,
     pub known: List,
     pub settings: Settings,
-    pub around: Around,
+    pub around: DeploymentContext,
     /// The fleet that it is a member of.
     pub fleet: Option<crate::fleet::Fellowship>,
 }
--- a/crates/serve/nickelshed/src/config/platform.rs
+++ b/crates/serve/nickelshed/src/config/platform.rs
@@ -82,7 +82,7 @@
             let name = file.name.as_deref()?;
             Fellowship::on_platform(name, site, notes, number, settings.n_instances, digest)
         };
-        let fleet = file.notes().filter(|_| around.notes).and_then(member);
+        let fleet = file.notes().filter(|_| around.peer_datagrams).and_then(member);
         Ok(Config {
             fleet,
             application: None,
--- a/crates/serve/nickelshed/src/core.rs
+++ b/crates/serve/nickelshed/src/core.rs
@@ -14,7 +14,7 @@
 use nickelshed_journal::{Begun, Claim, Ending, Journal, Record, Round as Mark, Storage, Sync, Taken};
 use nickelshed_policy::api::*;
 use nickelshed_policy::rules::Sender;
-use nickelshed_settings::Around;
+use nickelshed_settings::DeploymentContext;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
@@ -62,7 +62,7 @@
     host: H,
     sender: Sender,
     settings: Settings,
-    around: Around,
+    around: DeploymentContext,
     journal: Journal<S>,
     /// Where syncs are run, if rounds wait for them.
     syncs: Option<std::sync::mpsc::Sender<Sync<S::File>>>,
--- a/crates/serve/nickelshed/src/discovery/asking.rs
+++ b/crates/serve/nickelshed/src/discovery/asking.rs
@@ -12,7 +12,7 @@
 //! failure in a row, up to `MOST_SHARED`. Only one that many share and that turns this sender away is left alone for
 //! longer: with so many, asks within six seconds are what keeps it down, and nobody would be told at all. A list that is
 //! held already need not be asked for in the moment of the start either, when all the others start too.
-use nickelshed_settings::Lister;
+use nickelshed_settings::DiscoveryMode;
 use std::time::Duration;
 
 /// Of the time in which the whole fleet asks a shared discovery once, each sender's part.
@@ -54,7 +54,7 @@
 /// What became of the last asks of one sender.
 #[derive(Debug)]
 pub struct Asking {
-    lister: Lister,
+    lister: DiscoveryMode,
     /// The time in which the whole fleet asks once.
     round: Duration,
     /// In a row.
@@ -63,11 +63,11 @@
 }
 
 impl Asking {
-    pub fn new(lister: Lister, senders: usize, seed: u64) -> Asking {
+    pub fn new(lister: DiscoveryMode, senders: usize, seed: u64) -> Asking {
         let others = u32::try_from(senders.saturating_sub(1)).unwrap_or(u32::MAX);
         let round = match lister {
-            Lister::Agent => Duration::ZERO,
-            Lister::Shared => EACH.saturating_mul(others).min(LONGEST_ROUND),
+            DiscoveryMode::Agent => Duration::ZERO,
+            DiscoveryMode::Shared => EACH.saturating_mul(others).min(LONGEST_ROUND),
         };
         Asking { lister, round, failures: 0, random: fastrand::Rng::with_seed(seed) }
     }
@@ -82,9 +82,9 @@
     /// over is broken, whoever is asked. What it missed counts as told two seconds after that.
     pub fn grace(&self, watch: bool) -> Duration {
         match self.lister {
-            Lister::Agent if watch && self.failures > 0 => GRACE_SILENT,
-            Lister::Shared if watch && self.failures > 0 => GRACE_AGAIN,
-            Lister::Shared if !watch => GRACE,
+            DiscoveryMode::Agent if watch && self.failures > 0 => GRACE_SILENT,
+            DiscoveryMode::Shared if watch && self.failures > 0 => GRACE_AGAIN,
+            DiscoveryMode::Shared if !watch => GRACE,
             _ => GRACE_AGENT,
         }
     }
@@ -93,8 +93,8 @@
     /// once and at no cost, or is silent still. A shared discovery is asked for a short watch, which goes on if answered.
     pub fn wait(&self) -> Duration {
         match self.lister {
-            Lister::Agent if self.failures > 0 => Duration::ZERO,
-            Lister::Shared if self.failures > 0 => WAIT_AGAIN,
+            DiscoveryMode::Agent if self.failures > 0 => Duration::ZERO,
+            DiscoveryMode::Shared if self.failures > 0 => WAIT_AGAIN,
             _ => WAIT,
         }
     }
@@ -114,8 +114,8 @@
     /// later begins a new watch, and what changed in between is told by that.
     pub fn early(&mut self) -> Duration {
         match self.lister {
-            Lister::Agent => LEAST,
-            Lister::Shared => LEAST + self.round.min(EARLY).mul_f64(self.random.f64()),
+            DiscoveryMode::Agent => LEAST,
+            DiscoveryMode::Shared => LEAST + self.round.min(EARLY).mul_f64(self.random.f64()),
         }
     }
 
@@ -128,9 +128,9 @@
         let doubled = self.round.max(LEAST).saturating_mul(1 << self.failures.min(16));
         let crowded = failure == Failure::TurnedAway && self.round > MOST_SHARED;
         let ceiling = match self.lister {
-            Lister::Agent => doubled.min(MOST_AGENT),
-            Lister::Shared if crowded => (CROWDED_ROUNDS * self.round).min(MOST_CROWDED),
-            Lister::Shared => doubled.min(MOST_SHARED),
+            DiscoveryMode::Agent => doubled.min(MOST_AGENT),
+            DiscoveryMode::Shared if crowded => (CROWDED_ROUNDS * self.round).min(MOST_CROWDED),
+            DiscoveryMode::Shared => doubled.min(MOST_SHARED),
         };
         self.failures = self.failures.saturating_add(1);
         // Never at once: an ask that fails in no time would be repeated as fast as the process can.
--- a/crates/serve/nickelshed/src/discovery/asking/tests.rs
+++ b/crates/serve/nickelshed/src/discovery/asking/tests.rs
@@ -30,7 +30,7 @@
 }
 
 fn fleet(senders: u64, seed: u64) -> (Option<u64>, u32) {
-    let each = (0..senders).map(|s| Asking::new(Lister::Shared, senders as usize, seed * 1_000 + s));
+    let each = (0..senders).map(|s| Asking::new(DiscoveryMode::Shared, senders as usize, seed * 1_000 + s));
     let each: Vec<_> = each.map(std::cell::RefCell::new).collect();
     let micros = |d: Duration| d.as_micros() as u64;
     let asking = |s: u64| each[s as usize].borrow_mut();
@@ -54,7 +54,7 @@
 #[test]
 fn a_fleet_whose_discovery_comes_back_gets_its_answers() {
     for senders in [2, 30, 60, 100, 350] {
-        let each = (0..senders).map(|s| Asking::new(Lister::Shared, senders as usize, s));
+        let each = (0..senders).map(|s| Asking::new(DiscoveryMode::Shared, senders as usize, s));
         let each: Vec<_> = each.map(std::cell::RefCell::new).collect();
         let pause = |s: u64, failure| each[s as usize].borrow_mut().failed(failure).as_micros() as u64;
         let first = |s| {
@@ -89,7 +89,7 @@
 
 #[test]
 fn an_ask_that_is_lost_as_discovery_comes_back_is_made_again_in_time_whoever_is_asked() {
-    for lister in [Lister::Agent, Lister::Shared] {
+    for lister in [DiscoveryMode::Agent, DiscoveryMode::Shared] {
         for senders in [1, 2, 30, 350, 100_000] {
             for seed in 0..100 {
                 let mut asking = Asking::new(lister, senders, seed);
@@ -104,7 +104,7 @@
                 }
                 // Nor does an answer that is no list change that, unless very many share it.
                 let pause = asking.failed(Failure::TurnedAway);
-                assert!(senders > 50 && lister == Lister::Shared || pause + ANSWER < NEWS);
+                assert!(senders > 50 && lister == DiscoveryMode::Shared || pause + ANSWER < NEWS);
             }
         }
     }
@@ -113,13 +113,13 @@
 #[test]
 fn pauses_are_spread_over_a_ceiling_that_doubles_and_has_an_end() {
     let ceilings = |senders: usize, failure: Failure, expected: &[u64]| {
-        let mut asking = Asking::new(Lister::Shared, senders, 1);
+        let mut asking = Asking::new(DiscoveryMode::Shared, senders, 1);
         for ceiling in expected {
             let ceiling = LEAST / 2 + Duration::from_millis(*ceiling);
             let pauses: Vec<Duration> = (0..400)
                 .map(|seed| {
                     let failures = asking.failures;
-                    Asking { failures, ..Asking::new(Lister::Shared, senders, seed) }.failed(failure)
+                    Asking { failures, ..Asking::new(DiscoveryMode::Shared, senders, seed) }.failed(failure)
                 })
                 .collect();
             assert!(
@@ -143,12 +143,12 @@
 #[test]
 fn any_number_of_senders_gives_waits_that_pass() {
     for senders in [0, 1, 2, 100_000, usize::MAX] {
-        let mut asking = Asking::new(Lister::Shared, senders, 7);
+        let mut asking = Asking::new(DiscoveryMode::Shared, senders, 7);
         assert!(asking.first() <= LONGEST_ROUND);
         let waits: Vec<Duration> = (0..100).map(|_| asking.failed(Failure::TurnedAway)).collect();
         assert!(waits.iter().all(|w| *w >= LEAST / 2 && *w <= MOST_CROWDED + LEAST));
     }
-    let mut alone = Asking::new(Lister::Shared, 1, 7);
+    let mut alone = Asking::new(DiscoveryMode::Shared, 1, 7);
     assert_eq!(alone.first(), Duration::ZERO, "who is alone waits for nobody");
 }
 
@@ -160,7 +160,7 @@
 #[test]
 fn an_agent_is_asked_at_once_however_many_senders_there_are_and_again_before_its_news_count() {
     for senders in [0, 1, 2, 100, 300, 100_000, usize::MAX] {
-        let mut asking = Asking::new(Lister::Agent, senders, 7);
+        let mut asking = Asking::new(DiscoveryMode::Agent, senders, 7);
         assert_eq!(asking.first(), Duration::ZERO);
         for _ in 0..1_000 {
             let pause = asking.failed(Failure::Unreached);
@@ -180,7 +180,7 @@
 #[test]
 fn an_agent_that_is_silent_is_asked_often_enough_to_hear_at_its_return_what_counts_then() {
     for seed in 0..200 {
-        let mut asking = Asking::new(Lister::Agent, 300, seed);
+        let mut asking = Asking::new(DiscoveryMode::Agent, 300, seed);
         assert_eq!(asking.wait(), WAIT);
         asking.lost();
         for _ in 0..50 {
@@ -190,7 +190,7 @@
         asking.answered();
         assert_eq!((asking.wait(), asking.grace(true)), (WAIT, GRACE_AGENT));
     }
-    let mut shared = Asking::new(Lister::Shared, 300, 7);
+    let mut shared = Asking::new(DiscoveryMode::Shared, 300, 7);
     shared.failed(Failure::Unreached);
     assert_eq!(shared.wait(), WAIT_AGAIN, "a watch all the same, which goes on once it is let in");
 }
@@ -198,9 +198,9 @@
 #[test]
 fn a_watch_that_is_answered_early_with_nothing_is_no_reason_to_ask_on_at_once() {
     for senders in [0, 1, 30, 300, usize::MAX] {
-        let agent = Asking::new(Lister::Agent, senders, 7).early();
+        let agent = Asking::new(DiscoveryMode::Agent, senders, 7).early();
         assert!(agent >= LEAST && agent < Duration::from_millis(200), "the watch goes on: {agent:?}");
-        let mut shared = Asking::new(Lister::Shared, senders, 7);
+        let mut shared = Asking::new(DiscoveryMode::Shared, senders, 7);
         let waits: Vec<Duration> = (0..400).map(|_| shared.early()).collect();
         assert!(waits.iter().all(|w| *w >= LEAST && *w <= LEAST + EARLY));
         assert!(senders < 30 || waits.iter().max().unwrap() > &Duration::from_secs(1), "{senders} spread");
@@ -210,7 +210,7 @@
 
 #[test]
 fn a_watch_that_fell_silent_is_opened_anew_before_what_it_missed_counts_whoever_is_asked() {
-    for lister in [Lister::Agent, Lister::Shared] {
+    for lister in [DiscoveryMode::Agent, DiscoveryMode::Shared] {
         for seed in 0..200 {
             let mut asking = Asking::new(lister, 300, seed);
             asking.answered();
@@ -218,7 +218,7 @@
         }
     }
     // It is down: asked by all within its ceiling, and not in one moment.
-    let mut asking = Asking::new(Lister::Shared, 300, 7);
+    let mut asking = Asking::new(DiscoveryMode::Shared, 300, 7);
     asking.lost();
     assert_eq!(asking.grace(true), GRACE_AGAIN);
     let pauses: Vec<Duration> = (0..20).map(|_| asking.lost()).collect();
--- a/crates/serve/nickelshed/src/fleet.rs
+++ b/crates/serve/nickelshed/src/fleet.rs
@@ -7,7 +7,7 @@
 use nickelshed_config::sidecar::Membership;
 use nickelshed_fleet::parts::Parts;
 use nickelshed_fleet::{Config, Facts, Fleet, Input as Told, Ns, Output, Seal, MOST};
-use nickelshed_host::{Datagrams, Host};
+use nickelshed_host::{DatagramSocket, Host};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -160,7 +160,7 @@
     room: Rc<Room>,
     mut end: oneshot::Receiver<()>,
 ) {
-    let socket = match host.datagrams(told.listen).await {
+    let socket = match host.bind_datagrams(told.listen).await {
         Ok(socket) => socket,
         // Alone it takes what the settings give it: no reason not to deliver.
         Err(error) => {
@@ -222,7 +222,7 @@
     }
 }
 
-impl<D: Datagrams> Front<D> {
+impl<D: DatagramSocket> Front<D> {
     fn now(&self) -> Ns {
         self.began.elapsed().as_nanos() as Ns
     }
--- a/crates/serve/nickelshed/src/lib.rs
+++ b/crates/serve/nickelshed/src/lib.rs
@@ -18,9 +18,9 @@
 
 use crate::config::{Config, Endpoints, Fresh};
 use crate::inbox::Input;
-use nickelshed_budget::{Budget, Sockets};
+use nickelshed_budget::{Budget, SocketAllocation};
 use nickelshed_config::sidecar::Durability;
-use nickelshed_host::{Host, Machine};
+use nickelshed_host::{Host, SystemHost};
 use nickelshed_journal::{Handle, Journal, Options, Storage, Sync};
 use nickelshed_policy::api::Class;
 use std::future::Future;
@@ -85,7 +85,7 @@
     let runtime = runtime.map_err(|e| format!("cannot make a runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
         let signals = Signals::of_process()?;
-        serve(form, Machine, signals, storage).await
+        serve(form, SystemHost, signals, storage).await
     })
 }
 
@@ -213,7 +213,7 @@
     };
     let (notices_in, notices) = mpsc::unbounded_channel();
     let settings = &config.settings;
-    let sockets = Sockets::divide(config.limits.sockets, settings.slots);
+    let sockets = SocketAllocation::divide(config.limits.sockets, settings.slots);
     let pool = Rc::new(connections::Pool::new(
         host.clone(),
         settings.dial_timeout,
@@ -229,7 +229,7 @@
         Endpoints::Listed => (None, None),
     };
     spawn_local(reload(form.clone(), signals.hangups, place, core_in.clone()));
-    let mut asking = discovery::Asking::new(config.around.lister, settings.n_instances, config.seed);
+    let mut asking = discovery::Asking::new(config.around.discovery_mode, settings.n_instances, config.seed);
     let held = (!config.known.instances.is_empty())
         .then(|| discovery::Held { generation: config.known.generation, ask_after: asking.first() });
     let mut news_within = Duration::ZERO;
@@ -281,7 +281,7 @@
         classes,
         budget,
         most: sockets.clients,
-        turned_away: sockets.turned_away,
+        turned_away: sockets.rejected_clients,
         open: Default::default(),
         guests: Default::default(),
     });
--- a/crates/serve/nickelshed/src/server.rs
+++ b/crates/serve/nickelshed/src/server.rs
@@ -14,7 +14,7 @@
 use nickelshed_host::{Host, Listener, Stream};
 use nickelshed_journal::{Taken, MAX_BODY};
 use nickelshed_policy::api::Effect;
-use nickelshed_settings::Around;
+use nickelshed_settings::DeploymentContext;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -47,7 +47,7 @@
 pub struct Server<H: Host> {
     pub host: H,
     pub core: mpsc::Sender<Input>,
-    pub around: Around,
+    pub around: DeploymentContext,
     pub classes: Vec<Class>,
     pub budget: Budget,
     /// Most connections that are served.
@@ -236,7 +236,7 @@
             Err(why) => return bad(StatusCode::BAD_REQUEST, why),
         };
         // Held until the message's end, or until it is turned away.
-        let Some(share) = self.budget.claim(length as usize) else { return closing(refused(None)) };
+        let Some(share) = self.budget.try_reserve(length as usize) else { return closing(refused(None)) };
         taken.share = Some(share);
         let end = Instant::now() + left;
         taken.since = self.host.wall_ms();
--- a/crates/serve/nickelshed/src/wire.rs
+++ b/crates/serve/nickelshed/src/wire.rs
@@ -72,13 +72,13 @@
 
     /// Whether bytes wait in the socket, or its end: asked of the system, as the runtime may not know yet.
     pub fn has_news(&self) -> bool {
-        self.stream.has_news()
+        self.stream.has_readable_data()
     }
 
     /// Ends the sending, then reads and drops what comes until the other side has closed, up to a bound: closing
     /// with bytes unread would reset the connection, and an answer on its way could be lost.
     pub async fn close(&self, most: usize) {
-        if self.stream.end_sending().is_err() {
+        if self.stream.shutdown_write().is_err() {
             return;
         }
         let mut buffer = [0; 4096];
@@ -149,6 +149,6 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(self.0.stream.end_sending())
+        Poll::Ready(self.0.stream.shutdown_write())
     }
 }
--- a/crates/tools/nickelshed-config/src/check.rs
+++ b/crates/tools/nickelshed-config/src/check.rs
@@ -4,7 +4,7 @@
 use crate::sidecar::{Durability, Effect, Membership, Sidecar};
 use crate::source::{nearest, Source, Step};
 use crate::url;
-use nickelshed_budget::{messages_in_memory, messages_on_disk, Sockets};
+use nickelshed_budget::{max_messages_in_memory, max_messages_on_disk, SocketAllocation};
 use nickelshed_fleet::{MOST_NAME, MOST_SITE};
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -260,9 +260,9 @@
             );
             self.say(Code::FewSlots, path!["limits", "slots"], what);
         } else if l.slots <= MOST_SLOTS
-            && !Sockets::divide(l.sockets as usize, l.slots as usize).carry(l.slots as usize)
+            && !SocketAllocation::divide(l.sockets as usize, l.slots as usize).supports(l.slots as usize)
         {
-            let calls = Sockets::divide(l.sockets as usize, l.slots as usize).calls;
+            let calls = SocketAllocation::divide(l.sockets as usize, l.slots as usize).calls;
             let what = format!("{} slots need as many connections to endpoints, but of {} descriptors only {calls} are for them", l.slots, l.sockets);
             self.say(Code::SlotsOverSockets, path!["limits", "slots"], what);
         }
@@ -280,7 +280,7 @@
             );
             self.say(Code::HeldUnderSlots, path!["limits", "held"], what);
         }
-        let memory = messages_in_memory(l.memory.0, l.usual_body.0 as usize);
+        let memory = max_messages_in_memory(l.memory.0, l.usual_body.0 as usize);
         if u64::from(l.held) > memory {
             let what = format!(
                 "{} messages of {} are to be held, but a memory of {} carries {memory}",
@@ -288,7 +288,7 @@
             );
             self.say(Code::HeldOverMemory, path!["limits", "held"], what);
         }
-        let disk = messages_on_disk(
+        let disk = max_messages_on_disk(
             l.disk.0,
             l.usual_body.0,
             l.attempts,
--- a/crates/tools/nickelshed-config/src/compile.rs
+++ b/crates/tools/nickelshed-config/src/compile.rs
@@ -1,7 +1,7 @@
 //! The operator's file in the terms of the decision module. Only a file without errors comes this far.
 use crate::sidecar::{Class, Effect, Late, Scope, Sidecar};
 use nickelshed_policy::api;
-use nickelshed_settings::{Around, Lister};
+use nickelshed_settings::{DeploymentContext, DiscoveryMode};
 use std::net::SocketAddr;
 
 /// An endpoint that a file names, in the terms of a list of endpoints.
@@ -22,7 +22,7 @@
 const PLAIN: &str = "plain";
 
 /// The settings of the decision module, and the names around them.
-pub fn settings(s: &Sidecar) -> (api::Settings, Around) {
+pub fn settings(s: &Sidecar) -> (api::Settings, DeploymentContext) {
     let kinds: Vec<(&str, api::Kind)> = s
         .kinds
         .iter()
@@ -84,12 +84,12 @@
         price_waste: s.prices.waste,
         route_fee: fees,
     };
-    let around = Around {
+    let around = DeploymentContext {
         // A sidecar's fleet is told in its own section.
-        notes: false,
-        lister: Lister::Agent,
-        x0: None,
-        x1: None,
+        peer_datagrams: false,
+        discovery_mode: DiscoveryMode::Agent,
+        x0_column: None,
+        x1_column: None,
         classes: s.classes.iter().map(|c| c.name.clone()).collect(),
         tenants: s.tenants.iter().map(|t| t.name.clone()).collect(),
         kinds: kinds.iter().map(|(name, _)| name.to_string()).collect(),
--- a/crates/tools/nickelshed-simhost/src/host.rs
+++ b/crates/tools/nickelshed-simhost/src/host.rs
@@ -1,7 +1,7 @@
 //! Wire lines to `api` events for each sender, and its actions back to lines.
 use nickelshed_policy::api::*;
 use nickelshed_policy::rules::Sender;
-use nickelshed_settings::{self as settings, Around};
+use nickelshed_settings::{self as settings, DeploymentContext};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 
 struct Instance {
     sender: Sender,
-    around: Around,
+    around: DeploymentContext,
     events: Vec<Event>,
     endpoints: HashMap<String, EndpointId>,
     endpoint_names: Vec<String>,
@@ -177,7 +177,7 @@
 }
 
 impl Instance {
-    fn new(sender: Sender, around: Around) -> Instance {
+    fn new(sender: Sender, around: DeploymentContext) -> Instance {
         Instance {
             sender,
             around,
@@ -284,7 +284,7 @@
             row.push(value.map_err(|_| format!("{} field Metrics is malformed: {}", f.verb, shorten(text)))?);
         }
         let at = |column: Option<usize>| column.and_then(|c| row.get(c)).copied();
-        Ok(match (at(self.around.x0), at(self.around.x1)) {
+        Ok(match (at(self.around.x0_column), at(self.around.x1_column)) {
             (None, None) => None,
             (left, limit) => Some(Report { left: left.unwrap_or(0.0), limit: limit.unwrap_or(0.0) }),
         })
