--- a/crates/tools/nickelshed-config/src/check.rs
+++ b/crates/tools/nickelshed-config/src/check.rs
@@ -1,4 +1,4 @@
-//! The checks of one file. They know nothing of the machine: what only it can tell is the doctor's.
+//! Checks of a single configuration file. They do not inspect the host; `nickelshed-ctl doctor` does that.
 use crate::code::Code;
 use crate::finding::Finding;
 use crate::sidecar::{Durability, Effect, Membership, Sidecar};
@@ -10,13 +10,14 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Component, Path, PathBuf};
 
-/// The longest body that is taken, in bytes.
+/// Largest message body that is accepted, in bytes.
 const MAX_BODY: u64 = 64 << 10;
-/// The longest name that the journal keeps of an endpoint, and that this tool lets through for a class or tenant.
+/// Longest name of an endpoint that the journal stores, and longest name that these checks accept for a class or tenant,
+/// in bytes.
 const MAX_NAME: usize = 64;
-/// No rate, worth or price is larger: the module multiplies them.
+/// Largest rate, worth or price. Bounded because the policy multiplies them.
 const LARGEST_FIGURE: f64 = 1e9;
-/// More of any one thing are a mistake, and the module's tables would take the memory.
+// Larger counts are mistakes, and the tables of the policy would use too much memory for them.
 const MOST_SLOTS: u32 = 65_536;
 const MOST_SENDERS: u32 = 10_000;
 const MOST_ATTEMPTS: u32 = 1_000;
@@ -31,7 +32,7 @@
     ($($step:expr),*) => { &[$(Step::from($step)),*] };
 }
 
-/// Everything that is wrong with a file of which the form is right. Warnings that the file allows are left out.
+/// Checks the content of a file that was read without errors of form. Warnings that the file allows are left out.
 pub fn check(sidecar: &Sidecar, source: &Source) -> Vec<Finding> {
     let mut c = Check { source, findings: Vec::new() };
     c.names(sidecar);
@@ -49,12 +50,12 @@
     findings
 }
 
-/// Whether the file accepts warnings of this code.
+/// Whether the file accepts warnings with this code.
 pub fn allows(sidecar: &Sidecar, code: Code) -> bool {
     sidecar.allow.iter().any(|a| a.parse() == Ok(code))
 }
 
-/// A path with `.` and `..` taken out as far as that goes without looking at the disk.
+/// Removes `.` and `..` from a path as far as possible without reading the file system.
 pub fn plain(path: &Path) -> PathBuf {
     let mut out = PathBuf::new();
     for part in path.components() {
@@ -76,7 +77,7 @@
         self.findings.push(Finding::new(code, place, what, help));
     }
 
-    /// As `find`, with the mend that the code tells of itself.
+    /// Like `report_with_help`, with the help text of the code.
     fn say(&mut self, code: Code, path: &[Step], what: impl Into<String>) {
         self.find(code, path, what, code.about().mend);
     }
@@ -101,7 +102,7 @@
         let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
         let shown: String = name.chars().take(MAX_NAME).collect();
         if name.is_empty() {
-            self.say(Code::BadName, path, format!("the {what} has no name"));
+            self.say(Code::BadName, path, format!("the {what} has an empty name"));
         } else if name.len() > MAX_NAME {
             self.say(
                 Code::BadName,
@@ -111,11 +112,11 @@
         } else if let Some(wrong) = name.chars().find(|c| !fits(*c)) {
             self.say(Code::BadName, path, format!("the {what} `{shown}` has {wrong:?} in its name"));
         } else if what == "class" && (name == "healthz" || name.chars().all(|c| c == '.')) {
-            self.say(Code::BadName, path, format!("the class `{name}` has the name of a path that is taken"));
+            self.say(Code::BadName, path, format!("the class `{name}` has the name of a reserved path"));
         }
     }
 
-    /// Names of one kind: each can be held by a header, and none is there twice.
+    /// Checks the names of a list of sections: each is valid, and each is unique.
     fn list_of_names<'n>(&mut self, what: &str, section: &str, names: impl Iterator<Item = &'n str>) {
         let mut seen = HashMap::new();
         for (i, name) in names.enumerate() {
@@ -125,9 +126,9 @@
                 self.say(
                     Code::SameName,
                     path![section, i, "name"],
-                    format!("there are two of the {what} `{name}`"),
+                    format!("there are two sections for the {what} `{name}`"),
                 );
-                self.relate(place, "the first is here");
+                self.relate(place, "first defined here");
             }
         }
     }
@@ -174,19 +175,23 @@
 
     fn classes(&mut self, s: &Sidecar) {
         if s.classes.is_empty() {
-            self.say(Code::NoClass, path!["class"], "there is no `[[class]]`, so nothing can be handed in");
+            self.say(
+                Code::NoClass,
+                path!["class"],
+                "there is no `[[class]]`, so no message can be submitted",
+            );
         }
         let most = s.rules.abandonment;
         for (i, class) in s.classes.iter().enumerate() {
             let (name, given_up, wanted) = (&class.name, class.abandoned_after, class.wanted_within);
             if given_up > most {
-                let what = format!("class `{name}` is abandoned after {given_up}, later than the {most} after which nobody waits for a message any more");
+                let what = format!("class `{name}` is abandoned after {given_up}, later than {most}, after which nobody waits for a message any more");
                 let help = format!("Set `abandoned_after` to {most} at most, or raise `rules.abandonment` if clients and destinations really wait longer");
                 self.find(Code::BeyondAbandonment, path!["class", i, "abandoned_after"], what, help);
             }
             if wanted > given_up {
                 let what = format!(
-                    "class `{name}` is wanted within {wanted}, but abandoned after {given_up} already"
+                    "class `{name}` has a `wanted_within` of {wanted}, but is abandoned after {given_up}"
                 );
                 self.say(Code::AimBeyondDeadline, path!["class", i, "wanted_within"], what);
             }
@@ -203,7 +208,7 @@
                 }
                 (Effect::Keyed, Some(window)) if window < given_up => {
                     let rest = crate::units::Period(given_up.0 - window.0);
-                    let what = format!("class `{name}` lives for {given_up}, but its destinations drop repeats for {window} only: a message that may have run is not tried again in its last {rest}");
+                    let what = format!("class `{name}` is abandoned after {given_up}, but its destinations drop repeats only for {window}: a message that may have been executed is not attempted in its last {rest}");
                     self.say(Code::ShortWindow, path!["class", i, "repeat_window"], what);
                 }
                 (Effect::Safe | Effect::Unsafe, Some(_)) => {
@@ -213,7 +218,7 @@
                 _ => {}
             }
             if class.in_order {
-                let what = format!("class `{name}` is in order, but messages bring no key of order");
+                let what = format!("class `{name}` sets `in_order`, but messages carry no ordering key");
                 self.say(Code::OrderWithoutKey, path!["class", i, "in_order"], what);
             }
             self.figure(class.worth, 0.0, path!["class", i, "worth"]);
@@ -227,23 +232,24 @@
             self.say(
                 Code::BadFigure,
                 path,
-                format!("{figure} is out of range: it goes from {least} to {LARGEST_FIGURE:e}"),
+                format!("{figure} is out of range: it must be from {least} to {LARGEST_FIGURE:e}"),
             );
         }
     }
 
     fn share(&mut self, share: f64, path: &[Step]) {
         if !(0.0..=1.0).contains(&share) {
-            let what = format!("{} is out of range: it goes from 0% to 100%", crate::units::Percent(share));
+            let what =
+                format!("{} is out of range: it must be from 0% to 100%", crate::units::Percent(share));
             self.say(Code::BadFigure, path, what);
         }
     }
 
     fn whole(&mut self, number: u32, least: u32, most: u32, code: Code, path: &[Step]) {
         if number < least {
-            self.say(code, path, format!("{number} is too few: it takes {least} at least"));
+            self.say(code, path, format!("{number} is too low: the minimum is {least}"));
         } else if number > most {
-            self.say(Code::BadFigure, path, format!("{number} is out of range: {most} is the most"));
+            self.say(Code::BadFigure, path, format!("{number} is out of range: the maximum is {most}"));
         }
     }
 
@@ -255,7 +261,7 @@
         self.whole(l.slots, 0, MOST_SLOTS, Code::FewSlots, path!["limits", "slots"]);
         if l.slots < 2 {
             let what = format!(
-                "three quarters of {} slots are less than one call, so no destination would get any",
+                "three quarters of {} slots are less than one call, so no destination would get a call",
                 l.slots
             );
             self.say(Code::FewSlots, path!["limits", "slots"], what);
@@ -263,17 +269,17 @@
             && !SocketAllocation::divide(l.sockets as usize, l.slots as usize).supports(l.slots as usize)
         {
             let calls = SocketAllocation::divide(l.sockets as usize, l.slots as usize).calls;
-            let what = format!("{} slots need as many connections to endpoints, but of {} descriptors only {calls} are for them", l.slots, l.sockets);
+            let what = format!("{} slots need as many connections to endpoints, but only {calls} of {} descriptors are for calls", l.slots, l.sockets);
             self.say(Code::SlotsOverSockets, path!["limits", "slots"], what);
         }
         if l.usual_body.0 > MAX_BODY {
-            let what = format!("bodies of {} are never taken: 64KiB is the longest", l.usual_body);
+            let what = format!("bodies of {} are never accepted: the maximum is 64KiB", l.usual_body);
             self.say(Code::LongBody, path!["limits", "usual_body"], what);
             return;
         }
         if l.held >= 1 && l.held < l.slots {
             let what = format!(
-                "only {} messages are held at once, so of {} slots {} are never used",
+                "only {} messages can be open at once, so of {} slots {} are never used",
                 l.held,
                 l.slots,
                 l.slots - l.held
@@ -283,7 +289,7 @@
         let memory = max_messages_in_memory(l.memory.0, l.usual_body.0 as usize);
         if u64::from(l.held) > memory {
             let what = format!(
-                "{} messages of {} are to be held, but a memory of {} carries {memory}",
+                "`limits.held` is {} messages with bodies of {}, but a memory of {} holds only {memory}",
                 l.held, l.usual_body, l.memory
             );
             self.say(Code::HeldOverMemory, path!["limits", "held"], what);
@@ -296,7 +302,7 @@
         );
         if u64::from(l.held) > disk {
             let what = format!(
-                "{} messages of {} with {} attempts each are to be held, but a journal of {} carries {disk}",
+                "`limits.held` is {} messages with bodies of {} and up to {} attempts, but a journal of {} holds only {disk}",
                 l.held, l.usual_body, l.attempts, l.disk
             );
             self.say(Code::HeldOverDisk, path!["limits", "held"], what);
@@ -315,7 +321,7 @@
             }
         }
         if r.tick.ns() > 1_000_000_000 {
-            let what = format!("a tick of {} is out of range: a second is the longest", r.tick);
+            let what = format!("a tick of {} is out of range: the maximum is 1s", r.tick);
             self.say(Code::BadFigure, path!["rules", "tick"], what);
         }
         for (key, time) in [("idle", s.connections.idle), ("dial", s.connections.dial)] {
@@ -348,7 +354,7 @@
         self.figure(s.traffic.rate, 0.0, path!["traffic", "rate"]);
         self.share(s.traffic.over_share_worth.0, path!["traffic", "over_share_worth"]);
         let total: f64 = s.tenants.iter().map(|t| t.share.0).sum();
-        // Shares are written with a few digits, and three thirds are a whole.
+        // Shares are written with few digits, so three thirds may add up to slightly more than 100%.
         if total > 1.0 + 1e-6 {
             let most =
                 (0..s.tenants.len()).max_by(|a, b| s.tenants[*a].share.0.total_cmp(&s.tenants[*b].share.0));
@@ -375,13 +381,13 @@
             self.say(
                 Code::BadAddress,
                 path,
-                format!("the {what} {verb} at {address}, which names no one place"),
+                format!("the {what} {verb} at {address}, which does not identify a single peer"),
             );
         } else if s.loopback_only && !address.ip().to_canonical().is_loopback() {
             self.say(
                 Code::NotLoopback,
                 path,
-                format!("the {what} is at {address}, and this file says `loopback_only`"),
+                format!("the {what} is at {address}, but this file sets `loopback_only`"),
             );
         }
     }
@@ -389,7 +395,8 @@
     fn addresses(&mut self, s: &Sidecar) {
         self.address(s, "sidecar", s.listen, path!["listen"]);
         if !s.listen.ip().to_canonical().is_loopback() && !s.loopback_only {
-            let what = format!("the sidecar listens at {}, where other machines may reach it", s.listen);
+            let what =
+                format!("the sidecar listens at {}, where other machines may be able to reach it", s.listen);
             self.say(Code::OpenListener, path!["listen"], what);
         }
         if let Some(discovery) = &s.discovery {
@@ -425,7 +432,7 @@
         let site_at: &[Step] = path!["fleet", "site"];
         for (name, most, path) in [(member, MOST_NAME, name_at), (&fleet.site, MOST_SITE, site_at)] {
             if name.len() > most {
-                let what = format!("`{name}` has {} bytes, and {most} are the most", name.len());
+                let what = format!("`{name}` has {} bytes, but the maximum is {most}", name.len());
                 self.say(Code::LongName, path, what);
             }
         }
@@ -436,10 +443,13 @@
             (Some(_), false) => self.say(
                 Code::TwoSources,
                 path!["discovery"],
-                format!("there is `[discovery]`, and {} destinations are written down", s.destinations.len()),
+                format!(
+                    "there is `[discovery]`, but the file also lists {} destinations",
+                    s.destinations.len()
+                ),
             ),
             (None, true) => {
-                self.say(Code::NoSource, path![], "there is no `[[destination]]`, and no `[discovery]`")
+                self.say(Code::NoSource, path![], "there is neither `[[destination]]` nor `[discovery]`")
             }
             _ => {}
         }
@@ -449,16 +459,16 @@
             self.name("destination", name, path!["destination", i, "name"]);
             if let Some(first) = numbers.insert(d.number, i) {
                 let what = format!(
-                    "destination `{name}` has the number {} of `{}`",
+                    "destination `{name}` has the number {}, which `{}` has too",
                     d.number, s.destinations[first].name
                 );
                 self.say(Code::SameDestination, path!["destination", i, "number"], what);
-                self.relate(self.source.place(path!["destination", first, "number"]), "the first is here");
+                self.relate(self.source.place(path!["destination", first, "number"]), "first used here");
             }
             if let Some(first) = names.insert(name, i) {
-                let what = format!("there are two destinations `{name}`");
+                let what = format!("there are two destinations named `{name}`");
                 self.say(Code::SameDestination, path!["destination", i, "name"], what);
-                self.relate(self.source.place(path!["destination", first, "name"]), "the first is here");
+                self.relate(self.source.place(path!["destination", first, "name"]), "first defined here");
             }
             if let Some(kind) = &d.kind {
                 self.known(
@@ -497,16 +507,16 @@
                     self.say(
                         Code::SameEndpoint,
                         at,
-                        format!("destination `{name}` names the endpoint {address} twice"),
+                        format!("destination `{name}` lists the endpoint {address} twice"),
                     );
                 } else {
                     let other = &s.destinations[first].name;
-                    let what = format!("the endpoint {address} stands under `{other}` and under `{name}`");
+                    let what = format!("the endpoint {address} is listed under `{other}` and under `{name}`");
                     self.say(Code::TwoDestinations, at, what);
                 }
                 self.relate(
                     self.source.place(path!["destination", first, "endpoints", item]),
-                    "the first is here",
+                    "first listed here",
                 );
             }
         }
@@ -537,10 +547,10 @@
         }
         if let Some(file) = &n.file {
             if file.file_name().is_none() {
-                self.say(Code::BadFigure, path!["notices", "file"], "the path names no file");
+                self.say(Code::BadFigure, path!["notices", "file"], "the path has no file name");
             } else if plain(file).starts_with(plain(&s.state)) {
                 let what = format!(
-                    "the notices' file {} lies in the state folder {}",
+                    "the notice file {} is in the state folder {}",
                     file.display(),
                     s.state.display()
                 );
@@ -550,7 +560,7 @@
         for (key, text) in [("state", s.state.to_str()), ("file", n.file.as_ref().and_then(|f| f.to_str()))] {
             if text.is_some_and(|t| t.contains('\0')) {
                 let path: &[Step] = if key == "state" { path!["state"] } else { path!["notices", "file"] };
-                self.say(Code::BadFigure, path, "a path can't hold a zero byte");
+                self.say(Code::BadFigure, path, "a path can't contain a NUL byte");
             }
         }
     }
@@ -564,7 +574,7 @@
     SocketAddr::new(address.ip().to_canonical(), address.port())
 }
 
-/// Whether a call to `address` reaches what listens at `listen`, as far as that can be told.
+/// Whether a call to `address` would reach the listener at `listen`, as far as the addresses show.
 fn same_place(address: SocketAddr, listen: SocketAddr) -> bool {
     let (ip, at) = (address.ip().to_canonical(), listen.ip().to_canonical());
     address.port() == listen.port() && (ip == at || (at.is_unspecified() && ip.is_loopback()))
--- a/crates/tools/nickelshed-config/src/compile.rs
+++ b/crates/tools/nickelshed-config/src/compile.rs
@@ -1,27 +1,28 @@
-//! The operator's file in the terms of the decision module. Only a file without errors comes this far.
+//! Translates the operator's file into the settings of the policy and a list of endpoints. Expects a file without
+//! errors.
 use crate::sidecar::{Class, Effect, Late, Scope, Sidecar};
 use nickelshed_policy::api;
 use nickelshed_settings::{DeploymentContext, DiscoveryMode};
 use std::net::SocketAddr;
 
-/// An endpoint that a file names, in the terms of a list of endpoints.
+/// An endpoint from the file, with the data of an entry of a discovery list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listed {
-    /// The same as long as its destination and address are: an endpoint at another's address is another endpoint.
+    /// Derived from destination number and address, so an endpoint keeps its name while both stay the same.
     pub name: String,
     pub address: SocketAddr,
     pub dest: u64,
     pub kind: String,
     pub zone: String,
     pub draining: bool,
-    /// Calls a second that its destination takes from all sidecars; 0 if that is not told.
+    /// Calls per second that its destination accepts from all sidecars; 0 if unknown.
     pub rate: f64,
 }
 
-/// What endpoints without a kind or a zone are given.
+/// Name of the kind and zone of endpoints without one.
 const PLAIN: &str = "plain";
 
-/// The settings of the decision module, and the names around them.
+/// Returns the settings of the policy, and the names of classes, tenants, kinds and zones by index.
 pub fn settings(s: &Sidecar) -> (api::Settings, DeploymentContext) {
     let kinds: Vec<(&str, api::Kind)> = s
         .kinds
@@ -29,7 +30,7 @@
         .map(|k| (k.name.as_str(), api::Kind { batch: k.batch as usize, separate_routes: k.separate_routes }))
         .collect();
     let plain = (PLAIN, api::Kind { batch: 1, separate_routes: false });
-    // Endpoints without a kind are of the plain one.
+    // Endpoints without a kind get the kind `PLAIN`, which must therefore exist.
     let kinds: Vec<_> = if kinds.iter().any(|(name, _)| *name == PLAIN) {
         kinds
     } else {
@@ -62,11 +63,11 @@
         max_open: s.limits.held as usize,
         max_attempts: s.limits.attempts,
         max_retry_after: s.rules.longest_return.ns(),
-        // Never two attempts of a message at once: no operator can ask for it.
+        // The file has no key that allows two attempts of a message at the same time.
         may_duplicate: false,
         may_probe: s.rules.probes,
         may_cancel: s.rules.cancel,
-        // HTTP/1.1 carries one call at a time.
+        // HTTP/1.1 allows one call at a time per connection.
         streams_per_conn: 1,
         idle_close: s.connections.idle.ns(),
         dial_timeout: s.connections.dial.ns(),
@@ -85,7 +86,7 @@
         route_fee: fees,
     };
     let around = DeploymentContext {
-        // A sidecar's fleet is told in its own section.
+        // A sidecar's fleet is configured in its own section `[fleet]`.
         peer_datagrams: false,
         discovery_mode: DiscoveryMode::Agent,
         x0_column: None,
@@ -98,7 +99,7 @@
     (settings, around)
 }
 
-/// Where no rate is told shares bind nobody: as the platform's form has it, a quota that is missing.
+/// Without a rate, shares are not enforced; this equals a missing quota in the platform's settings.
 fn quota(rate: f64, share: f64) -> f64 {
     if rate == 0.0 {
         f64::MAX
@@ -129,7 +130,7 @@
     }
 }
 
-/// The endpoints that a file names.
+/// Returns the endpoints that the file lists.
 pub fn listed(s: &Sidecar) -> Vec<Listed> {
     let first_zone = s.zones.first().map_or(PLAIN, |z| z.name.as_str());
     let each = s.destinations.iter().flat_map(|d| d.endpoints.iter().map(move |e| (d, e.endpoint())));
--- a/crates/tools/nickelshed-config/src/diff.rs
+++ b/crates/tools/nickelshed-config/src/diff.rs
@@ -1,4 +1,4 @@
-//! What a change of a configuration means, in words.
+//! Describes the differences between two configurations in words.
 use crate::compile;
 use crate::sidecar::Sidecar;
 use serde_json::{Map, Value as Json};
@@ -7,7 +7,7 @@
 /// When a change takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum When {
-    /// On SIGHUP, while the sidecar runs.
+    /// On SIGHUP, while the sidecar is running.
     Hangup,
     /// At the next start.
     Start,
@@ -19,44 +19,44 @@
     pub when: When,
 }
 
-/// Keys that have a sentence of their own, by section and key.
+/// Descriptions of changed keys, as (section, key, template). Other keys get a generic sentence.
 const SENTENCES: &[(&str, &str, &str)] = &[
-    ("class", "wanted_within", "{name} is wanted within {new}, was {old}"),
+    ("class", "wanted_within", "{name} has a target latency of {new}, was {old}"),
     ("class", "abandoned_after", "{name} is abandoned at {new}, was {old}"),
-    ("class", "effect", "a repeat of {name} is {new}, was {old}"),
+    ("class", "effect", "the effect of a repeat of {name} is {new}, was {old}"),
     ("class", "repeat_window", "repeats of {name} are dropped for {new}, was {old}"),
     ("class", "worth", "{name} is worth {new}, was {old}"),
     ("tenant", "share", "{name} has a share of {new}, was {old}"),
-    ("destination", "rate", "{name} takes {new} calls a second, was {old}"),
-    ("destination", "number", "{name} is called by the number {new}, was {old}"),
-    ("", "listen", "messages are handed in at {new}, was {old}"),
-    ("", "application", "the application is called {new}, was {old}"),
+    ("destination", "rate", "{name} accepts {new} calls per second, was {old}"),
+    ("destination", "number", "{name} has the number {new}, was {old}"),
+    ("", "listen", "messages are submitted at {new}, was {old}"),
+    ("", "application", "the application is named {new}, was {old}"),
     (
         "",
         "state",
-        "what was taken on is kept in {new}, was {old}; what the old folder holds must be delivered first",
+        "accepted messages are kept in {new}, was {old}; the messages in the old folder must be delivered first",
     ),
-    ("limits", "slots", "{new} calls go out at once at most, was {old}"),
-    ("limits", "held", "{new} messages are held at once at most, was {old}"),
-    ("limits", "attempts", "a message is tried {new} times at most, was {old}"),
-    ("journal", "durability", "a 202 outlasts the end of the {new}, was of the {old}"),
+    ("limits", "slots", "at most {new} calls are in flight at once, was {old}"),
+    ("limits", "held", "at most {new} messages are open at once, was {old}"),
+    ("limits", "attempts", "a message is attempted at most {new} times, was {old}"),
+    ("journal", "durability", "an accepted message survives a failure of the {new}, was of the {old}"),
     ("notices", "http", "notices are posted to {new}, was {old}"),
     ("notices", "file", "notices are written to {new}, was {old}"),
 ];
 
-/// What adding or removing an item of a list means.
+/// Descriptions of an added and of a removed item of a list, as (section, added, removed).
 const ITEMS: &[(&str, &str, &str)] = &[
     (
         "class",
         "the class {name} is new",
-        "the class {name} is gone: messages under it are answered 404, and those held are ended",
+        "the class {name} is removed: submissions under it are answered 404, and its open messages are ended",
     ),
-    ("tenant", "the tenant {name} is new", "the tenant {name} is gone: its messages are answered 400"),
-    ("kind", "the kind {name} is new", "the kind {name} is gone"),
-    ("zone", "the zone {name} is new", "the zone {name} is gone"),
+    ("tenant", "the tenant {name} is new", "the tenant {name} is removed: its messages are answered 400"),
+    ("kind", "the kind {name} is new", "the kind {name} is removed"),
+    ("zone", "the zone {name} is new", "the zone {name} is removed"),
 ];
 
-/// Every difference from `old` to `new`; none if both mean the same.
+/// Returns every difference from `old` to `new`; none if both are equivalent.
 pub fn diff(old: &Sidecar, new: &Sidecar) -> Vec<Change> {
     let mut changes = endpoints(old, new);
     let start = |words: String| Change { words, when: When::Start };
@@ -73,7 +73,7 @@
             _ => changes.push(start(sentence("", "", key, b, a))),
         }
     }
-    // Where discovery is may change while the sidecar runs, but not whether there is one.
+    // The address of discovery may change on SIGHUP, but adding or removing discovery needs a restart.
     for change in &mut changes {
         if old.discovery.is_some() && new.discovery.is_some() && change.words.starts_with("discovery") {
             change.when = When::Hangup;
@@ -96,7 +96,7 @@
 
 fn fields(section: &str, name: &str, old: &Map<String, Json>, new: &Map<String, Json>) -> Vec<String> {
     let keys: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
-    // Endpoints have words of their own.
+    // Endpoints are described by `endpoints`.
     let keys = keys.into_iter().filter(|k| *k != "endpoints" && *k != "name");
     let pair =
         |k: &String| (old.get(k).cloned().unwrap_or_default(), new.get(k).cloned().unwrap_or_default());
@@ -139,7 +139,7 @@
     template.replace("{name}", name).replace("{new}", &shown(new)).replace("{old}", &shown(old))
 }
 
-/// A value as a person says it.
+/// Formats a value for a sentence.
 fn shown(value: &Json) -> String {
     match value {
         Json::Null => "not set".to_string(),
@@ -148,7 +148,7 @@
     }
 }
 
-/// `9s 500ms` as `9 s 500 ms`; anything that is no figure with a unit stays.
+/// Formats `9s 500ms` as `9 s 500 ms`; returns any text that is not a list of numbers with units unchanged.
 fn spaced(text: &str) -> String {
     let word = |w: &str| -> Option<String> {
         let unit = w.find(|c: char| !c.is_ascii_digit()).filter(|at| *at > 0)?;
@@ -159,7 +159,7 @@
     words.map_or(text.to_string(), |w| w.join(" "))
 }
 
-/// Endpoints by destination: what is told to a running sidecar by SIGHUP.
+/// Changes of destinations and endpoints, which a running sidecar applies on SIGHUP.
 fn endpoints(old: &Sidecar, new: &Sidecar) -> Vec<Change> {
     let change = |words: String| Change { words, when: When::Hangup };
     let mut changes = Vec::new();
@@ -174,9 +174,9 @@
     for (number, name) in &was {
         match is.get(number) {
             None => changes
-                .push(change(format!("the destination {name} is gone: what is held for it is handed back"))),
+                .push(change(format!("the destination {name} is removed: its open messages are returned"))),
             Some(now) if now != name => {
-                changes.push(change(format!("the destination {number} is called {now}, was {name}")))
+                changes.push(change(format!("the destination {number} is named {now}, was {name}")))
             }
             Some(_) => {}
         }
@@ -189,18 +189,20 @@
         match before.get(name) {
             None => changes.push(change(format!("{dest} gets the endpoint {}", l.address))),
             Some(b) if b.draining != l.draining => {
-                let words = if l.draining { "drains: it gets nothing new" } else { "no longer drains" };
+                let words = if l.draining { "drains: it gets no new calls" } else { "no longer drains" };
                 changes.push(change(format!("the endpoint {} of {dest} {words}", l.address)));
             }
-            Some(b) if b != l => changes
-                .push(change(format!("the endpoint {} of {dest} has another kind, zone or rate", l.address))),
+            Some(b) if b != l => changes.push(change(format!(
+                "the endpoint {} of {dest} has a different kind, zone or rate",
+                l.address
+            ))),
             Some(_) => {}
         }
     }
     for (name, l) in &before {
         if !after.contains_key(name) && is.contains_key(&l.dest) {
             changes.push(change(format!(
-                "{} loses the endpoint {}: nothing new goes there",
+                "{} loses the endpoint {}: it gets no new calls",
                 was[&l.dest], l.address
             )));
         }
--- a/crates/tools/nickelshed-config/src/finding.rs
+++ b/crates/tools/nickelshed-config/src/finding.rs
@@ -1,15 +1,15 @@
-//! What a check finds: a code, where, what is wrong, and how to mend it.
+//! Findings of the checks: a code, the position in a file, a message and a suggested fix.
 use crate::code::{Code, Level};
 use std::fmt;
 use std::ops::Range;
 
-/// A place in a file, in bytes of its text.
+/// A byte range in the text of a file.
 pub type Place = Range<usize>;
 
-/// The number of a file among those that are checked together.
+/// Index of a file among those that are checked together.
 pub type FileId = usize;
 
-/// Another place that has to do with a finding.
+/// Another position that a finding refers to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Related {
     pub file: FileId,
@@ -22,9 +22,9 @@
     pub code: Code,
     pub file: FileId,
     pub place: Place,
-    /// What is wrong, in one sentence, with the names and figures of the file.
+    /// Describes the mistake in one sentence, with names and values from the file.
     pub what: String,
-    /// What to do about it.
+    /// Suggests how to fix it.
     pub help: String,
     pub related: Vec<Related>,
 }
@@ -42,7 +42,7 @@
         self.level() == Level::Error
     }
 
-    /// On one line, for a log.
+    /// Formats the finding as one line for a log. `text` is the text of `file`.
     pub fn line(&self, file: impl fmt::Display, text: &str) -> String {
         let (line, column) = position(text, self.place.start);
         let level = if self.is_error() { "error" } else { "warning" };
@@ -50,7 +50,8 @@
     }
 }
 
-/// Line and column, both from 1, the column in characters. A place past the end is the end.
+/// Returns line and column of a byte offset, both counted from 1, the column in characters. An offset past the end
+/// counts as the end.
 pub fn position(text: &str, at: usize) -> (usize, usize) {
     let mut at = at.min(text.len());
     while !text.is_char_boundary(at) {
--- a/crates/tools/nickelshed-config/src/fleet.rs
+++ b/crates/tools/nickelshed-config/src/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet: what the sidecars of one host have in common, and the applications that get one each.
+//! The fleet file: settings that the sidecars of one host have in common, and the applications that each get a sidecar.
+//! Derives one sidecar configuration per application.
 use crate::code::Code;
 use crate::finding::Finding;
 use crate::sidecar::*;
@@ -10,36 +11,36 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// What the sidecars of one host have in common, and the applications that get one each.
+/// Settings that the sidecars of one host have in common, and the applications that each get a sidecar.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// The machine that they run on.
+    /// Name of the machine that the sidecars run on.
     #[serde(default)]
     pub host: Option<String>,
-    /// The IP address that they listen at.
+    /// IP address that the sidecars listen at.
     #[serde(default = "loopback")]
     pub listen_at: IpAddr,
-    /// The ports that are given to applications without one: the first and the last.
+    /// First and last port of the range that is assigned to applications without a `port`.
     pub ports: [u16; 2],
-    /// The folder under which each has its state folder, named for its application.
+    /// Folder that contains the state folder of each sidecar, which is named after its application.
     pub state: PathBuf,
-    /// The folder in which each has its file of notices, named for its application.
+    /// Folder that contains the notice file of each sidecar, which is named after its application.
     #[serde(default)]
     pub notices: Option<PathBuf>,
-    /// Where all of them post notices.
+    /// URL that all sidecars post notices to.
     #[serde(default)]
     pub notices_http: Option<String>,
-    /// Whether every address must be a loopback one.
+    /// Whether every address must be a loopback address.
     #[serde(default)]
     pub loopback_only: bool,
-    /// How many sidecars deliver to the same destinations; as many as there are applications unless it is set.
+    /// Number of sidecars that deliver to the same destinations; defaults to the number of applications.
     #[serde(default)]
     pub senders: Option<u32>,
-    /// Codes of warnings that were looked at and accepted.
+    /// Codes of warnings that were reviewed and accepted.
     #[serde(default)]
     pub allow: Vec<String>,
-    /// As in a sidecar's file, for all of them.
+    /// As in a sidecar's file, for all sidecars.
     #[serde(default)]
     pub limits: Limits,
     /// As in a sidecar's file.
@@ -60,10 +61,10 @@
     /// As in a sidecar's file.
     #[serde(default)]
     pub prices: Prices,
-    /// Classes that applications may have.
+    /// Classes that applications may use.
     #[serde(rename = "class", default)]
     pub classes: Vec<Class>,
-    /// Tenants that applications may have.
+    /// Tenants that applications may use.
     #[serde(rename = "tenant", default)]
     pub tenants: Vec<Tenant>,
     /// As in a sidecar's file.
@@ -75,7 +76,7 @@
     /// Destinations that applications may deliver to.
     #[serde(rename = "destination", default)]
     pub destinations: Vec<Destination>,
-    /// The applications.
+    /// The applications, each of which gets a sidecar.
     #[serde(rename = "application", default)]
     pub applications: Vec<Application>,
 }
@@ -84,29 +85,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Application {
-    /// Its name.
+    /// Name of the application.
     pub name: String,
-    /// Its sidecar's port; else the first that is free.
+    /// Port of its sidecar; defaults to the first free port of `ports`.
     #[serde(default)]
     pub port: Option<u16>,
-    /// Its zone.
+    /// Zone that its sidecar runs in.
     #[serde(default)]
     pub own_zone: Option<String>,
-    /// The names of its classes; all of them unless it is set.
+    /// Names of its classes; defaults to all classes.
     #[serde(default)]
     pub classes: Option<Vec<String>>,
-    /// The names of its tenants; all of them unless it is set.
+    /// Names of its tenants; defaults to all tenants.
     #[serde(default)]
     pub tenants: Option<Vec<String>>,
-    /// The names of its destinations; all of them unless it is set.
+    /// Names of its destinations; defaults to all destinations.
     #[serde(default)]
     pub destinations: Option<Vec<String>>,
-    /// What differs from the fleet's limits.
+    /// Limits that differ from those of the fleet.
     #[serde(default)]
     pub limits: LimitsOver,
 }
 
-/// What differs from the fleet's limits.
+/// Limits that differ from those of the fleet; an absent value is taken from the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitsOver {
@@ -137,11 +138,11 @@
     IpAddr::V4(Ipv4Addr::LOCALHOST)
 }
 
-/// The configuration of each application, in the order of the fleet. Ports that others have are passed over, as are
-/// those that `is_free` says no to.
+/// Derives the sidecar configuration of each application, in the order of the fleet file. A port is not assigned if
+/// another application has it or if `is_free` returns false for it.
 ///
 /// # Errors
-/// What is wrong with the fleet itself; the files that come out are checked by the caller as any others are.
+/// Mistakes in the fleet file itself. The caller checks the resulting configurations like any others.
 pub fn sidecars(
     fleet: &Fleet,
     source: &Source,
@@ -155,7 +156,7 @@
         let port = app.port.or_else(|| free.find(|port| !taken.contains(port) && is_free(*port)));
         let Some(port) = port else {
             let [first, last] = fleet.ports;
-            let what = format!("no port from {first} to {last} is left for application `{}`", app.name);
+            let what = format!("no port from {first} to {last} is free for application `{}`", app.name);
             let place = source.place(&["ports".into()]);
             findings.push(Finding::new(Code::PortTaken, place, what, "Widen `ports`"));
             break;
@@ -170,12 +171,12 @@
                     None => {
                         let place = source.place(&[Step::Key("application"), i.into(), key.into(), n.into()]);
                         let what = format!(
-                            "application `{}` names `{name}` among its {key}, which the fleet has not",
+                            "application `{}` lists `{name}` in `{key}`, which the fleet file does not define",
                             app.name
                         );
                         let near = nearest(name, known.iter().copied());
-                        let help =
-                            near.map_or("Add it to the fleet".into(), |n| format!("Did you mean `{n}`?"));
+                        let help = near
+                            .map_or("Add it to the fleet file".into(), |n| format!("Did you mean `{n}`?"));
                         findings.push(Finding::new(Code::UnknownName, place, what, help));
                     }
                 }
@@ -218,7 +219,7 @@
         });
     }
     if fleet.applications.is_empty() {
-        let what = "there is no `[[application]]`, so there is nothing to write";
+        let what = "there is no `[[application]]`, so no sidecar configuration can be written";
         findings.push(Finding::new(Code::MissingKey, 0..0, what, "Add an `[[application]]` with its `name`"));
     }
     if findings.is_empty() {
--- a/crates/tools/nickelshed-config/src/lib.rs
+++ b/crates/tools/nickelshed-config/src/lib.rs
@@ -1,6 +1,6 @@
-//! The operator's configuration of a sidecar: its types, its checks, its writing. No I/O: texts come in, findings and
-//! settings go out. The sender and the tool `nickelshed-ctl` both read files through [`load`], so what one of them
-//! refuses the other does too.
+//! The operator's configuration of a sidecar: its types, its checks, and reading and writing of the text. Performs no
+//! I/O: it takes texts and returns findings and settings. The sender and the tool `nickelshed-ctl` both read files
+//! through [`load`], so both reject the same files.
 pub mod check;
 pub mod code;
 pub mod compile;
@@ -24,15 +24,18 @@
 pub use sidecar::Sidecar;
 pub use source::Source;
 
-/// A file that was read and checked by itself.
+/// A file that was read and checked on its own, without other files of the host.
 pub struct Loaded {
-    /// None if the form of the file is wrong.
+    /// `None` if the text is not a valid file of this type.
     pub file: Option<(Sidecar, Source)>,
     pub findings: Vec<Finding>,
 }
 
 impl Loaded {
-    /// What the file says, if nothing in it is an error.
+    /// The configuration, if there is no error among the findings.
+    ///
+    /// # Errors
+    /// All findings, if the file could not be read or if one of them is an error.
     pub fn sound(self) -> Result<Sidecar, Vec<Finding>> {
         let sound = !self.findings.iter().any(Finding::is_error);
         self.file.filter(|_| sound).map(|(sidecar, _)| sidecar).ok_or(self.findings)
@@ -44,7 +47,7 @@
     load_shaped(bytes, &Shape::of::<Sidecar>())
 }
 
-/// As [`load`], with the shape of [`Sidecar`] made beforehand: for many files.
+/// Like [`load`], with a prepared schema of [`Sidecar`], for reading many files.
 pub fn load_shaped(bytes: &[u8], shape: &Shape) -> Loaded {
     let text = match source::text(bytes) {
         Ok(text) => text,
--- a/crates/tools/nickelshed-config/src/operator.rs
+++ b/crates/tools/nickelshed-config/src/operator.rs
@@ -1,11 +1,12 @@
-//! What an operator decides beside the platform's configuration: `nickelshed --operator deploy/operator.toml`.
+//! The operator's own settings, in addition to the platform's configuration:
+//! `nickelshed --operator deploy/operator.toml`.
 use crate::sidecar::Journal;
 use crate::source::{self, Read};
 use crate::Finding;
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-/// Everything in it has a default.
+/// The operator's settings; every key has a default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
@@ -14,7 +15,7 @@
 
 impl Operator {
     /// # Errors
-    /// All that is wrong with the file.
+    /// Every finding about the file.
     pub fn load(bytes: &[u8]) -> Result<Operator, Vec<Finding>> {
         let text = source::text(bytes).map_err(|f| vec![*f])?;
         let Read { value, findings, .. } = source::read(text);
--- a/crates/tools/nickelshed-config/src/reference.rs
+++ b/crates/tools/nickelshed-config/src/reference.rs
@@ -1,4 +1,4 @@
-//! The page that lists every key, made from the types.
+//! Generates the reference page, which lists every key and code, from the types.
 use crate::code::Code;
 use crate::code::Level;
 use crate::shape::{Key, Shape};
@@ -7,11 +7,11 @@
 
 const HEAD: &str = "# Every key of a sidecar's configuration
 
-Made from the types by `nickelshed-ctl reference`; a test keeps this page current. How to run a sidecar is in
-[sidecar.md](sidecar.md), a worked example is `deploy/sidecar.toml`.
+Generated from the types by `nickelshed-ctl reference`; a test checks that this page is current. How to run a sidecar is
+described in [sidecar.md](sidecar.md); `deploy/sidecar.toml` is a complete example.
 ";
 
-/// The whole page, in Markdown.
+/// Returns the page in Markdown.
 pub fn page() -> String {
     let shape = Shape::of::<Sidecar>();
     let mut out = HEAD.to_string();
@@ -25,7 +25,7 @@
         } else {
             format!("[{}]", section.name)
         };
-        let must = if section.required { " Must be there." } else { "" };
+        let must = if section.required { " Required." } else { "" };
         _ = write!(out, "\n## `{heading}`\n\n{}{must}\n\n", section.about);
         let keys = shape.inside(section);
         table(&mut out, &keys);
@@ -37,8 +37,8 @@
             }
         }
     }
-    out.push_str("\n## Codes\n\nErrors stop a sidecar from starting, warnings do not. `nickelshed-ctl explain CODE` tells more.\n\n");
-    out.push_str("| code | | what |\n| --- | --- | --- |\n");
+    out.push_str("\n## Codes\n\nErrors stop a sidecar from starting, warnings do not. `nickelshed-ctl explain CODE` explains a code.\n\n");
+    out.push_str("| code | level | meaning |\n| --- | --- | --- |\n");
     for code in Code::ALL {
         let level = if code.level() == Level::Error { "error" } else { "warning" };
         _ = writeln!(out, "| {code} | {level} | {} |", code.about().title);
@@ -47,11 +47,11 @@
 }
 
 fn table(out: &mut String, keys: &[Key]) {
-    out.push_str("| key | form | default | meaning |\n| --- | --- | --- | --- |\n");
+    out.push_str("| key | format | default | meaning |\n| --- | --- | --- | --- |\n");
     for key in keys {
         let default = match key.default {
             Some(default) => format!("`{}`", default.to_string().replace('|', "\\|")),
-            None if key.required => "must be there".to_string(),
+            None if key.required => "required".to_string(),
             None => "none".to_string(),
         };
         _ = writeln!(
--- a/crates/tools/nickelshed-config/src/shape.rs
+++ b/crates/tools/nickelshed-config/src/shape.rs
@@ -1,9 +1,9 @@
-//! The sections and keys that a type has, read off its schema: one source for the reference, the comments of a new
-//! file, and the words of a difference.
+//! Sections and keys of a configuration type, read from its JSON schema. The reference page, the comments of a new file
+//! and the detection of unknown keys all use this one source.
 use schemars::JsonSchema;
 use serde_json::Value as Json;
 
-/// A type's schema.
+/// The JSON schema of a type.
 pub struct Shape {
     root: Json,
 }
@@ -11,9 +11,9 @@
 /// A key of a section.
 pub struct Key<'s> {
     pub name: &'s str,
-    /// What it means, on one line.
+    /// Description of the key, on one line.
     pub about: String,
-    /// How its value is written.
+    /// Description of the format of its value.
     pub form: String,
     pub default: Option<&'s Json>,
     pub required: bool,
@@ -29,12 +29,12 @@
         &self.root
     }
 
-    /// The keys at the top of the file, sections included, in the order of the type.
+    /// Returns the keys at the top level of the file, including sections, in the order of the type.
     pub fn keys(&self) -> Vec<Key<'_>> {
         self.keys_of(&self.root)
     }
 
-    /// The keys of a section or of each item of a list; none if it is a plain value.
+    /// Returns the keys of a section or of the items of a list; none for a plain value.
     pub fn inside<'s>(&'s self, key: &Key<'s>) -> Vec<Key<'s>> {
         let items = key.schema.get("items").unwrap_or(key.schema);
         self.keys_of(items)
@@ -78,9 +78,9 @@
     fn form(&self, schema: &Json) -> String {
         if let Some(reference) = schema.get("$ref").and_then(Json::as_str) {
             match reference.rsplit('/').next() {
-                Some("Period") => return "time, as `\"3s\"`".into(),
-                Some("Size") => return "size, as `\"64KiB\"`".into(),
-                Some("Percent") => return "share, as `\"25%\"`".into(),
+                Some("Period") => return "time, such as `\"3s\"`".into(),
+                Some("Size") => return "size, such as `\"64KiB\"`".into(),
+                Some("Percent") => return "share, such as `\"25%\"`".into(),
                 _ => return self.form(self.resolve(schema)),
             }
         }
@@ -107,7 +107,7 @@
         match kind {
             Some("string") => "text".into(),
             Some("boolean") => "`true` or `false`".into(),
-            Some("integer") => "whole number".into(),
+            Some("integer") => "integer".into(),
             Some("number") => "number".into(),
             Some("object") => "table".into(),
             other => other.unwrap_or("any").into(),
@@ -115,7 +115,7 @@
     }
 }
 
-/// The part of a schema that says what an object's keys are, behind references and choices.
+/// Returns the part of a schema that defines the keys of an object, following references and alternatives.
 pub fn object<'s>(schema: &'s Json, root: &'s Json) -> Option<&'s Json> {
     if let Some(reference) = schema.get("$ref").and_then(Json::as_str) {
         return object(root.pointer(reference.strip_prefix('#')?)?, root);
--- a/crates/tools/nickelshed-config/src/sidecar.rs
+++ b/crates/tools/nickelshed-config/src/sidecar.rs
@@ -1,50 +1,52 @@
-//! The operator's file as types. Their comments are what the reference, the schema and a new file say of each key.
+//! Types of the operator's configuration file. Their doc comments are the descriptions in the reference page, in the
+//! JSON schema and in files written by `nickelshed-ctl new`.
 use crate::units::{Percent, Period, Size};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Beyond it nobody reads a configuration: 8 MiB hold some 50,000 endpoints.
+/// Largest configuration file that is read, in bytes. 8 MiB hold some 50,000 endpoints.
 pub const MAX_FILE: usize = 8 << 20;
 
-/// The configuration of one sidecar: the sender that stands beside one application.
+/// The configuration of one sidecar: the sender that runs beside one application.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Sidecar {
-    /// The application that this sidecar stands beside. It names the sidecar in logs and notices.
+    /// Name of the application that this sidecar serves. It identifies the sidecar in logs and notices.
     pub application: String,
-    /// The machine that it runs on. Files that name different machines never clash over ports and folders.
+    /// Name of the machine that the sidecar runs on. Files that name different machines never conflict over ports and
+    /// folders.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<String>,
-    /// Where the application hands its messages in: an IP address and a port.
+    /// IP address and port at which the application submits its messages.
     pub listen: SocketAddr,
-    /// The folder for what was taken on and has not ended; it outlasts restarts. Relative to this file. Made if it
-    /// is not there.
+    /// Folder for accepted messages that have not finished; it is kept across restarts. Relative to the folder of this
+    /// file. Created if it does not exist.
     pub state: PathBuf,
-    /// Whether every address in this file must be a loopback one.
+    /// Whether every address in this file must be a loopback address.
     #[serde(default)]
     pub loopback_only: bool,
-    /// How many sidecars deliver to the same destinations. Their rates are shared among so many.
+    /// Number of sidecars that deliver to the same destinations. The rate of a destination is shared among them.
     #[serde(default = "one")]
     pub senders: u32,
-    /// The zone that it runs in, one of `[[zone]]`.
+    /// Zone that the sidecar runs in, one of `[[zone]]`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub own_zone: Option<String>,
-    /// Codes of warnings that were looked at and accepted.
+    /// Codes of warnings that were reviewed and accepted.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub allow: Vec<String>,
     #[serde(default)]
     pub limits: Limits,
     #[serde(default)]
     pub journal: Journal,
-    /// Where it is told how messages ended that were taken on and not delivered.
+    /// Where notices about accepted messages that were not delivered are sent.
     pub notices: Notices,
-    /// Where the list of endpoints comes from, if not from `[[destination]]`.
+    /// Source of the list of endpoints, if it does not come from `[[destination]]`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub discovery: Option<Discovery>,
-    /// The fleet that it is a member of: sidecars that share the limits of the same destinations and find out among
-    /// themselves how many they are.
+    /// The fleet that the sidecar is a member of: sidecars that share the limits of the same destinations and determine
+    /// their number among themselves.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fleet: Option<Membership>,
     #[serde(default)]
@@ -55,40 +57,40 @@
     pub traffic: Traffic,
     #[serde(default)]
     pub prices: Prices,
-    /// Classes of message. A message is handed in at `POST /NAME`.
+    /// Classes of message. A message is submitted with `POST /NAME`.
     #[serde(rename = "class", default)]
     pub classes: Vec<Class>,
-    /// Tenants, each with its share of the traffic. Without any, messages need no `X-Customer`.
+    /// Tenants, each with its share of the traffic. If there are none, messages need no `X-Customer`.
     #[serde(rename = "tenant", default, skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<Tenant>,
-    /// Kinds of endpoint, where they differ.
+    /// Kinds of endpoint, if the endpoints differ in batch size or in how they form routes.
     #[serde(rename = "kind", default, skip_serializing_if = "Vec::is_empty")]
     pub kinds: Vec<Kind>,
-    /// Zones, where endpoints lie in several.
+    /// Zones, if the endpoints are in more than one.
     #[serde(rename = "zone", default, skip_serializing_if = "Vec::is_empty")]
     pub zones: Vec<Zone>,
-    /// The systems that messages go to, with their endpoints.
+    /// The systems that messages are delivered to, with their endpoints.
     #[serde(rename = "destination", default, skip_serializing_if = "Vec::is_empty")]
     pub destinations: Vec<Destination>,
 }
 
-/// What the sidecar may use of its machine.
+/// Resources of the machine that the sidecar may use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Memory of the process. A fifth of it is for the messages that are held.
+    /// Memory of the process. A fifth of it is for open messages.
     pub memory: Size,
     /// File descriptors of the process.
     pub sockets: u32,
-    /// What the state folder may take on the disk.
+    /// Disk space that the state folder may use.
     pub disk: Size,
-    /// Calls out at once. One destination gets three quarters of them at most.
+    /// Maximum number of calls in flight. One destination gets at most three quarters of them.
     pub slots: u32,
-    /// Messages held at once, whether called out or waiting; more are refused at the door.
+    /// Maximum number of open messages, whether in flight or queued; further submissions are rejected.
     pub held: u32,
-    /// Attempts for one message at most.
+    /// Maximum number of attempts for one message.
     pub attempts: u32,
-    /// The usual body of a message, by which the checks reckon; 64 KiB is the longest that is taken.
+    /// Usual size of a message body, which the checks compute with; the largest accepted body is 64 KiB.
     pub usual_body: Size,
 }
 
@@ -106,43 +108,43 @@
     }
 }
 
-/// How messages are kept over restarts.
+/// How messages are kept across restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Journal {
-    /// What a message outlasts once it was answered 202.
+    /// Which failure a message survives once its submission was answered with 202.
     pub durability: Durability,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Durability {
-    /// The end of the process, by whatever signal.
+    /// The end of the process, whatever signal ends it.
     #[default]
     Process,
-    /// The loss of power too: 202 waits for a sync of the disk, which several messages share.
+    /// Loss of power as well: the 202 waits for a sync of the disk, which several messages share.
     Machine,
 }
 
-/// Where it is told how messages ended that were taken on and not delivered. A notice is owed until it is written
-/// at each place that is named.
+/// Where notices about accepted messages that were not delivered are sent. A notice stays pending until each configured
+/// sink has it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Notices {
-    /// Notices are posted here, JSON objects one a line: `http://ADDRESS:PORT/PATH`. Any answer from 200 to 299
-    /// takes them.
+    /// URL that notices are posted to, one JSON object per line: `http://ADDRESS:PORT/PATH`. Any response from 200 to 299
+    /// confirms them.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub http: Option<String>,
-    /// Notices are appended to this file, JSON objects one a line. Relative to this file.
+    /// File that notices are appended to, one JSON object per line. Relative to the folder of this file.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub file: Option<PathBuf>,
 }
 
-/// The agent that tells the list of endpoints and its changes.
+/// The discovery agent, which serves the list of endpoints and its changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
-    /// Its IP address and port.
+    /// IP address and port of the agent.
     pub address: SocketAddr,
 }
 
@@ -150,58 +152,59 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Membership {
-    /// The fleet's name, the same in all its members; another fleet's datagrams are dropped.
+    /// Name of the fleet, the same for all members; datagrams of other fleets are dropped.
     pub name: String,
-    /// This member's name, which no other may have; the application's, if it is left out. At most 32 bytes.
+    /// Name of this member, unique in the fleet; defaults to the name of the application. At most 32 bytes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub member: Option<String>,
-    /// Where it takes datagrams of other members: an IP address and a UDP port.
+    /// IP address and UDP port at which this member receives datagrams of other members.
     pub listen: SocketAddr,
-    /// Where others reach it, if that is another address than `listen`.
+    /// Address at which other members reach this one, if it differs from `listen`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub advertise: Option<SocketAddr>,
-    /// Members that are asked for the others at the start.
+    /// Addresses of members that this one contacts at its start to find the others.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub seeds: Vec<SocketAddr>,
-    /// The site that it stands in. At most 16 bytes.
+    /// Name of the site that this member is in. At most 16 bytes.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub site: String,
-    /// A file that only members can read; its bytes seal every datagram. Relative to this file.
+    /// File with the key that authenticates every datagram; only members may be able to read it. Relative to the folder
+    /// of this file.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key_file: Option<PathBuf>,
 }
 
 impl Membership {
-    /// Where others reach it.
+    /// Address at which other members reach this one.
     #[must_use]
     pub fn reached_at(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 }
 
-/// Figures of the six rules, and what the sidecar may do beside sending.
+/// Parameters of the six rules of delivery, and what the sidecar may do besides sending.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Nobody waits for any message longer than this; no class may be abandoned later.
+    /// Longest time that anyone waits for a message; no class may have a longer `abandoned_after`.
     pub abandonment: Period,
-    /// What a destination can do right after an outage, as a share of its capacity.
+    /// Share of its capacity that a destination has immediately after an outage.
     pub start_capacity: Percent,
-    /// How long it takes to be warm again after an outage.
+    /// Slow start: time that a destination takes after an outage to reach its full capacity again.
     pub cold: Period,
-    /// Sent this multiple of what it can do at that moment, for `overload_for`, a cold destination falls over.
+    /// A destination in slow start collapses if it is sent this multiple of its current capacity for `overload_for`.
     pub overload_multiple: f64,
-    /// See `overload_multiple`.
+    /// Duration of overload after which a destination in slow start collapses; see `overload_multiple`.
     pub overload_for: Period,
-    /// Classes in order: how long a key rests after an attempt whose end is not known.
+    /// Hold-off of a key after an attempt with unknown outcome, for classes with `in_order`.
     pub key_rest: Period,
-    /// The longest time after which a client is told to come again.
+    /// Longest time after which a rejected client is asked to retry.
     pub longest_return: Period,
-    /// Whether endpoints may be asked for their health (`GET /healthz`) when nothing else tells it.
+    /// Whether the sidecar may probe endpoints (`GET /healthz`) when nothing else shows their health.
     pub probes: bool,
-    /// Whether a call may be given up before its message's time is up.
+    /// Whether a call may be cancelled before its message expires.
     pub cancel: bool,
-    /// How coarse the sidecar's clock is.
+    /// Resolution of the sidecar's clock.
     pub tick: Period,
 }
 
@@ -226,9 +229,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Connections {
-    /// After so long without a call endpoints close a connection; the sidecar closes it a little sooner.
+    /// Time without a call after which endpoints close a connection; the sidecar closes it slightly earlier.
     pub idle: Period,
-    /// How long a connection may take to come up.
+    /// Time-out for establishing a connection.
     pub dial: Period,
 }
 
@@ -238,15 +241,15 @@
     }
 }
 
-/// The traffic that tenants have shares of, and what lateness costs.
+/// The traffic that tenants have shares of, and the value of late messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Traffic {
-    /// Messages a second, over all sidecars, of which tenants have shares. 0: shares bind nobody.
+    /// Messages per second over all sidecars, of which tenants have shares. With 0, shares are not enforced.
     pub rate: f64,
-    /// What a message beyond its tenant's share is still worth.
+    /// Share of its worth that a message beyond the share of its tenant has.
     pub over_share_worth: Percent,
-    /// How the worth of a late message falls.
+    /// How the worth of a late message decreases.
     pub late: Late,
 }
 
@@ -259,54 +262,54 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Late {
-    /// By half with each further `wanted_within`.
+    /// Exponentially: by half with each further `wanted_within`.
     Halves,
-    /// Evenly, down to `late_worth` at the end.
+    /// Linearly, down to `late_worth` at `abandoned_after`.
     Line,
 }
 
-/// What things cost, in points of service for each message; the module weighs them against one another.
+/// Costs, in points of service per message, which the policy weighs against one another.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Prices {
-    /// A new connection.
+    /// Cost of a new connection.
     pub handshake: f64,
-    /// A call into another zone.
+    /// Cost of a call to another zone.
     pub cross_zone: f64,
-    /// A call that was refused above a limit.
+    /// Cost of a call that a destination rejects because it exceeds a limit.
     pub refused: f64,
-    /// Work done in vain.
+    /// Cost of work that is wasted.
     pub waste: f64,
 }
 
-/// A class of message: how soon it is wanted, when it is given up, and whether it may run twice.
+/// A class of message: its target latency, its expiry, and whether it may be executed twice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name, in the path and in `X-Qos`.
+    /// Name of the class, as in the request path and in `X-Qos`.
     pub name: String,
-    /// Delivered within this time it has its full worth.
+    /// Target latency: a message that is delivered within this time has its full worth.
     pub wanted_within: Period,
-    /// After this time it is given up.
+    /// Time after which a message expires and is abandoned.
     pub abandoned_after: Period,
-    /// What a second run of the same message does.
+    /// Effect of executing the same message a second time.
     pub effect: Effect,
-    /// Keyed: how long a destination drops repeats, from the first attempt that may have run.
+    /// For `keyed`: how long a destination drops repeats, counted from the first attempt that may have been executed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeat_window: Option<Period>,
-    /// Keyed: which endpoints drop a repeat of what another one has run.
+    /// For `keyed`: which endpoints drop a repeat of a message that another endpoint has executed.
     #[serde(default)]
     pub repeat_scope: Scope,
-    /// What one message in time is worth.
+    /// Worth of a message that is delivered within `wanted_within`.
     #[serde(default = "whole")]
     pub worth: f64,
-    /// The share of its worth that is left at its end.
+    /// Lowest share of its worth that a late message has until `abandoned_after`.
     #[serde(default)]
     pub late_worth: Percent,
-    /// By how many times the message's own expected work `wanted_within` grows.
+    /// Extends `wanted_within` by this multiple of the expected work of the message.
     #[serde(default)]
     pub wanted_stretch: f64,
-    /// Whether messages with one key go out one by one, in the order they came in.
+    /// Whether messages with the same key are sent one at a time, in the order of their submission.
     #[serde(default)]
     pub in_order: bool,
 }
@@ -314,33 +317,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// No harm: it may be sent again at any time.
+    /// A second execution is harmless: the message may be sent again at any time.
     Safe,
-    /// Each message has a key, and a destination drops repeats of it for `repeat_window`.
+    /// Each message has a key, and a destination drops repeats with that key for `repeat_window`.
     Keyed,
-    /// Harm: it is sent again only when no attempt before can have run.
+    /// A second execution is harmful: the message is sent again only if no earlier attempt can have been executed.
     Unsafe,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Scope {
-    /// All endpoints of the destination.
+    /// All endpoints of the destination drop it.
     #[default]
     Destination,
-    /// Those in one zone.
+    /// The endpoints in the same zone drop it.
     Zone,
-    /// Only the same endpoint.
+    /// Only the endpoint that executed it drops it.
     Endpoint,
 }
 
-/// A tenant: one whose messages are counted together.
+/// A tenant, whose messages are counted together.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name, as in `X-Customer`.
+    /// Name of the tenant, as in `X-Customer`.
     pub name: String,
-    /// Its share of `traffic.rate`. What it sends beyond counts for `traffic.over_share_worth`.
+    /// Share of `traffic.rate`. Messages beyond it have only `traffic.over_share_worth` of their worth.
     pub share: Percent,
 }
 
@@ -348,42 +351,42 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// Its name, as endpoints give it.
+    /// Name of the kind, as destinations and discovery refer to it.
     pub name: String,
-    /// Messages in one call at most.
+    /// Maximum number of messages in one call.
     #[serde(default = "one")]
     pub batch: u32,
-    /// Whether each endpoint is a route of its own, with its own limit, pace and outages.
+    /// Whether each endpoint is a separate route, with its own limit, pacing and outages.
     #[serde(default)]
     pub separate_routes: bool,
 }
 
-/// A zone that endpoints lie in.
+/// A zone that contains endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
-    /// Its name, as endpoints give it.
+    /// Name of the zone, as endpoints refer to it.
     pub name: String,
-    /// Points of service for each message that a separate route there takes on.
+    /// Points of service for each message that a separate route in this zone accepts.
     #[serde(default)]
     pub fee: f64,
 }
 
-/// A system that messages go to.
+/// A system that messages are delivered to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Destination {
-    /// What people call it.
+    /// Name of the destination, for people.
     pub name: String,
-    /// What messages call it: `X-Consignee: dest=NUMBER`.
+    /// Number by which messages refer to the destination: `X-Consignee: dest=NUMBER`.
     pub number: u64,
-    /// Its kind, one of `[[kind]]`.
+    /// Kind of its endpoints, one of `[[kind]]`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<String>,
-    /// Roughly how many calls a second it takes, from all sidecars together.
+    /// Approximate number of calls per second that the destination accepts from all sidecars together.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rate: Option<f64>,
-    /// Its endpoints: addresses, or tables with an address and more.
+    /// Endpoints of the destination: addresses, or tables with an address and further keys.
     #[serde(default)]
     pub endpoints: Vec<EndpointForm>,
 }
@@ -392,9 +395,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, JsonSchema)]
 #[serde(untagged)]
 pub enum EndpointForm {
-    /// Its IP address and port.
+    /// IP address and port.
     Address(SocketAddr),
-    /// Its address and more.
+    /// A table with the address and further keys.
     Full(Endpoint),
 }
 
@@ -402,12 +405,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
-    /// Its IP address and port.
+    /// IP address and port of the endpoint.
     pub address: SocketAddr,
-    /// The zone that it lies in, one of `[[zone]]`.
+    /// Zone that the endpoint is in, one of `[[zone]]`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Whether it finishes what it has and gets nothing new.
+    /// Whether the endpoint is draining: it finishes the calls in flight and gets no new ones.
     #[serde(default)]
     pub draining: bool,
 }
@@ -421,7 +424,8 @@
     }
 }
 
-/// By hand, since a derived one would say of any mistake inside that no form fits.
+/// Implemented by hand, because a derived implementation for an untagged enum reports every mistake inside only as
+/// "no variant matches".
 impl<'de> Deserialize<'de> for EndpointForm {
     fn deserialize<D: serde::Deserializer<'de>>(from: D) -> Result<EndpointForm, D::Error> {
         struct Form;
@@ -430,7 +434,7 @@
             type Value = EndpointForm;
 
             fn expecting(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-                write!(f, "an address as in \"127.0.0.1:7501\", or a table with one")
+                write!(f, "an address such as \"127.0.0.1:7501\", or a table with an `address`")
             }
 
             fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<EndpointForm, E> {
--- a/crates/tools/nickelshed-config/src/source.rs
+++ b/crates/tools/nickelshed-config/src/source.rs
@@ -1,4 +1,5 @@
-//! A file's text read into its types, with every mistake of form and its place. Never panics, whatever the bytes.
+//! Reads the text of a file into its type and reports every mistake of syntax or type with its position. Never panics,
+//! whatever the bytes are.
 use crate::code::Code;
 use crate::finding::{Finding, Place};
 use crate::shape::{object, Shape};
@@ -11,12 +12,12 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// Mistakes of form that are told of one file at most: past them more help nobody.
+/// Maximum number of mistakes of syntax or type that are reported for one file. More would not help.
 const MOST: usize = 40;
-/// Tables and lists within one another at most; the types need four.
+/// Maximum nesting of tables and lists; the types need four levels.
 const DEEPEST: usize = 32;
 
-/// Where everything stands in a file that is TOML.
+/// The positions of all values in a TOML file.
 pub struct Source {
     root: Node,
 }
@@ -49,11 +50,11 @@
     each.collect()
 }
 
-/// What reading a file gave.
+/// The result of reading a file.
 pub struct Read<T> {
-    /// None if it is no TOML.
+    /// `None` if the file is not valid TOML.
     pub source: Option<Source>,
-    /// What was read, keys that are not known left out. None if there is any other mistake.
+    /// The value, without unknown keys. `None` if there is any other mistake.
     pub value: Option<T>,
     pub findings: Vec<Finding>,
 }
@@ -64,36 +65,36 @@
     }
 }
 
-/// Bytes of a file as text.
+/// Returns the bytes of a file as text.
 ///
 /// # Errors
-/// If they are too many or no UTF-8.
+/// If there are too many bytes or they are not UTF-8.
 pub fn text(bytes: &[u8]) -> Result<&str, Box<Finding>> {
     if bytes.len() > MAX_FILE {
-        let what = format!("the file has {} bytes, more than the {MAX_FILE} that are read", bytes.len());
+        let what = format!("the file has {} bytes, but the maximum is {MAX_FILE}", bytes.len());
         return Err(Box::new(Finding::new(Code::TooLarge, 0..0, what, Code::TooLarge.about().mend)));
     }
     std::str::from_utf8(bytes).map_err(|e| {
-        let what = format!("byte {} of the file is no UTF-8", e.valid_up_to() + 1);
+        let what = format!("byte {} of the file is not UTF-8", e.valid_up_to() + 1);
         Box::new(Finding::new(Code::NotText, 0..0, what, Code::NotText.about().mend))
     })
 }
 
-/// Reads a text into a type. Every unknown key is told with the nearest known one, and as many other mistakes as
-/// can be told apart.
+/// Reads a text into a type. Reports every unknown key with the most similar known one, and as many other mistakes as
+/// can be distinguished.
 pub fn read<T: DeserializeOwned + JsonSchema>(text: &str) -> Read<T> {
     read_shaped(text, &Shape::of::<T>())
 }
 
-/// As [`read`], with the type's shape made beforehand: for many files.
+/// Like [`read`], with a prepared schema of the type, for reading many files.
 pub fn read_shaped<T: DeserializeOwned>(text: &str, shape: &Shape) -> Read<T> {
     if let Some(at) = too_deep(text) {
-        let what = format!("tables or lists lie more than {DEEPEST} deep within one another");
+        let what = format!("tables or lists are nested more than {DEEPEST} levels deep");
         return Read::failed(Finding::new(
             Code::Syntax,
             at..at + 1,
             what,
-            "Nothing here needs more than four",
+            "No key needs more than four levels",
         ));
     }
     let (tree, errors) = DeTable::parse_recoverable(text);
@@ -114,12 +115,12 @@
 
 fn syntax(error: &toml::de::Error, text: &str) -> Finding {
     let place = error.span().unwrap_or(0..text.len().min(1));
-    let what = format!("the file is no TOML here: {}", error.message());
+    let what = format!("invalid TOML: {}", error.message());
     Finding::new(Code::Syntax, place, what, Code::Syntax.about().mend)
 }
 
-/// Where brackets nest too deep for anything that is meant, strings and comments left out as far as a glance tells.
-/// The parser has a bound of its own; this one is ours to keep.
+/// Returns the offset at which brackets are nested more than `DEEPEST` levels deep. Skips strings and comments, but only
+/// within a line. The parser has its own limit, but this check does not depend on it.
 fn too_deep(text: &str) -> Option<usize> {
     let mut depth = 0usize;
     let mut quote = None;
@@ -141,7 +142,7 @@
     None
 }
 
-/// Takes what no type knows out of a table, and tells of it.
+/// Removes unknown keys from a table and reports them.
 fn drop_unknown(table: &mut DeTable, schema: &Json, root: &Json, at: &str, findings: &mut Vec<Finding>) {
     let Some(properties) = object(schema, root).and_then(|o| o.get("properties")?.as_object()) else {
         return;
@@ -150,13 +151,13 @@
     for (key, value) in table.iter_mut() {
         let name: &str = key.get_ref();
         let Some(inner) = properties.get(name) else {
-            let place = if at.is_empty() { "at the top of the file".into() } else { format!("in `{at}`") };
+            let place = if at.is_empty() { "at the top level".into() } else { format!("in `{at}`") };
             let what = format!("there is no key `{name}` {place}");
             let help = match nearest(name, properties.keys().map(String::as_str)) {
                 Some(known) => format!("Did you mean `{known}`?"),
                 None => {
                     let known: Vec<&str> = properties.keys().map(String::as_str).collect();
-                    format!("Known there: {}", known.join(", "))
+                    format!("Known keys: {}", known.join(", "))
                 }
             };
             findings.push(Finding::new(Code::UnknownKey, key.span(), what, help));
@@ -182,7 +183,7 @@
     }
 }
 
-/// The name that was most likely meant.
+/// Returns the known name most similar to `name`, if it is similar enough to be a misspelling.
 pub fn nearest<'n>(name: &str, known: impl Iterator<Item = &'n str>) -> Option<&'n str> {
     let name = name.to_lowercase();
     let near = |k: &'n str| (strsim::damerau_levenshtein(&name, &k.to_lowercase()), k);
@@ -190,8 +191,8 @@
     (distance <= 1 + name.chars().count() / 3 && distance < best.chars().count()).then_some(best)
 }
 
-/// After a mistake the value is left out and the rest is tried, so that all mistakes are told at once. A table that
-/// lacks something then is left out in turn.
+/// Deserializes a table and reports all mistakes at once: after a mistake it removes the value and tries again. A key
+/// that is reported missing only because its value was removed is not a finding; its table is then removed in turn.
 fn read_known<T: DeserializeOwned>(
     mut tree: Spanned<DeTable>,
     text: &str,
@@ -217,7 +218,8 @@
     }
 }
 
-/// `missing`: it is a key that is not there, of the file itself or of a section.
+/// Builds the finding for an error of the deserializer. `missing` is set if a key is missing: true if it belongs at the
+/// top level of the file, false if it belongs in a section.
 fn value_finding(message: &str, place: Place, text: &str, missing: Option<bool>) -> Finding {
     let quoted = |m: &str| m.split('`').nth(1).unwrap_or_default().to_string();
     if let Some(of_file) = missing {
@@ -227,31 +229,31 @@
             true => ("the file".to_string(), 0..0),
             false => (format!("`{section}`"), place),
         };
-        let what = format!("{of} has no `{key}`, which it must have");
+        let what = format!("{of} lacks the required key `{key}`");
         return Finding::new(Code::MissingKey, place, what, format!("Add `{key}`"));
     }
     if let Some(rest) = message.strip_prefix("unknown variant ") {
         let mut words = rest.split('`').skip(1).step_by(2);
         let wrong = words.next().unwrap_or_default();
         let known: Vec<&str> = words.collect();
-        let what = format!("`{wrong}` is none of {}", known.join(", "));
+        let what = format!("`{wrong}` is not one of {}", known.join(", "));
         let help = match nearest(wrong, known.iter().copied()) {
             Some(near) => format!("Did you mean `{near}`?"),
-            None => "Write one of them".to_string(),
+            None => "Write one of these values".to_string(),
         };
         return Finding::new(Code::WrongValue, place, what, help);
     }
     let help = match message {
         m if m.contains("IP") || m.contains("socket address") => {
-            "Write an IP address and a port, as in `127.0.0.1:7400`; names are not looked up"
+            "Write an IP address and a port, such as `127.0.0.1:7400`; host names are not resolved"
         }
         _ => Code::WrongValue.about().mend,
     };
     Finding::new(Code::WrongValue, place, message.to_string(), help)
 }
 
-/// Takes the value out that stands at this place. Where the values stand that it lay in, innermost first, or None if
-/// there is no such value.
+/// Removes the value at this position. Returns the positions of the values that contained it, innermost first, or `None`
+/// if there is no such value.
 fn remove(table: &mut DeTable, place: &Range<usize>) -> Option<Vec<Place>> {
     let key = table.iter().find(|(k, v)| v.span() == *place || k.span() == *place).map(|(k, _)| k.clone());
     if let Some(key) = key {
@@ -278,7 +280,7 @@
     Some(above)
 }
 
-/// One step of a path into a file.
+/// One step of the path to a value in a file: a key of a table, or an index of a list.
 #[derive(Clone, Copy, Debug)]
 pub enum Step<'a> {
     Key(&'a str),
@@ -298,7 +300,8 @@
 }
 
 impl Source {
-    /// Where the value at a path stands; if it is not written down, where its section does, or else the file's start.
+    /// Returns the position of the value at a path. If the file does not contain it, returns the position of the nearest
+    /// enclosing section, or else the start of the file.
     pub fn place(&self, path: &[Step]) -> Place {
         let mut node = &self.root;
         for step in path {
--- a/crates/tools/nickelshed-config/src/together.rs
+++ b/crates/tools/nickelshed-config/src/together.rs
@@ -1,4 +1,5 @@
-//! The checks of many files that may run on one machine. One pass over the files, whatever their number.
+//! Checks for conflicts between configuration files whose sidecars may run on the same machine. Takes a single pass over
+//! the files.
 use crate::check::allows;
 use crate::code::Code;
 use crate::finding::{FileId, Finding, Place, Related};
@@ -9,8 +10,8 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 
-/// A file whose form is right, and where its paths lead on the machine that checks: relative ones from its own
-/// folder, with links followed as far as they exist.
+/// A file that was read without errors of form, with its paths as resolved on the checking machine: relative paths
+/// start at its own folder, and links are followed as far as they exist.
 pub struct Member<'a> {
     pub file: FileId,
     pub sidecar: &'a Sidecar,
@@ -19,12 +20,12 @@
     pub notices: Option<PathBuf>,
 }
 
-/// Who claims something first at each of its places, one of which may stand for all of them: an address among those of
-/// a port, a host among those that files name.
+/// The first user of a resource for each key. A resource is a port, with IP addresses as keys, or a file or name, with
+/// hosts as keys. A use without a key covers every key: an unspecified IP address, or a file that names no host.
 struct Claims<'a, K> {
-    /// Who claims it at a place that stands for all.
+    /// The first user that covers every key.
     all: Option<&'a Member<'a>>,
-    /// Who claims it first at whatever place.
+    /// The first user for any key.
     any: Option<&'a Member<'a>>,
     at: HashMap<K, &'a Member<'a>>,
 }
@@ -36,7 +37,7 @@
 }
 
 impl<'a, K: Hash + Eq> Claims<'a, K> {
-    /// Whoever has claimed the place before; `None` stands for all.
+    /// Returns the first user that conflicts with a use for this key; `None` stands for every key.
     fn holder(&self, place: Option<&K>) -> Option<&'a Member<'a>> {
         match place {
             None => self.any,
@@ -55,7 +56,7 @@
     }
 }
 
-/// A port, by the machines that files name. A file that names none may mean any of them.
+/// The users of a port, by host. A file that names no host may run on any of them.
 #[derive(Default)]
 struct Port<'a> {
     unnamed: Claims<'a, IpAddr>,
@@ -81,10 +82,10 @@
     }
 }
 
-/// Things that only one sidecar of a host may have.
+/// Resources that only one sidecar of a host may use.
 type Owned<'a, K> = HashMap<K, Claims<'a, &'a str>>;
 
-/// What is wrong between the files.
+/// Reports conflicts between the files.
 pub fn check<'a>(members: &'a [Member<'a>]) -> Vec<Finding> {
     let mut findings = Vec::new();
     let mut ports: HashMap<u16, Port> = HashMap::new();
@@ -105,7 +106,7 @@
                 let related = Related {
                     file: before.file,
                     place: before.source.place(path),
-                    what: "claimed here first".into(),
+                    what: "first used here".into(),
                 };
                 findings.push(Finding {
                     code,
@@ -123,14 +124,14 @@
             let (here, there) = (s.listen, b.sidecar.listen);
             let where_ = host.map_or("one host".to_string(), |h| format!("host `{h}`"));
             format!(
-                "applications `{other}` and `{app}` both claim port {} on {where_}: {there} and {here}",
+                "applications `{other}` and `{app}` both use port {} on {where_}: {there} and {here}",
                 here.port()
             )
         });
         let before = folders.entry(member.state.as_path()).or_default().claim(host, member);
         clash(Code::FolderTaken, before, &["state".into()], &|b| {
             format!(
-                "applications `{}` and `{app}` both keep their state in {}",
+                "applications `{}` and `{app}` both use the state folder {}",
                 b.sidecar.application,
                 member.state.display()
             )
@@ -149,14 +150,14 @@
             let before = datagrams.entry(fleet.listen).or_default().claim(host, member);
             clash(Code::FleetPortTaken, before, &["fleet".into(), "listen".into()], &|b| {
                 let other = &b.sidecar.application;
-                format!("applications `{other}` and `{app}` both take datagrams at {}", fleet.listen)
+                format!("applications `{other}` and `{app}` both receive datagrams at {}", fleet.listen)
             });
-            // A member's name is the fleet's, whatever machine it runs on.
+            // A member's name must be unique in the fleet, not only on its host.
             let name = fleet.member.as_deref().unwrap_or(app);
             let before = fleets.get(&(fleet.name.as_str(), name)).copied();
             fleets.entry((&fleet.name, name)).or_insert(member);
             clash(Code::MemberTaken, before, &["fleet".into(), "name".into()], &|_| {
-                format!("there are two members `{name}` of the fleet `{}`", fleet.name)
+                format!("there are two members named `{name}` in the fleet `{}`", fleet.name)
             });
         }
         let before = names.entry(app.as_str()).or_default().claim(host, member);
--- a/crates/tools/nickelshed-config/src/units.rs
+++ b/crates/tools/nickelshed-config/src/units.rs
@@ -1,4 +1,4 @@
-//! Figures with their units, as an operator writes them: `3s`, `64KiB`, `25%`.
+//! Quantities with units, as an operator writes them: `3s`, `64KiB`, `25%`.
 use schemars::{json_schema, JsonSchema, Schema, SchemaGenerator};
 use serde::de::{Error, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -7,12 +7,12 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// No time in a configuration is longer: what waits for days is a mistake in the unit.
+/// Longest duration in a configuration; a longer one is taken for a mistake in the unit.
 const LONGEST: Duration = Duration::from_secs(24 * 3600);
-/// No size is larger: 1 TiB.
+/// Largest size in a configuration, in bytes: 1 TiB.
 const LARGEST: u64 = 1 << 40;
 
-/// A span of time, in whole nanoseconds.
+/// A duration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Period(pub Duration);
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Size(pub u64);
 
-/// A part of a whole; `25%` is 0.25.
+/// A share as a fraction; `25%` is 0.25.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Percent(pub f64);
 
@@ -29,7 +29,7 @@
         Period(Duration::from_millis(ms))
     }
 
-    /// In nanoseconds, as the decision module counts. Fits: no period is longer than a day.
+    /// Returns the duration in nanoseconds, the unit of the policy. Cannot overflow, because a period is at most a day.
     pub fn ns(self) -> i64 {
         self.0.as_nanos() as i64
     }
@@ -40,11 +40,11 @@
 
     fn from_str(text: &str) -> Result<Period, String> {
         let wrong = |why: String| {
-            format!("`{text}` is no time: {why}. Write a number with a unit, as in `3s` or `250ms`")
+            format!("`{text}` is not a time: {why}. Write a number with a unit, such as `3s` or `250ms`")
         };
         let period = humantime::parse_duration(text).map_err(|e| wrong(e.to_string()))?;
         if period > LONGEST {
-            return Err(format!("`{text}` is longer than a day, the longest time there is here"));
+            return Err(format!("`{text}` is longer than a day, which is the maximum"));
         }
         Ok(Period(period))
     }
@@ -61,17 +61,17 @@
 
     fn from_str(text: &str) -> Result<Size, String> {
         let wrong = |why: &str| {
-            format!("`{text}` is no size: {why}. Write a number with a unit, as in `64KiB` or `192MB`")
+            format!("`{text}` is not a size: {why}. Write a number with a unit, such as `64KiB` or `192MB`")
         };
         if !text.ends_with(|c: char| c.is_ascii_alphabetic()) {
             return Err(wrong("its unit is missing"));
         }
         let bytes = text
             .parse::<bytesize::ByteSize>()
-            .map_err(|_| wrong("its number or its unit can't be read"))?
+            .map_err(|_| wrong("its number or its unit is invalid"))?
             .as_u64();
         if bytes > LARGEST {
-            return Err(format!("`{text}` is more than 1 TiB, the largest size there is here"));
+            return Err(format!("`{text}` is more than 1 TiB, which is the maximum"));
         }
         Ok(Size(bytes))
     }
@@ -102,7 +102,7 @@
         match number {
             Some(n) if (0.0..=10_000.0).contains(&n) => Ok(Percent(n / 100.0)),
             _ => Err(format!(
-                "`{text}` is no share. Write a number from 0 on with a percent sign, as in `25%`"
+                "`{text}` is not a share. Write a number of at least 0 with a percent sign, such as `25%`"
             )),
         }
     }
@@ -110,7 +110,7 @@
 
 impl fmt::Display for Percent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Ten digits are more than anybody writes, and hide what the division by a hundred has rounded.
+        // Ten decimals are more than a file has, and they hide the rounding error of the division by a hundred.
         let text = format!("{:.10}", self.0 * 100.0);
         write!(f, "{}%", text.trim_end_matches('0').trim_end_matches('.'))
     }
@@ -158,23 +158,23 @@
 
 written_as_text!(
     Period,
-    "a time with its unit, as in \"3s\"",
+    "a time with its unit, such as \"3s\"",
     "^[0-9]",
-    "A time with its unit: `3s`, `250ms`, `1m 30s`; a day at most."
+    "A time with its unit: `3s`, `250ms`, `1m 30s`; at most a day."
 );
 written_as_text!(
     Size,
-    "a size with its unit, as in \"64KiB\"",
+    "a size with its unit, such as \"64KiB\"",
     "^[0-9.]+ *[A-Za-z]+$",
-    "A size with its unit: `64KiB`, `192MB`; 1 TiB at most."
+    "A size with its unit: `64KiB`, `192MB`; at most 1 TiB."
 );
-written_as_text!(Percent, "a share with a percent sign, as in \"25%\"", "^[0-9.]+ *%$", "A share: `25%`.");
+written_as_text!(Percent, "a share with a percent sign, such as \"25%\"", "^[0-9.]+ *%$", "A share: `25%`.");
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    /// Whatever is written back reads as the same.
+    /// Formatting a value and parsing the result must return the same value.
     #[test]
     fn what_is_written_reads_back() {
         let mut rng = fastrand::Rng::with_seed(7);
--- a/crates/tools/nickelshed-config/src/url.rs
+++ b/crates/tools/nickelshed-config/src/url.rs
@@ -1,20 +1,21 @@
-//! The one form of URL that notices are posted to.
+//! Parses the form of URL that notices can be posted to: plain HTTP, an IP address and a port.
 use std::net::SocketAddr;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Url {
     pub address: SocketAddr,
-    /// Begins with a slash.
+    /// Starts with a slash; may include a query.
     pub path: String,
 }
 
 /// # Errors
-/// Says, as the end of a sentence, what is wrong.
+/// A description of the mistake that continues a sentence whose subject is the URL.
 pub fn parse(text: &str) -> Result<Url, String> {
-    let rest = text.strip_prefix("http://").ok_or("does not begin with `http://`")?;
+    let rest = text.strip_prefix("http://").ok_or("does not start with `http://`")?;
     let (address, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
-    let address =
-        address.parse().map_err(|_| format!("has `{address}` where an IP address and a port belong"))?;
+    let address = address
+        .parse()
+        .map_err(|_| format!("has `{address}` where an IP address and a port are expected"))?;
     let path = if path.is_empty() { "/" } else { path };
     if let Some(wrong) = path.chars().find(|c| !c.is_ascii_graphic() || matches!(c, '#' | '"' | '<' | '>')) {
         return Err(format!("has {wrong:?} in its path"));
--- a/crates/tools/nickelshed-config/src/write.rs
+++ b/crates/tools/nickelshed-config/src/write.rs
@@ -1,15 +1,16 @@
-//! A configuration written as a file, each key with what it means above it; and files laid out anew.
+//! Writes a configuration as a TOML file, with the description of each key as a comment above it, and formats existing
+//! files.
 use crate::shape::{Key, Shape};
 use crate::sidecar::Sidecar;
 use toml_edit::{Decor, DocumentMut, Item, KeyMut, RawString, Table, Value};
 
-/// The widest line of a comment.
+/// Maximum length of a comment line, in bytes.
 const WIDTH: usize = 100;
 
-/// A file that reads back as the same configuration. `explained`: with the meaning of each key above it.
+/// Writes a file that reads back as the same configuration. `explained` adds the description of each key above it.
 ///
 /// # Errors
-/// If a value has no form in TOML, as a path that is no text.
+/// If a value can't be represented in TOML, such as a path that is not UTF-8.
 pub fn file(sidecar: &Sidecar, explained: bool) -> Result<String, String> {
     let text = toml::to_string(sidecar).map_err(|e| format!("can't be written as TOML: {e}"))?;
     let mut document: DocumentMut = text.parse().map_err(|e| format!("can't be written as TOML: {e}"))?;
@@ -34,7 +35,7 @@
             }
             Some(Item::ArrayOfTables(tables)) => {
                 for (i, table) in tables.iter_mut().enumerate() {
-                    // Once is enough.
+                    // Only the first table of a list is described.
                     let above = if i == 0 { comment(&key.about) } else { String::new() };
                     table.decor_mut().set_prefix(format!("\n{above}"));
                     if i == 0 {
@@ -55,7 +56,7 @@
     }
 }
 
-/// Lines of a comment, each with its end.
+/// Wraps a text into comment lines, each with its line end.
 fn comment(text: &str) -> String {
     let mut lines = vec![String::from("#")];
     for word in text.split_whitespace() {
@@ -70,11 +71,11 @@
     lines.join("\n") + "\n"
 }
 
-/// A file laid out anew: one space around each `=`, one empty line before each section, none at the ends; comments,
-/// the order of keys and all values stay.
+/// Formats a file: one space around each `=`, one empty line before each section, none at the start and end. Keeps
+/// comments, the order of keys and all values.
 ///
 /// # Errors
-/// If it is no TOML.
+/// If the text is not valid TOML.
 pub fn tidy(text: &str) -> Result<String, String> {
     let mut document: DocumentMut = text.parse().map_err(|e| format!("{e}"))?;
     let trailing = above(document.trailing()).trim_end_matches('\n').to_string();
@@ -114,7 +115,7 @@
     let behind = value.decor().suffix().map(beside).unwrap_or_default();
     let spread = |text: String| text.contains('\n') || text.contains('#');
     match value {
-        // Those that somebody has spread over lines stay so.
+        // A list or inline table that spans several lines, or has a comment, keeps its layout.
         Value::Array(array) if !spread(array.to_string()) => {
             array.iter_mut().for_each(tidy_value);
             array.fmt();
@@ -125,11 +126,11 @@
     *value.decor_mut() = Decor::new(" ", behind);
 }
 
-/// What stands above something: comments, a line each, and one empty line where there were some.
+/// Returns the comment lines above a key or section. Several empty lines in a row become one.
 fn above(raw: &RawString) -> String {
     let mut out = String::new();
     let text = raw.as_str().unwrap_or_default();
-    // Behind the last line's end is what the key itself stands on, which is no line.
+    // The text after the last line end is the indentation of the key itself, not a line.
     let lines = text.rsplit_once('\n').map_or("", |(lines, _)| lines);
     for line in lines.split('\n').map(str::trim).skip(usize::from(!text.contains('\n'))) {
         if line.starts_with('#') {
@@ -142,7 +143,7 @@
     out
 }
 
-/// A comment behind something on its line.
+/// Returns the comment that follows a value or header on the same line, with one space before it.
 fn beside(raw: &RawString) -> String {
     let text = raw.as_str().unwrap_or_default().trim();
     if text.is_empty() {
--- a/crates/tools/nickelshed-config/tests/load.rs
+++ b/crates/tools/nickelshed-config/tests/load.rs
@@ -1,4 +1,4 @@
-//! Files, right and wrong, as the sender and the tool read them.
+//! Reads valid and invalid configuration files, through the function that the sender and `nickelshed-ctl` use.
 use nickelshed_config::{compile, load, load_shaped, Code, Finding, Shape, Sidecar};
 use nickelshed_policy::api::Settings;
 use serde_json::json;
@@ -9,7 +9,7 @@
     load(text.as_bytes()).findings
 }
 
-/// The one finding about the example with one text in it replaced.
+/// Replaces one text in the example and returns the only finding.
 fn changed(from: &str, to: &str) -> Finding {
     assert!(EXAMPLE.contains(from), "{from}");
     let text = EXAMPLE.replacen(from, to, 1);
@@ -23,7 +23,8 @@
     assert_eq!(findings(EXAMPLE), []);
 }
 
-/// The texts that an operator reads of the two mistakes that the users name first; the other one is between files.
+/// Users report two mistakes most; this is the message of one. The other, a port used by two sidecars, is a conflict
+/// between files and is tested with `nickelshed-ctl`.
 #[test]
 fn a_deadline_longer_than_the_abandonment_is_told_plainly() {
     let text = EXAMPLE.replacen("abandoned_after = \"16s\"", "abandoned_after = \"20s\"", 1);
@@ -31,13 +32,14 @@
     let finding = found.iter().find(|f| f.code == Code::BeyondAbandonment).unwrap();
     assert_eq!(
         finding.what,
-        "class `alert-prognozy` is abandoned after 20s, later than the 16s after which nobody waits for a message any more"
+        "class `alert-prognozy` is abandoned after 20s, later than 16s, after which nobody waits for a message any more"
     );
     assert_eq!(&text[finding.place.clone()], "\"20s\"");
     assert!(finding.is_error());
 }
 
-/// A member of a fleet, with what else is wanted, before the section that it stands for.
+/// Returns a `[fleet]` section with the keys of `more`, to be inserted in place of the line `[connections]`, which it
+/// repeats at its end.
 fn member(more: &str) -> String {
     format!("[fleet]\nname = \"f\"\nlisten = \"127.0.0.1:7450\"\n{more}\n[connections]")
 }
@@ -103,7 +105,7 @@
     for code in [Code::NoClass, Code::NoSource] {
         assert!(findings(none).iter().any(|f| f.code == code));
     }
-    // The rest are of bytes, of several files, and of the host.
+    // The remaining codes concern bytes that are not text, conflicts between files, and the host.
     left.retain(|c| !matches!(c, Code::NoClass | Code::NoSource | Code::BeyondAbandonment));
     use Code::*;
     assert_eq!(
@@ -151,7 +153,7 @@
     assert_eq!((finding.code, finding.help.as_str()), (Code::MissingKey, "Add `wanted_within`"));
 }
 
-/// One day of the platform's form, told in the operator's: both give the module the same.
+/// The same configuration in the platform's JSON and in the operator's TOML must give the policy the same settings.
 #[test]
 fn both_forms_give_the_module_the_same_settings() {
     let class = |name: &str, aim: u64, end: u64, effect: &str, window: u64| {
@@ -203,7 +205,8 @@
     }
 }
 
-/// Bytes changed, cut and doubled at random: an answer always comes, and every place lies in the text.
+/// Files with bytes changed, removed, doubled or swapped at random: reading never panics, and every position is inside
+/// the text.
 #[test]
 fn mutated_files_are_answered() {
     let mut rng = fastrand::Rng::with_seed(11);
--- a/crates/tools/nickelshed-ctl/tests/ctl.rs
+++ b/crates/tools/nickelshed-ctl/tests/ctl.rs
@@ -62,10 +62,13 @@
     scratch.write("c.toml", &member("c", 7402, 7452, "one"));
     let (code, text) = scratch.call(&["check", "a.toml", "b.toml"]);
     assert_eq!(code, 1, "{text}");
-    assert!(text.contains("NS806") && text.contains("both take datagrams at 127.0.0.1:7450"), "{text}");
+    assert!(text.contains("NS806") && text.contains("both receive datagrams at 127.0.0.1:7450"), "{text}");
     let (code, text) = scratch.call(&["check", "a.toml", "c.toml"]);
     assert_eq!(code, 1, "{text}");
-    assert!(text.contains("NS805") && text.contains("two members `one` of the fleet `alarm`"), "{text}");
+    assert!(
+        text.contains("NS805") && text.contains("two members named `one` in the fleet `alarm`"),
+        "{text}"
+    );
 }
 
 /// The two that the users name: their whole text is what an operator goes by.
@@ -77,7 +80,7 @@
     scratch.write("wschod.toml", EXAMPLE);
     scratch.write("zachod.toml", &second);
     let (code, text) = scratch.call(&["check", "wschod.toml", "zachod.toml"]);
-    let expected = r#"error[NS801]: applications `prognozy-wschod` and `prognozy-zachod` both claim port 7400 on one host: 127.0.0.1:7400 and 127.0.0.1:7400
+    let expected = r#"error[NS801]: applications `prognozy-wschod` and `prognozy-zachod` both use port 7400 on one host: 127.0.0.1:7400 and 127.0.0.1:7400
  --> zachod.toml:4:10
   |
 4 | listen = "127.0.0.1:7400"
@@ -86,10 +89,10 @@
  ::: wschod.toml:4:10
   |
 4 | listen = "127.0.0.1:7400"
-  |          ---------------- claimed here first
+  |          ---------------- first used here
   |
-  = note: Only the first to start gets the port; the other does not start, or its application hands in at the wrong sidecar.
-  = help: Give each a port of its own, or name the machines with `host` if they are different ones.
+  = note: Only the first sidecar to start gets the port; the other does not start, or its application submits to the wrong sidecar.
+  = help: Give each a different port, or set `host` in both files if they run on different machines.
 
 2 files: 1 error, 0 warnings
 "#;
@@ -98,13 +101,13 @@
     let late = EXAMPLE.replace("abandoned_after = \"16s\"", "abandoned_after = \"20s\"");
     scratch.write("late.toml", &late);
     let (code, text) = scratch.call(&["check", "late.toml"]);
-    let expected = r#"error[NS201]: class `alert-prognozy` is abandoned after 20s, later than the 16s after which nobody waits for a message any more
+    let expected = r#"error[NS201]: class `alert-prognozy` is abandoned after 20s, later than 16s, after which nobody waits for a message any more
   --> late.toml:46:19
    |
 46 | abandoned_after = "20s"
    |                   ^^^^^
    |
-   = note: After `rules.abandonment` (16 s unless it is set) nobody waits for a message any more: neither the client nor the destination, which may have forgotten its key. A message delivered then is late for all and may run twice.
+   = note: After `rules.abandonment` (16 s by default) neither the client nor the destination waits for a message any more, and the destination may have forgotten its key. A message delivered later is too late for both and may be executed twice.
    = help: Set `abandoned_after` to 16s at most, or raise `rules.abandonment` if clients and destinations really wait longer
 
 1 file: 1 error, 0 warnings
@@ -230,12 +233,12 @@
     let (code, text) = scratch.call(&["diff", "a.toml", "b.toml"]);
     let expected = "On SIGHUP, at once:
   the destination gmina-nowa is new, with the number 9
-  the endpoint 127.0.0.1:7503 of siec-wschod drains: it gets nothing new
+  the endpoint 127.0.0.1:7503 of siec-wschod drains: it gets no new calls
   gmina-nowa gets the endpoint 127.0.0.1:7509
-  siec-wschod loses the endpoint 127.0.0.1:7502: nothing new goes there
+  siec-wschod loses the endpoint 127.0.0.1:7502: it gets no new calls
 At the next start:
   alert-prognozy is abandoned at 12 s, was 16 s
-  20 calls go out at once at most, was 16
+  at most 20 calls are in flight at once, was 16
   drogi has a share of 30%, was 40%
 ";
     assert_eq!((code, text.as_str()), (0, expected));
@@ -248,7 +251,7 @@
     let new = ["new", "alarm", "--destination", "gmina:7=127.0.0.1:7501,127.0.0.1:7502", "--loopback-only"];
     assert_eq!(scratch.call(&new).0, 0);
     let first = scratch.read("alarm.toml");
-    assert!(first.contains("# After this time it is given up."), "{first}");
+    assert!(first.contains("# Time after which a message expires and is abandoned."), "{first}");
     assert_eq!(scratch.call(&["check", "--deny-warnings", "alarm.toml"]).0, 0);
     assert_eq!(scratch.call(&["fmt", "--check", "alarm.toml"]).0, 0);
     let (code, text) = scratch.call(&new);
@@ -301,7 +304,7 @@
             "destinations = [\"drogi-powiatow\"]",
             "Did you mean `drogi-powiatowe`?",
         ),
-        ("ports = [7400, 7499]", "ports = [7410, 7410]", "no port from 7410 to 7410 is left"),
+        ("ports = [7400, 7499]", "ports = [7410, 7410]", "no port from 7410 to 7410 is free"),
         ("slots = 8", "slotz = 8", "Did you mean `slots`?"),
         ("abandoned_after = \"16s\"", "abandoned_after = \"17s\"", "NS201"),
         ("name = \"prognozy-drogi\"", "name = \"prognozy-wschod\"", "NS802"),
