--- a/crates/proof/nickelshed-lab/src/files.rs
+++ b/crates/proof/nickelshed-lab/src/files.rs
@@ -8,7 +8,7 @@
 /// Everything that is wrong with the file, a line each.
 pub fn read(path: &Path) -> Result<Scenario, String> {
     let bytes = std::fs::read(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-    let text = source::text(&bytes).map_err(|f| format!("{}: {}", path.display(), f.what))?;
+    let text = source::text(&bytes).map_err(|f| format!("{}: {}", path.display(), f.message))?;
     parse(text, path)
 }
 
@@ -16,7 +16,7 @@
 /// Everything that is wrong with the text, a line each.
 pub fn parse(text: &str, path: &Path) -> Result<Scenario, String> {
     let read = source::read::<Scenario>(text);
-    let lines: Vec<String> = read.findings.iter().map(|f| f.line(path.display(), text)).collect();
+    let lines: Vec<String> = read.findings.iter().map(|f| f.to_log_line(path.display(), text)).collect();
     let scenario = read.value.filter(|_| lines.is_empty()).ok_or(lines.join("\n"))?;
     let sound = scenario.sound().map_err(|why| {
         // The figure is named first, so it can be found again.
--- a/crates/serve/nickelshed/src/config/sidecar.rs
+++ b/crates/serve/nickelshed/src/config/sidecar.rs
@@ -1,7 +1,7 @@
 //! The operator's form: one file in TOML, with paths relative to its folder.
 use super::{Config, Endpoints, Fresh, Limits, Sink};
 use crate::list::{Instance, List};
-use nickelshed_config::sidecar::{Sidecar, MAX_FILE};
+use nickelshed_config::sidecar::{Sidecar, MAX_FILE_BYTES};
 use nickelshed_config::{compile, url, Finding};
 use std::hash::{BuildHasher, Hasher};
 use std::io::Read;
@@ -12,17 +12,19 @@
 fn load(path: &Path) -> Result<Sidecar, String> {
     let mut bytes = Vec::new();
     // No more of it than would be read: a path may lead anywhere.
-    let read = std::fs::File::open(path).and_then(|f| f.take(MAX_FILE as u64 + 1).read_to_end(&mut bytes));
+    let read =
+        std::fs::File::open(path).and_then(|f| f.take(MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes));
     read.map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-    nickelshed_config::load(&bytes).sound().map_err(|findings| {
+    nickelshed_config::load(&bytes).into_valid().map_err(|findings| {
         let text = String::from_utf8_lossy(&bytes);
-        let lines = findings.iter().filter(|f| f.is_error()).map(|f: &Finding| f.line(path.display(), &text));
+        let lines =
+            findings.iter().filter(|f| f.is_error()).map(|f: &Finding| f.to_log_line(path.display(), &text));
         lines.collect::<Vec<_>>().join("\n")
     })
 }
 
 fn list(sidecar: &Sidecar) -> List {
-    let instance = |listed: compile::Listed| Instance {
+    let instance = |listed: compile::ListedEndpoint| Instance {
         name: listed.name,
         address: listed.address,
         zone: listed.zone,
@@ -31,7 +33,7 @@
         lifecycle: if listed.draining { "Terminating" } else { "Ready" }.to_string(),
         weight: listed.rate,
     };
-    List::whole(compile::listed(sidecar).into_iter().map(instance).collect())
+    List::whole(compile::listed_endpoints(sidecar).into_iter().map(instance).collect())
 }
 
 /// What of the file takes effect while the sender runs: its endpoints, or where they are asked for.
--- a/crates/serve/nickelshed/src/fleet.rs
+++ b/crates/serve/nickelshed/src/fleet.rs
@@ -84,7 +84,7 @@
         Ok(Fellowship {
             facts: Facts {
                 name: membership.member.clone().unwrap_or_else(|| application.to_string()),
-                address: membership.reached_at(),
+                address: membership.advertised_address(),
                 site: membership.site.clone(),
                 version: version(),
                 settings,
--- a/crates/serve/nickelshed/src/main.rs
+++ b/crates/serve/nickelshed/src/main.rs
@@ -24,7 +24,7 @@
     let bytes = std::fs::read(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     Operator::load(&bytes).map_err(|findings| {
         let text = String::from_utf8_lossy(&bytes);
-        findings.iter().map(|f| f.line(path.display(), &text)).collect::<Vec<_>>().join("\n")
+        findings.iter().map(|f| f.to_log_line(path.display(), &text)).collect::<Vec<_>>().join("\n")
     })
 }
 
--- a/crates/serve/nickelshed/tests/sidecar.rs
+++ b/crates/serve/nickelshed/tests/sidecar.rs
@@ -194,7 +194,7 @@
                 bytes[at] = rng.u8(b' '..b'~');
             }
         }
-        let verdict = nickelshed_config::load(&bytes).sound();
+        let verdict = nickelshed_config::load(&bytes).into_valid();
         // Another place to listen at, or another folder, is not this process's to try.
         if verdict.as_ref().is_ok_and(|s| s.listen != node.address || s.state != Path::new("state")) {
             continue;
--- a/crates/tools/nickelshed-config/src/check.rs
+++ b/crates/tools/nickelshed-config/src/check.rs
@@ -2,7 +2,7 @@
 use crate::code::Code;
 use crate::finding::Finding;
 use crate::sidecar::{Durability, Effect, Membership, Sidecar};
-use crate::source::{nearest, Source, Step};
+use crate::source::{closest_name, PathStep, Source};
 use crate::url;
 use nickelshed_budget::{max_messages_in_memory, max_messages_on_disk, SocketAllocation};
 use nickelshed_fleet::{MOST_NAME, MOST_SITE};
@@ -29,7 +29,7 @@
 }
 
 macro_rules! path {
-    ($($step:expr),*) => { &[$(Step::from($step)),*] };
+    ($($step:expr),*) => { &[$(PathStep::from($step)),*] };
 }
 
 /// Checks the content of a file that was read without errors of form. Warnings that the file allows are left out.
@@ -46,7 +46,7 @@
     c.allowed(sidecar);
     let mut findings = c.findings;
     findings.retain(|f| f.is_error() || !allows(sidecar, f.code));
-    findings.sort_by_key(|f| (f.place.start, f.code));
+    findings.sort_by_key(|f| (f.span.start, f.code));
     findings
 }
 
@@ -56,7 +56,7 @@
 }
 
 /// Removes `.` and `..` from a path as far as possible without reading the file system.
-pub fn plain(path: &Path) -> PathBuf {
+pub fn normalize_path(path: &Path) -> PathBuf {
     let mut out = PathBuf::new();
     for part in path.components() {
         match part {
@@ -72,14 +72,14 @@
 }
 
 impl Check<'_> {
-    fn find(&mut self, code: Code, path: &[Step], what: impl Into<String>, help: impl Into<String>) {
-        let place = self.source.place(path);
-        self.findings.push(Finding::new(code, place, what, help));
+    fn find(&mut self, code: Code, path: &[PathStep], message: impl Into<String>, help: impl Into<String>) {
+        let span = self.source.span(path);
+        self.findings.push(Finding::new(code, span, message, help));
     }
 
     /// Like `report_with_help`, with the help text of the code.
-    fn say(&mut self, code: Code, path: &[Step], what: impl Into<String>) {
-        self.find(code, path, what, code.about().mend);
+    fn say(&mut self, code: Code, path: &[PathStep], message: impl Into<String>) {
+        self.find(code, path, message, code.info().fix);
     }
 
     fn allowed(&mut self, s: &Sidecar) {
@@ -87,55 +87,57 @@
             match allowed.parse::<Code>() {
                 Ok(code) if code.level() == crate::code::Level::Warning => {}
                 Ok(_) => self.say(
-                    Code::NotAllowed,
+                    Code::InvalidAllowEntry,
                     path!["allow", i],
                     format!("`{allowed}` is an error, which can't be allowed"),
                 ),
-                Err(()) => {
-                    self.say(Code::NotAllowed, path!["allow", i], format!("there is no code `{allowed}`"))
-                }
+                Err(()) => self.say(
+                    Code::InvalidAllowEntry,
+                    path!["allow", i],
+                    format!("there is no code `{allowed}`"),
+                ),
             }
         }
     }
 
-    fn name(&mut self, what: &str, name: &str, path: &[Step]) {
+    fn name(&mut self, subject: &str, name: &str, path: &[PathStep]) {
         let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
         let shown: String = name.chars().take(MAX_NAME).collect();
         if name.is_empty() {
-            self.say(Code::BadName, path, format!("the {what} has an empty name"));
+            self.say(Code::InvalidName, path, format!("the {subject} has an empty name"));
         } else if name.len() > MAX_NAME {
             self.say(
-                Code::BadName,
+                Code::InvalidName,
                 path,
-                format!("the {what} `{shown}…` has a name of {} bytes", name.len()),
+                format!("the {subject} `{shown}…` has a name of {} bytes", name.len()),
             );
         } else if let Some(wrong) = name.chars().find(|c| !fits(*c)) {
-            self.say(Code::BadName, path, format!("the {what} `{shown}` has {wrong:?} in its name"));
-        } else if what == "class" && (name == "healthz" || name.chars().all(|c| c == '.')) {
-            self.say(Code::BadName, path, format!("the class `{name}` has the name of a reserved path"));
+            self.say(Code::InvalidName, path, format!("the {subject} `{shown}` has {wrong:?} in its name"));
+        } else if subject == "class" && (name == "healthz" || name.chars().all(|c| c == '.')) {
+            self.say(Code::InvalidName, path, format!("the class `{name}` has the name of a reserved path"));
         }
     }
 
     /// Checks the names of a list of sections: each is valid, and each is unique.
-    fn list_of_names<'n>(&mut self, what: &str, section: &str, names: impl Iterator<Item = &'n str>) {
+    fn list_of_names<'n>(&mut self, subject: &str, section: &str, names: impl Iterator<Item = &'n str>) {
         let mut seen = HashMap::new();
         for (i, name) in names.enumerate() {
-            self.name(what, name, path![section, i, "name"]);
+            self.name(subject, name, path![section, i, "name"]);
             if let Some(first) = seen.insert(name, i) {
-                let place = self.source.place(path![section, first, "name"]);
+                let span = self.source.span(path![section, first, "name"]);
                 self.say(
-                    Code::SameName,
+                    Code::DuplicateName,
                     path![section, i, "name"],
-                    format!("there are two sections for the {what} `{name}`"),
+                    format!("there are two sections for the {subject} `{name}`"),
                 );
-                self.relate(place, "first defined here");
+                self.relate(span, "first defined here");
             }
         }
     }
 
-    fn relate(&mut self, place: crate::finding::Place, what: &str) {
+    fn relate(&mut self, span: crate::finding::Span, message: &str) {
         if let Some(finding) = self.findings.last_mut() {
-            finding.related.push(crate::finding::Related { file: 0, place, what: what.to_string() });
+            finding.related.push(crate::finding::Related { file: 0, span, message: message.to_string() });
         }
     }
 
@@ -155,22 +157,22 @@
 
     fn known<'n>(
         &mut self,
-        what: &str,
+        subject: &str,
         name: &str,
         known: impl Iterator<Item = &'n str> + Clone,
-        path: &[Step],
+        path: &[PathStep],
     ) {
         if known.clone().any(|k| k == name) {
             return;
         }
-        let help = match nearest(name, known.clone()) {
+        let help = match closest_name(name, known.clone()) {
             Some(near) => format!("Did you mean `{near}`?"),
             None if known.clone().next().is_none() => {
-                format!("Add a `[[{what}]]` with that name, or remove it")
+                format!("Add a `[[{subject}]]` with that name, or remove it")
             }
             None => format!("Known are: {}", known.collect::<Vec<_>>().join(", ")),
         };
-        self.find(Code::UnknownName, path, format!("there is no {what} `{name}`"), help);
+        self.find(Code::UnknownName, path, format!("there is no {subject} `{name}`"), help);
     }
 
     fn classes(&mut self, s: &Sidecar) {
@@ -185,41 +187,42 @@
         for (i, class) in s.classes.iter().enumerate() {
             let (name, given_up, wanted) = (&class.name, class.abandoned_after, class.wanted_within);
             if given_up > most {
-                let what = format!("class `{name}` is abandoned after {given_up}, later than {most}, after which nobody waits for a message any more");
+                let message = format!("class `{name}` is abandoned after {given_up}, later than {most}, after which nobody waits for a message any more");
                 let help = format!("Set `abandoned_after` to {most} at most, or raise `rules.abandonment` if clients and destinations really wait longer");
-                self.find(Code::BeyondAbandonment, path!["class", i, "abandoned_after"], what, help);
+                self.find(Code::BeyondAbandonment, path!["class", i, "abandoned_after"], message, help);
             }
             if wanted > given_up {
-                let what = format!(
+                let message = format!(
                     "class `{name}` has a `wanted_within` of {wanted}, but is abandoned after {given_up}"
                 );
-                self.say(Code::AimBeyondDeadline, path!["class", i, "wanted_within"], what);
+                self.say(Code::TargetBeyondExpiry, path!["class", i, "wanted_within"], message);
             }
             for (key, time) in [("wanted_within", wanted), ("abandoned_after", given_up)] {
                 if time.ns() < 1_000_000 {
-                    let what = format!("class `{name}` has a `{key}` under a millisecond");
-                    self.say(Code::NoTime, path!["class", i, key], what);
+                    let message = format!("class `{name}` has a `{key}` under a millisecond");
+                    self.say(Code::DurationTooShort, path!["class", i, key], message);
                 }
             }
             match (class.effect, class.repeat_window) {
                 (Effect::Keyed, None) => {
-                    let what = format!("class `{name}` is keyed and has no `repeat_window`");
-                    self.say(Code::NoWindow, path!["class", i, "effect"], what);
+                    let message = format!("class `{name}` is keyed and has no `repeat_window`");
+                    self.say(Code::MissingRepeatWindow, path!["class", i, "effect"], message);
                 }
                 (Effect::Keyed, Some(window)) if window < given_up => {
                     let rest = crate::units::Period(given_up.0 - window.0);
-                    let what = format!("class `{name}` is abandoned after {given_up}, but its destinations drop repeats only for {window}: a message that may have been executed is not attempted in its last {rest}");
-                    self.say(Code::ShortWindow, path!["class", i, "repeat_window"], what);
+                    let message = format!("class `{name}` is abandoned after {given_up}, but its destinations drop repeats only for {window}: a message that may have been executed is not attempted in its last {rest}");
+                    self.say(Code::ShortRepeatWindow, path!["class", i, "repeat_window"], message);
                 }
                 (Effect::Safe | Effect::Unsafe, Some(_)) => {
-                    let what = format!("class `{name}` is not keyed, so its `repeat_window` has no effect");
-                    self.say(Code::IdleWindow, path!["class", i, "repeat_window"], what);
+                    let message =
+                        format!("class `{name}` is not keyed, so its `repeat_window` has no effect");
+                    self.say(Code::UnusedRepeatWindow, path!["class", i, "repeat_window"], message);
                 }
                 _ => {}
             }
             if class.in_order {
-                let what = format!("class `{name}` sets `in_order`, but messages carry no ordering key");
-                self.say(Code::OrderWithoutKey, path!["class", i, "in_order"], what);
+                let message = format!("class `{name}` sets `in_order`, but messages carry no ordering key");
+                self.say(Code::OrderWithoutOrderingKey, path!["class", i, "in_order"], message);
             }
             self.figure(class.worth, 0.0, path!["class", i, "worth"]);
             self.figure(class.wanted_stretch, 0.0, path!["class", i, "wanted_stretch"]);
@@ -227,72 +230,72 @@
         }
     }
 
-    fn figure(&mut self, figure: f64, least: f64, path: &[Step]) {
+    fn figure(&mut self, figure: f64, least: f64, path: &[PathStep]) {
         if !(figure >= least && figure <= LARGEST_FIGURE) {
             self.say(
-                Code::BadFigure,
+                Code::UnusableValue,
                 path,
                 format!("{figure} is out of range: it must be from {least} to {LARGEST_FIGURE:e}"),
             );
         }
     }
 
-    fn share(&mut self, share: f64, path: &[Step]) {
+    fn share(&mut self, share: f64, path: &[PathStep]) {
         if !(0.0..=1.0).contains(&share) {
-            let what =
+            let message =
                 format!("{} is out of range: it must be from 0% to 100%", crate::units::Percent(share));
-            self.say(Code::BadFigure, path, what);
+            self.say(Code::UnusableValue, path, message);
         }
     }
 
-    fn whole(&mut self, number: u32, least: u32, most: u32, code: Code, path: &[Step]) {
+    fn whole(&mut self, number: u32, least: u32, most: u32, code: Code, path: &[PathStep]) {
         if number < least {
             self.say(code, path, format!("{number} is too low: the minimum is {least}"));
         } else if number > most {
-            self.say(Code::BadFigure, path, format!("{number} is out of range: the maximum is {most}"));
+            self.say(Code::UnusableValue, path, format!("{number} is out of range: the maximum is {most}"));
         }
     }
 
     fn limits(&mut self, s: &Sidecar) {
         let l = &s.limits;
-        self.whole(l.attempts, 1, MOST_ATTEMPTS, Code::NoneHeld, path!["limits", "attempts"]);
-        self.whole(l.held, 1, u32::MAX, Code::NoneHeld, path!["limits", "held"]);
-        self.whole(s.senders, 1, MOST_SENDERS, Code::BadFigure, path!["senders"]);
-        self.whole(l.slots, 0, MOST_SLOTS, Code::FewSlots, path!["limits", "slots"]);
+        self.whole(l.attempts, 1, MOST_ATTEMPTS, Code::LimitOfZero, path!["limits", "attempts"]);
+        self.whole(l.held, 1, u32::MAX, Code::LimitOfZero, path!["limits", "held"]);
+        self.whole(s.senders, 1, MOST_SENDERS, Code::UnusableValue, path!["senders"]);
+        self.whole(l.slots, 0, MOST_SLOTS, Code::TooFewSlots, path!["limits", "slots"]);
         if l.slots < 2 {
-            let what = format!(
+            let message = format!(
                 "three quarters of {} slots are less than one call, so no destination would get a call",
                 l.slots
             );
-            self.say(Code::FewSlots, path!["limits", "slots"], what);
+            self.say(Code::TooFewSlots, path!["limits", "slots"], message);
         } else if l.slots <= MOST_SLOTS
             && !SocketAllocation::divide(l.sockets as usize, l.slots as usize).supports(l.slots as usize)
         {
             let calls = SocketAllocation::divide(l.sockets as usize, l.slots as usize).calls;
-            let what = format!("{} slots need as many connections to endpoints, but only {calls} of {} descriptors are for calls", l.slots, l.sockets);
-            self.say(Code::SlotsOverSockets, path!["limits", "slots"], what);
+            let message = format!("{} slots need as many connections to endpoints, but only {calls} of {} descriptors are for calls", l.slots, l.sockets);
+            self.say(Code::SlotsOverSockets, path!["limits", "slots"], message);
         }
         if l.usual_body.0 > MAX_BODY {
-            let what = format!("bodies of {} are never accepted: the maximum is 64KiB", l.usual_body);
-            self.say(Code::LongBody, path!["limits", "usual_body"], what);
+            let message = format!("bodies of {} are never accepted: the maximum is 64KiB", l.usual_body);
+            self.say(Code::BodyTooLarge, path!["limits", "usual_body"], message);
             return;
         }
         if l.held >= 1 && l.held < l.slots {
-            let what = format!(
+            let message = format!(
                 "only {} messages can be open at once, so of {} slots {} are never used",
                 l.held,
                 l.slots,
                 l.slots - l.held
             );
-            self.say(Code::HeldUnderSlots, path!["limits", "held"], what);
+            self.say(Code::HeldLimitUnderSlots, path!["limits", "held"], message);
         }
         let memory = max_messages_in_memory(l.memory.0, l.usual_body.0 as usize);
         if u64::from(l.held) > memory {
-            let what = format!(
+            let message = format!(
                 "`limits.held` is {} messages with bodies of {}, but a memory of {} holds only {memory}",
                 l.held, l.usual_body, l.memory
             );
-            self.say(Code::HeldOverMemory, path!["limits", "held"], what);
+            self.say(Code::HeldLimitOverMemory, path!["limits", "held"], message);
         }
         let disk = max_messages_on_disk(
             l.disk.0,
@@ -301,11 +304,11 @@
             s.journal.durability == Durability::Machine,
         );
         if u64::from(l.held) > disk {
-            let what = format!(
+            let message = format!(
                 "`limits.held` is {} messages with bodies of {} and up to {} attempts, but a journal of {} holds only {disk}",
                 l.held, l.usual_body, l.attempts, l.disk
             );
-            self.say(Code::HeldOverDisk, path!["limits", "held"], what);
+            self.say(Code::HeldLimitOverDisk, path!["limits", "held"], message);
         }
     }
 
@@ -317,17 +320,21 @@
             [("abandonment", r.abandonment), ("overload_for", r.overload_for), ("tick", r.tick)]
         {
             if time.ns() < 1_000_000 {
-                self.say(Code::NoTime, path!["rules", key], format!("`rules.{key}` is under a millisecond"));
+                self.say(
+                    Code::DurationTooShort,
+                    path!["rules", key],
+                    format!("`rules.{key}` is under a millisecond"),
+                );
             }
         }
         if r.tick.ns() > 1_000_000_000 {
-            let what = format!("a tick of {} is out of range: the maximum is 1s", r.tick);
-            self.say(Code::BadFigure, path!["rules", "tick"], what);
+            let message = format!("a tick of {} is out of range: the maximum is 1s", r.tick);
+            self.say(Code::UnusableValue, path!["rules", "tick"], message);
         }
         for (key, time) in [("idle", s.connections.idle), ("dial", s.connections.dial)] {
             if time.ns() < 1_000_000 {
                 self.say(
-                    Code::NoTime,
+                    Code::DurationTooShort,
                     path!["connections", key],
                     format!("`connections.{key}` is under a millisecond"),
                 );
@@ -346,7 +353,7 @@
             self.figure(zone.fee, 0.0, path!["zone", i, "fee"]);
         }
         for (i, kind) in s.kinds.iter().enumerate() {
-            self.whole(kind.batch, 1, MOST_BATCH, Code::BadFigure, path!["kind", i, "batch"]);
+            self.whole(kind.batch, 1, MOST_BATCH, Code::UnusableValue, path!["kind", i, "batch"]);
         }
     }
 
@@ -358,36 +365,36 @@
         if total > 1.0 + 1e-6 {
             let most =
                 (0..s.tenants.len()).max_by(|a, b| s.tenants[*a].share.0.total_cmp(&s.tenants[*b].share.0));
-            let what = format!(
+            let message = format!(
                 "the shares of {} tenants add up to {}",
                 s.tenants.len(),
                 crate::units::Percent(total)
             );
-            self.say(Code::SharesOverWhole, path!["tenant", most.unwrap_or(0), "share"], what);
+            self.say(Code::SharesOverTotal, path!["tenant", most.unwrap_or(0), "share"], message);
         }
         if !s.tenants.is_empty() && s.traffic.rate == 0.0 {
             self.say(
-                Code::IdleShares,
+                Code::SharesWithoutRate,
                 path!["tenant", 0, "share"],
                 "tenants have shares, but `traffic.rate` is not set",
             );
         }
     }
 
-    fn address(&mut self, s: &Sidecar, what: &str, address: SocketAddr, path: &[Step]) {
-        let peer = what != "sidecar";
+    fn address(&mut self, s: &Sidecar, subject: &str, address: SocketAddr, path: &[PathStep]) {
+        let peer = subject != "sidecar";
         if address.port() == 0 || (peer && (address.ip().is_unspecified() || is_group(address.ip()))) {
             let verb = if peer { "is reached" } else { "listens" };
             self.say(
-                Code::BadAddress,
+                Code::UnreachableAddress,
                 path,
-                format!("the {what} {verb} at {address}, which does not identify a single peer"),
+                format!("the {subject} {verb} at {address}, which does not identify a single peer"),
             );
         } else if s.loopback_only && !address.ip().to_canonical().is_loopback() {
             self.say(
                 Code::NotLoopback,
                 path,
-                format!("the {what} is at {address}, but this file sets `loopback_only`"),
+                format!("the {subject} is at {address}, but this file sets `loopback_only`"),
             );
         }
     }
@@ -395,9 +402,9 @@
     fn addresses(&mut self, s: &Sidecar) {
         self.address(s, "sidecar", s.listen, path!["listen"]);
         if !s.listen.ip().to_canonical().is_loopback() && !s.loopback_only {
-            let what =
+            let message =
                 format!("the sidecar listens at {}, where other machines may be able to reach it", s.listen);
-            self.say(Code::OpenListener, path!["listen"], what);
+            self.say(Code::ExposedListener, path!["listen"], message);
         }
         if let Some(discovery) = &s.discovery {
             self.address(s, "discovery", discovery.address, path!["discovery", "address"]);
@@ -414,26 +421,26 @@
         }
         for (i, seed) in fleet.seeds.iter().enumerate() {
             self.address(s, "seed", *seed, path!["fleet", "seeds", i]);
-            if *seed == fleet.reached_at() {
+            if *seed == fleet.advertised_address() {
                 self.say(
-                    Code::OwnSeed,
+                    Code::SelfAsSeed,
                     path!["fleet", "seeds", i],
                     format!("the seed {seed} is this member itself"),
                 );
             }
         }
         if fleet.key_file.is_none() && !fleet.listen.ip().to_canonical().is_loopback() {
-            let what = format!("the fleet `{}` has no `key_file`", fleet.name);
-            self.say(Code::OpenFleet, path!["fleet", "listen"], what);
+            let message = format!("the fleet `{}` has no `key_file`", fleet.name);
+            self.say(Code::UnauthenticatedFleet, path!["fleet", "listen"], message);
         }
         let member = fleet.member.as_ref().unwrap_or(&s.application);
-        let name_at: &[Step] =
+        let name_at: &[PathStep] =
             if fleet.member.is_some() { path!["fleet", "member"] } else { path!["application"] };
-        let site_at: &[Step] = path!["fleet", "site"];
+        let site_at: &[PathStep] = path!["fleet", "site"];
         for (name, most, path) in [(member, MOST_NAME, name_at), (&fleet.site, MOST_SITE, site_at)] {
             if name.len() > most {
-                let what = format!("`{name}` has {} bytes, but the maximum is {most}", name.len());
-                self.say(Code::LongName, path, what);
+                let message = format!("`{name}` has {} bytes, but the maximum is {most}", name.len());
+                self.say(Code::NameTooLong, path, message);
             }
         }
     }
@@ -441,16 +448,18 @@
     fn destinations(&mut self, s: &Sidecar) {
         match (&s.discovery, s.destinations.is_empty()) {
             (Some(_), false) => self.say(
-                Code::TwoSources,
+                Code::TwoEndpointSources,
                 path!["discovery"],
                 format!(
                     "there is `[discovery]`, but the file also lists {} destinations",
                     s.destinations.len()
                 ),
             ),
-            (None, true) => {
-                self.say(Code::NoSource, path![], "there is neither `[[destination]]` nor `[discovery]`")
-            }
+            (None, true) => self.say(
+                Code::NoEndpointSource,
+                path![],
+                "there is neither `[[destination]]` nor `[discovery]`",
+            ),
             _ => {}
         }
         let (mut numbers, mut names, mut endpoints) = (HashMap::new(), HashMap::new(), HashMap::new());
@@ -458,17 +467,17 @@
             let name = &d.name;
             self.name("destination", name, path!["destination", i, "name"]);
             if let Some(first) = numbers.insert(d.number, i) {
-                let what = format!(
+                let message = format!(
                     "destination `{name}` has the number {}, which `{}` has too",
                     d.number, s.destinations[first].name
                 );
-                self.say(Code::SameDestination, path!["destination", i, "number"], what);
-                self.relate(self.source.place(path!["destination", first, "number"]), "first used here");
+                self.say(Code::DuplicateDestination, path!["destination", i, "number"], message);
+                self.relate(self.source.span(path!["destination", first, "number"]), "first used here");
             }
             if let Some(first) = names.insert(name, i) {
-                let what = format!("there are two destinations named `{name}`");
-                self.say(Code::SameDestination, path!["destination", i, "name"], what);
-                self.relate(self.source.place(path!["destination", first, "name"]), "first defined here");
+                let message = format!("there are two destinations named `{name}`");
+                self.say(Code::DuplicateDestination, path!["destination", i, "name"], message);
+                self.relate(self.source.span(path!["destination", first, "name"]), "first defined here");
             }
             if let Some(kind) = &d.kind {
                 self.known(
@@ -482,19 +491,19 @@
                 self.figure(rate, 0.0, path!["destination", i, "rate"]);
             }
             if d.endpoints.is_empty() {
-                let what = format!("destination `{name}` has no endpoint");
-                self.say(Code::NoEndpoint, path!["destination", i, "endpoints"], what);
+                let message = format!("destination `{name}` has no endpoint");
+                self.say(Code::NoEndpoint, path!["destination", i, "endpoints"], message);
             }
             for (n, endpoint) in d.endpoints.iter().enumerate() {
                 let endpoint = endpoint.endpoint();
                 let at = path!["destination", i, "endpoints", n];
                 self.address(s, "endpoint", endpoint.address, at);
                 if same_place(endpoint.address, s.listen) {
-                    let what = format!(
+                    let message = format!(
                         "destination `{name}` has the endpoint {}, where this sidecar itself listens",
                         endpoint.address
                     );
-                    self.say(Code::OwnAddress, at, what);
+                    self.say(Code::DeliveryToItself, at, message);
                 }
                 if let Some(zone) = &endpoint.zone {
                     self.known("zone", zone, s.zones.iter().map(|z| z.name.as_str()), at);
@@ -505,17 +514,18 @@
                 let address = endpoint.address;
                 if first == i {
                     self.say(
-                        Code::SameEndpoint,
+                        Code::DuplicateEndpoint,
                         at,
                         format!("destination `{name}` lists the endpoint {address} twice"),
                     );
                 } else {
                     let other = &s.destinations[first].name;
-                    let what = format!("the endpoint {address} is listed under `{other}` and under `{name}`");
-                    self.say(Code::TwoDestinations, at, what);
+                    let message =
+                        format!("the endpoint {address} is listed under `{other}` and under `{name}`");
+                    self.say(Code::EndpointOfTwoDestinations, at, message);
                 }
                 self.relate(
-                    self.source.place(path!["destination", first, "endpoints", item]),
+                    self.source.span(path!["destination", first, "endpoints", item]),
                     "first listed here",
                 );
             }
@@ -525,42 +535,47 @@
     fn notices(&mut self, s: &Sidecar) {
         let n = &s.notices;
         if n.http.is_none() && n.file.is_none() {
-            self.say(Code::NoSink, path!["notices"], "neither `notices.http` nor `notices.file` is set");
+            self.say(
+                Code::NoNoticeSink,
+                path!["notices"],
+                "neither `notices.http` nor `notices.file` is set",
+            );
         }
         if let Some(http) = &n.http {
             match url::parse(http) {
                 Ok(url) => {
                     self.address(s, "receiver of notices", url.address, path!["notices", "http"]);
                     if same_place(url.address, s.listen) {
-                        let what = format!(
+                        let message = format!(
                             "notices are posted to {}, where this sidecar itself listens",
                             url.address
                         );
-                        self.say(Code::OwnAddress, path!["notices", "http"], what);
+                        self.say(Code::DeliveryToItself, path!["notices", "http"], message);
                     }
                 }
-                Err(why) => self.say(Code::BadUrl, path!["notices", "http"], format!("`{http}` {why}")),
+                Err(why) => self.say(Code::InvalidUrl, path!["notices", "http"], format!("`{http}` {why}")),
             }
         }
         if s.state.as_os_str().is_empty() {
-            self.say(Code::BadFigure, path!["state"], "the path of the state folder is empty");
+            self.say(Code::UnusableValue, path!["state"], "the path of the state folder is empty");
         }
         if let Some(file) = &n.file {
             if file.file_name().is_none() {
-                self.say(Code::BadFigure, path!["notices", "file"], "the path has no file name");
-            } else if plain(file).starts_with(plain(&s.state)) {
-                let what = format!(
+                self.say(Code::UnusableValue, path!["notices", "file"], "the path has no file name");
+            } else if normalize_path(file).starts_with(normalize_path(&s.state)) {
+                let message = format!(
                     "the notice file {} is in the state folder {}",
                     file.display(),
                     s.state.display()
                 );
-                self.say(Code::SinkInState, path!["notices", "file"], what);
+                self.say(Code::NoticeFileInState, path!["notices", "file"], message);
             }
         }
         for (key, text) in [("state", s.state.to_str()), ("file", n.file.as_ref().and_then(|f| f.to_str()))] {
             if text.is_some_and(|t| t.contains('\0')) {
-                let path: &[Step] = if key == "state" { path!["state"] } else { path!["notices", "file"] };
-                self.say(Code::BadFigure, path, "a path can't contain a NUL byte");
+                let path: &[PathStep] =
+                    if key == "state" { path!["state"] } else { path!["notices", "file"] };
+                self.say(Code::UnusableValue, path, "a path can't contain a NUL byte");
             }
         }
     }
--- a/crates/tools/nickelshed-config/src/code.rs
+++ b/crates/tools/nickelshed-config/src/code.rs
@@ -13,16 +13,16 @@
 }
 
 /// Explanation of a code.
-pub struct About {
+pub struct CodeInfo {
     pub code: &'static str,
     pub level: Level,
     pub title: &'static str,
     pub why: &'static str,
-    pub mend: &'static str,
+    pub fix: &'static str,
 }
 
 macro_rules! codes {
-    ($($name:ident = $code:literal, $level:ident, $title:literal, $why:literal, $mend:literal;)*) => {
+    ($($name:ident = $code:literal, $level:ident, $title:literal, $why:literal, $fix:literal;)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
         pub enum Code { $($name),* }
 
@@ -30,9 +30,9 @@
             /// All codes in ascending order.
             pub const ALL: &'static [Code] = &[$(Code::$name),*];
 
-            pub fn about(self) -> &'static About {
+            pub fn info(self) -> &'static CodeInfo {
                 match self {
-                    $(Code::$name => &About { code: $code, level: Level::$level, title: $title, why: $why, mend: $mend },)*
+                    $(Code::$name => &CodeInfo { code: $code, level: Level::$level, title: $title, why: $why, fix: $fix },)*
                 }
             }
         }
@@ -66,165 +66,165 @@
          and the destination may have forgotten its key. A message delivered later is too late for both and may be \
          executed twice.",
         "Shorten the class's `abandoned_after`, or raise `rules.abandonment` if clients and destinations really wait longer.";
-    AimBeyondDeadline = "NS202", Error, "a class has a longer `wanted_within` than `abandoned_after`",
+    TargetBeyondExpiry = "NS202", Error, "a class has a longer `wanted_within` than `abandoned_after`",
         "Its messages would expire before they are late, so lateness would have no effect.",
         "Set `wanted_within` to at most `abandoned_after`.";
-    ShortWindow = "NS203", Warning, "a class has a shorter `repeat_window` than `abandoned_after`",
+    ShortRepeatWindow = "NS203", Warning, "a class has a shorter `repeat_window` than `abandoned_after`",
         "A message that may have been executed is not sent again once its destination may have forgotten the key. From then \
          on it is not attempted, and it may fail although the destination is healthy.",
         "Ask for a longer `repeat_window`, shorten `abandoned_after` to it, or accept this with `allow = [\"NS203\"]`.";
-    NoTime = "NS204", Error, "a duration under a millisecond",
+    DurationTooShort = "NS204", Error, "a duration under a millisecond",
         "Nothing can be delivered in that time.",
         "Set it to at least a millisecond.";
-    NoWindow = "NS205", Error, "a keyed class without a `repeat_window`",
+    MissingRepeatWindow = "NS205", Error, "a keyed class without a `repeat_window`",
         "Without it the sidecar does not know for how long a message that may have been executed may be sent again.",
         "Set `repeat_window` to the time for which the destinations drop repeats.";
-    IdleWindow = "NS206", Warning, "a `repeat_window` without effect",
+    UnusedRepeatWindow = "NS206", Warning, "a `repeat_window` without effect",
         "Only messages of keyed classes have a key by which a destination can recognise a repeat.",
         "Remove it, or make the class `effect = \"keyed\"`.";
     NoClass = "NS207", Error, "no message class",
         "Every message is submitted under a class; without one no message can be submitted.",
         "Add a `[[class]]`.";
-    OrderWithoutKey = "NS208", Warning, "a class with `in_order` whose messages carry no ordering key",
+    OrderWithoutOrderingKey = "NS208", Warning, "a class with `in_order` whose messages carry no ordering key",
         "The request by which clients submit a message has no field for an ordering key yet, so messages are not ordered.",
         "Remove `in_order`, or accept this with `allow = [\"NS208\"]`.";
-    BadFigure = "NS209", Error, "a value that is out of range or unusable",
+    UnusableValue = "NS209", Error, "a value that is out of range or unusable",
         "The policy computes with it; a value out of range would lead to wrong decisions without an error.",
         "Set it to a value in the range that the message names.";
     SlotsOverSockets = "NS301", Error, "more slots than file descriptors for calls",
         "Each call in flight needs a descriptor, and so do clients, files and the listener. Calls without one fail at once.",
         "Raise `limits.sockets` (and the limit of the process), or lower `limits.slots`.";
-    HeldOverMemory = "NS302", Error, "`limits.held` is more than fits into memory",
+    HeldLimitOverMemory = "NS302", Error, "`limits.held` is more than fits into memory",
         "A fifth of the memory is for messages. When it is used up, submissions are rejected long before `limits.held` is reached.",
         "Raise `limits.memory`, or lower `limits.held` to the number that the message names.";
-    HeldOverDisk = "NS303", Error, "`limits.held` is more than fits into the journal",
+    HeldLimitOverDisk = "NS303", Error, "`limits.held` is more than fits into the journal",
         "Space for a message and all records that may follow for it is reserved before it is accepted; without that space it is rejected.",
         "Raise `limits.disk`, or lower `limits.held` or `limits.attempts`.";
-    FewSlots = "NS304", Error, "fewer than two slots",
+    TooFewSlots = "NS304", Error, "fewer than two slots",
         "A destination gets at most three quarters of the slots, so that one that hangs leaves slots for others. Three quarters of a single slot are none.",
         "Set `limits.slots` to at least 2.";
-    HeldUnderSlots = "NS305", Warning, "`limits.held` is less than `limits.slots`",
+    HeldLimitUnderSlots = "NS305", Warning, "`limits.held` is less than `limits.slots`",
         "A message in flight counts as held too, so slots beyond `limits.held` are never used.",
         "Lower `limits.slots` or raise `limits.held`.";
-    NoneHeld = "NS306", Error, "a limit of no messages or no attempts",
+    LimitOfZero = "NS306", Error, "a limit of no messages or no attempts",
         "A sidecar that may hold no message, or make no attempt, rejects every submission.",
         "Set it to at least 1.";
-    LongBody = "NS307", Error, "`limits.usual_body` is larger than the largest accepted body",
+    BodyTooLarge = "NS307", Error, "`limits.usual_body` is larger than the largest accepted body",
         "Bodies over 64 KiB are rejected with 413.",
         "Set `limits.usual_body` to at most 64KiB.";
     NoEndpoint = "NS401", Error, "a destination without an endpoint",
         "Its messages are accepted, wait, and are returned shortly before they expire.",
         "Add an endpoint, or remove the destination: then its messages are rejected at once.";
-    TwoDestinations = "NS402", Error, "the same endpoint under two destinations",
+    EndpointOfTwoDestinations = "NS402", Error, "the same endpoint under two destinations",
         "Its calls would be counted against two limits, and during an outage it would still count as healthy under its other destination, so it would be overloaded.",
         "Keep it only under the destination that it belongs to.";
-    SameDestination = "NS403", Error, "two destinations with the same name or number",
+    DuplicateDestination = "NS403", Error, "two destinations with the same name or number",
         "A message refers to its destination by number, so it could go to either.",
         "Give each destination a unique number and name.";
-    TwoSources = "NS404", Error, "endpoints both from the file and from discovery",
+    TwoEndpointSources = "NS404", Error, "endpoints both from the file and from discovery",
         "Each full list from discovery replaces the known endpoints, so those of this file would be removed by the first answer.",
         "Keep either `[discovery]` or the `[[destination]]` sections.";
-    NoSource = "NS405", Error, "no destinations",
+    NoEndpointSource = "NS405", Error, "no destinations",
         "Without a list of endpoints no message can be delivered.",
         "Add a `[[destination]]` with its endpoints, or `[discovery]` with the address of the agent.";
-    OwnAddress = "NS406", Error, "the sidecar would deliver to itself",
+    DeliveryToItself = "NS406", Error, "the sidecar would deliver to itself",
         "Its messages would be accepted again and again.",
         "Set the address of the real endpoint, or let the sidecar listen at another address.";
     UnknownName = "NS407", Error, "a reference to an undefined name",
         "The kind or zone would count as unknown, and its batch size, fee or routes would not apply.",
         "Write the name as its section does, or add the section.";
-    SameEndpoint = "NS408", Error, "an endpoint twice in a destination",
+    DuplicateEndpoint = "NS408", Error, "an endpoint twice in a destination",
         "It would get twice its share, and its calls would be counted separately.",
         "List it once.";
-    SharesOverWhole = "NS501", Error, "tenant shares that add up to more than 100%",
+    SharesOverTotal = "NS501", Error, "tenant shares that add up to more than 100%",
         "When all tenants use their share, there is more traffic than `traffic.rate`, and no tenant is protected.",
         "Lower the shares until they add up to at most 100%.";
-    SameName = "NS502", Error, "duplicate name",
+    DuplicateName = "NS502", Error, "duplicate name",
         "Only the first section with the name would ever be used.",
         "Give each a unique name.";
-    BadName = "NS503", Error, "a name that a header or path can't contain",
+    InvalidName = "NS503", Error, "a name that a header or path can't contain",
         "Clients send the name in a header or in the path of a request; such a name does not arrive unchanged.",
         "Use letters, digits, `-`, `_` and `.`, at most 64 characters.";
-    IdleShares = "NS504", Warning, "tenant shares without `traffic.rate`",
+    SharesWithoutRate = "NS504", Warning, "tenant shares without `traffic.rate`",
         "Without `traffic.rate` it is unknown what the shares refer to, and they are not enforced.",
         "Set `traffic.rate` to the number of messages per second over all sidecars.";
     NotLoopback = "NS601", Error, "an address that is not a loopback address",
         "The file sets `loopback_only`: the sidecar may listen and connect only on its own machine.",
         "Use an address in 127.0.0.0/8 or [::1], or remove `loopback_only`.";
-    BadAddress = "NS602", Error, "an address that can't be reached",
+    UnreachableAddress = "NS602", Error, "an address that can't be reached",
         "Port 0, an unspecified address such as 0.0.0.0, and multicast and broadcast addresses do not identify a single peer.",
         "Set the port, and for an endpoint its own address.";
-    OpenListener = "NS603", Warning, "clients on other machines can submit messages",
+    ExposedListener = "NS603", Warning, "clients on other machines can submit messages",
         "The listener does not authenticate clients. Anyone who can reach it can send to your customers.",
         "Listen on 127.0.0.1, or accept this with `allow = [\"NS603\"]` if the network denies access to others.";
-    OwnSeed = "NS611", Warning, "a member lists itself as a seed",
+    SelfAsSeed = "NS611", Warning, "a member lists itself as a seed",
         "A member ignores its own address. If it is the only seed, the member waits until others contact it.",
         "List other members too; in a file that all members share, accept this with `allow = [\"NS611\"]`.";
-    OpenFleet = "NS612", Warning, "a fleet without a key",
+    UnauthenticatedFleet = "NS612", Warning, "a fleet without a key",
         "Anyone who can reach the port can pose as a member and so make this one use too much or too little of a limit.",
         "Give all members the same `fleet.key_file`, or accept this with `allow = [\"NS612\"]` if the network denies access to others.";
-    LongName = "NS613", Error, "a name that is too long for a datagram",
+    NameTooLong = "NS613", Error, "a name that is too long for a datagram",
         "Members describe each member to one another in 256 bytes.",
         "Shorten it: at most 32 bytes for a member, 16 for a site. The name of the member is that of the application unless `fleet.member` is set.";
-    NoSink = "NS701", Error, "no sink for notices about undelivered messages",
+    NoNoticeSink = "NS701", Error, "no sink for notices about undelivered messages",
         "A client that was answered 202 relies on delivery; if a message can't be delivered, someone must be notified.",
         "Set `notices.file` or `notices.http`, or both.";
-    SinkInState = "NS702", Error, "the notice file is in the state folder",
+    NoticeFileInState = "NS702", Error, "the notice file is in the state folder",
         "It would count against `limits.disk` until no message can be accepted.",
         "Move it to another folder.";
-    BadUrl = "NS703", Error, "an invalid URL for notices",
+    InvalidUrl = "NS703", Error, "an invalid URL for notices",
         "Notices are posted over plain HTTP, and host names are not resolved.",
         "Write it as `http://127.0.0.1:7500/reports`.";
-    PortTaken = "NS801", Error, "two applications use the same port",
+    PortConflict = "NS801", Error, "two applications use the same port",
         "Only the first sidecar to start gets the port; the other does not start, or its application submits to the wrong sidecar.",
         "Give each a different port, or set `host` in both files if they run on different machines.";
-    FolderTaken = "NS802", Error, "two applications use the same state folder",
+    StateFolderConflict = "NS802", Error, "two applications use the same state folder",
         "A second sidecar on the folder refuses to start.",
         "Give each a different folder.";
-    SameApplication = "NS803", Warning, "the same application name twice on a host",
+    DuplicateApplication = "NS803", Warning, "the same application name twice on a host",
         "Logs and notices of the two can't be distinguished.",
         "Give each a different name.";
-    SinkTaken = "NS804", Error, "two applications write to the same notice file",
+    NoticeFileConflict = "NS804", Error, "two applications write to the same notice file",
         "A sidecar truncates the file after a failed write, which could remove notices of the other.",
         "Give each a different file.";
-    MemberTaken = "NS805", Error, "two members with the same name in a fleet",
+    DuplicateMember = "NS805", Error, "two members with the same name in a fleet",
         "The one that started earlier leaves the fleet's protocol once it learns of the other, and uses only a small part of each limit.",
         "Give each a different `fleet.member`.";
-    FleetPortTaken = "NS806", Error, "two members receive datagrams at the same address",
+    FleetAddressConflict = "NS806", Error, "two members receive datagrams at the same address",
         "The second to start has no membership view of the fleet.",
         "Give each a different port in `fleet.listen`, or set `host` in both files if they run on different machines.";
-    NotAllowed = "NS901", Error, "a code that can't be allowed",
+    InvalidAllowEntry = "NS901", Error, "a code that can't be allowed",
         "Only warnings can be accepted; errors must be fixed, and a misspelt code accepts nothing.",
         "Write the code of a warning, or remove the entry.";
-    ListenTaken = "NS951", Error, "the port is in use on this host",
+    ListenAddressInUse = "NS951", Error, "the port is in use on this host",
         "The sidecar could not listen and would exit immediately.",
         "Stop the program that listens there, or give the sidecar another port. A sidecar that is already running uses its own port.";
     FolderUnwritable = "NS952", Error, "the folder is not writable",
         "A message is written to disk before it is accepted, so no message could be accepted.",
         "Create the folder for the user who runs the sidecar.";
-    DiskShort = "NS953", Error, "less free disk space than the journal may use",
+    LowDiskSpace = "NS953", Error, "less free disk space than the journal may use",
         "When other programs have filled the disk, no new message is accepted.",
         "Free disk space, or lower `limits.disk`.";
-    DescriptorsShort = "NS954", Error, "the file descriptor limit of the process is below `limits.sockets`",
+    LowDescriptorLimit = "NS954", Error, "the file descriptor limit of the process is below `limits.sockets`",
         "Connections beyond the limit of the process fail, including those to destinations.",
         "Raise the limit (`ulimit -n`, `LimitNOFILE=`), or lower `limits.sockets`.";
-    Unreachable = "NS955", Warning, "an address that can't be connected to",
+    ConnectionFailed = "NS955", Warning, "an address that can't be connected to",
         "The system may be down at the moment; the sidecar keeps trying.",
         "Check the address, and that the system is running.";
-    MemoryShort = "NS956", Warning, "less free memory than the sidecar may use",
+    LowMemory = "NS956", Warning, "less free memory than the sidecar may use",
         "The operating system could kill the sidecar when it has many open messages.",
         "Free memory, or lower `limits.memory`.";
 }
 
 impl Code {
     pub fn level(self) -> Level {
-        self.about().level
+        self.info().level
     }
 }
 
 impl fmt::Display for Code {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.pad(self.about().code)
+        f.pad(self.info().code)
     }
 }
 
@@ -233,6 +233,6 @@
 
     /// Case-insensitive.
     fn from_str(text: &str) -> Result<Code, ()> {
-        Code::ALL.iter().copied().find(|c| c.about().code.eq_ignore_ascii_case(text)).ok_or(())
+        Code::ALL.iter().copied().find(|c| c.info().code.eq_ignore_ascii_case(text)).ok_or(())
     }
 }
--- a/crates/tools/nickelshed-config/src/compile.rs
+++ b/crates/tools/nickelshed-config/src/compile.rs
@@ -7,7 +7,7 @@
 
 /// An endpoint from the file, with the data of an entry of a discovery list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedEndpoint {
     /// Derived from destination number and address, so an endpoint keeps its name while both stay the same.
     pub name: String,
     pub address: SocketAddr,
@@ -55,7 +55,7 @@
             .map(|t| api::Tenant { quota_per_s: quota(s.traffic.rate, t.share.0) })
             .collect(),
         over_share_worth: s.traffic.over_share_worth.0,
-        halves: s.traffic.late == Late::Halves,
+        halves: s.traffic.late == Late::Exponential,
         n_instances: s.senders as usize,
         zone,
         tick: s.rules.tick.ns(),
@@ -131,10 +131,10 @@
 }
 
 /// Returns the endpoints that the file lists.
-pub fn listed(s: &Sidecar) -> Vec<Listed> {
+pub fn listed_endpoints(s: &Sidecar) -> Vec<ListedEndpoint> {
     let first_zone = s.zones.first().map_or(PLAIN, |z| z.name.as_str());
     let each = s.destinations.iter().flat_map(|d| d.endpoints.iter().map(move |e| (d, e.endpoint())));
-    each.map(|(d, e)| Listed {
+    each.map(|(d, e)| ListedEndpoint {
         name: format!("{}/{}", d.number, e.address),
         address: e.address,
         dest: d.number,
--- a/crates/tools/nickelshed-config/src/diff.rs
+++ b/crates/tools/nickelshed-config/src/diff.rs
@@ -6,17 +6,17 @@
 
 /// When a change takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum When {
+pub enum TakesEffect {
     /// On SIGHUP, while the sidecar is running.
-    Hangup,
+    OnReload,
     /// At the next start.
-    Start,
+    AfterRestart,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    pub words: String,
-    pub when: When,
+    pub description: String,
+    pub takes_effect: TakesEffect,
 }
 
 /// Descriptions of changed keys, as (section, key, template). Other keys get a generic sentence.
@@ -59,7 +59,7 @@
 /// Returns every difference from `old` to `new`; none if both are equivalent.
 pub fn diff(old: &Sidecar, new: &Sidecar) -> Vec<Change> {
     let mut changes = endpoints(old, new);
-    let start = |words: String| Change { words, when: When::Start };
+    let start = |description: String| Change { description, takes_effect: TakesEffect::AfterRestart };
     let (before, after) = (json(old), json(new));
     let keys: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
     for key in keys {
@@ -75,11 +75,11 @@
     }
     // The address of discovery may change on SIGHUP, but adding or removing discovery needs a restart.
     for change in &mut changes {
-        if old.discovery.is_some() && new.discovery.is_some() && change.words.starts_with("discovery") {
-            change.when = When::Hangup;
+        if old.discovery.is_some() && new.discovery.is_some() && change.description.starts_with("discovery") {
+            change.takes_effect = TakesEffect::OnReload;
         }
     }
-    changes.sort_by_key(|c| c.when);
+    changes.sort_by_key(|c| c.takes_effect);
     changes
 }
 
@@ -115,13 +115,13 @@
             .collect()
     };
     let (old, new) = (by_name(old), by_name(new));
-    let words = ITEMS.iter().find(|(s, ..)| *s == section);
+    let templates = ITEMS.iter().find(|(s, ..)| *s == section);
     let mut out = Vec::new();
     for name in old.keys().chain(new.keys()).collect::<BTreeSet<_>>() {
         match (old.get(name), new.get(name)) {
             (Some(b), Some(a)) => out.extend(fields(section, name, b, a)),
-            (None, Some(_)) => out.extend(words.map(|(_, added, _)| added.replace("{name}", name))),
-            (Some(_), None) => out.extend(words.map(|(.., removed)| removed.replace("{name}", name))),
+            (None, Some(_)) => out.extend(templates.map(|(_, added, _)| added.replace("{name}", name))),
+            (Some(_), None) => out.extend(templates.map(|(.., removed)| removed.replace("{name}", name))),
             (None, None) => {}
         }
     }
@@ -155,13 +155,13 @@
         let (number, unit) = w.split_at(unit);
         unit.chars().all(|c| c.is_ascii_alphabetic()).then(|| format!("{number} {unit}"))
     };
-    let words: Option<Vec<String>> = text.split(' ').map(word).collect();
-    words.map_or(text.to_string(), |w| w.join(" "))
+    let parts: Option<Vec<String>> = text.split(' ').map(word).collect();
+    parts.map_or(text.to_string(), |w| w.join(" "))
 }
 
 /// Changes of destinations and endpoints, which a running sidecar applies on SIGHUP.
 fn endpoints(old: &Sidecar, new: &Sidecar) -> Vec<Change> {
-    let change = |words: String| Change { words, when: When::Hangup };
+    let change = |description: String| Change { description, takes_effect: TakesEffect::OnReload };
     let mut changes = Vec::new();
     let names =
         |s: &Sidecar| s.destinations.iter().map(|d| (d.number, d.name.clone())).collect::<BTreeMap<_, _>>();
@@ -181,29 +181,34 @@
             Some(_) => {}
         }
     }
-    let listed =
-        |s: &Sidecar| compile::listed(s).into_iter().map(|l| (l.name.clone(), l)).collect::<BTreeMap<_, _>>();
-    let (before, after) = (listed(old), listed(new));
-    for (name, l) in &after {
-        let dest = &is[&l.dest];
+    let by_name = |s: &Sidecar| {
+        compile::listed_endpoints(s)
+            .into_iter()
+            .map(|endpoint| (endpoint.name.clone(), endpoint))
+            .collect::<BTreeMap<_, _>>()
+    };
+    let (before, after) = (by_name(old), by_name(new));
+    for (name, endpoint) in &after {
+        let dest = &is[&endpoint.dest];
         match before.get(name) {
-            None => changes.push(change(format!("{dest} gets the endpoint {}", l.address))),
-            Some(b) if b.draining != l.draining => {
-                let words = if l.draining { "drains: it gets no new calls" } else { "no longer drains" };
-                changes.push(change(format!("the endpoint {} of {dest} {words}", l.address)));
+            None => changes.push(change(format!("{dest} gets the endpoint {}", endpoint.address))),
+            Some(b) if b.draining != endpoint.draining => {
+                let state =
+                    if endpoint.draining { "drains: it gets no new calls" } else { "no longer drains" };
+                changes.push(change(format!("the endpoint {} of {dest} {state}", endpoint.address)));
             }
-            Some(b) if b != l => changes.push(change(format!(
+            Some(b) if b != endpoint => changes.push(change(format!(
                 "the endpoint {} of {dest} has a different kind, zone or rate",
-                l.address
+                endpoint.address
             ))),
             Some(_) => {}
         }
     }
-    for (name, l) in &before {
-        if !after.contains_key(name) && is.contains_key(&l.dest) {
+    for (name, endpoint) in &before {
+        if !after.contains_key(name) && is.contains_key(&endpoint.dest) {
             changes.push(change(format!(
                 "{} loses the endpoint {}: it gets no new calls",
-                was[&l.dest], l.address
+                was[&endpoint.dest], endpoint.address
             )));
         }
     }
--- a/crates/tools/nickelshed-config/src/finding.rs
+++ b/crates/tools/nickelshed-config/src/finding.rs
@@ -4,7 +4,7 @@
 use std::ops::Range;
 
 /// A byte range in the text of a file.
-pub type Place = Range<usize>;
+pub type Span = Range<usize>;
 
 /// Index of a file among those that are checked together.
 pub type FileId = usize;
@@ -13,25 +13,25 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Related {
     pub file: FileId,
-    pub place: Place,
-    pub what: String,
+    pub span: Span,
+    pub message: String,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
     pub code: Code,
     pub file: FileId,
-    pub place: Place,
+    pub span: Span,
     /// Describes the mistake in one sentence, with names and values from the file.
-    pub what: String,
+    pub message: String,
     /// Suggests how to fix it.
     pub help: String,
     pub related: Vec<Related>,
 }
 
 impl Finding {
-    pub fn new(code: Code, place: Place, what: impl Into<String>, help: impl Into<String>) -> Finding {
-        Finding { code, file: 0, place, what: what.into(), help: help.into(), related: Vec::new() }
+    pub fn new(code: Code, span: Span, message: impl Into<String>, help: impl Into<String>) -> Finding {
+        Finding { code, file: 0, span, message: message.into(), help: help.into(), related: Vec::new() }
     }
 
     pub fn level(&self) -> Level {
@@ -43,10 +43,10 @@
     }
 
     /// Formats the finding as one line for a log. `text` is the text of `file`.
-    pub fn line(&self, file: impl fmt::Display, text: &str) -> String {
-        let (line, column) = position(text, self.place.start);
+    pub fn to_log_line(&self, file: impl fmt::Display, text: &str) -> String {
+        let (line, column) = position(text, self.span.start);
         let level = if self.is_error() { "error" } else { "warning" };
-        format!("{file}:{line}:{column}: {level}[{}]: {}. {}", self.code, self.what, self.help)
+        format!("{file}:{line}:{column}: {level}[{}]: {}. {}", self.code, self.message, self.help)
     }
 }
 
--- a/crates/tools/nickelshed-config/src/fleet.rs
+++ b/crates/tools/nickelshed-config/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::code::Code;
 use crate::finding::Finding;
 use crate::sidecar::*;
-use crate::source::{nearest, Source, Step};
+use crate::source::{closest_name, PathStep, Source};
 use crate::units::Size;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -156,9 +156,9 @@
         let port = app.port.or_else(|| free.find(|port| !taken.contains(port) && is_free(*port)));
         let Some(port) = port else {
             let [first, last] = fleet.ports;
-            let what = format!("no port from {first} to {last} is free for application `{}`", app.name);
-            let place = source.place(&["ports".into()]);
-            findings.push(Finding::new(Code::PortTaken, place, what, "Widen `ports`"));
+            let message = format!("no port from {first} to {last} is free for application `{}`", app.name);
+            let span = source.span(&["ports".into()]);
+            findings.push(Finding::new(Code::PortConflict, span, message, "Widen `ports`"));
             break;
         };
         taken.insert(port);
@@ -169,15 +169,16 @@
                 match known.iter().position(|k| k == name) {
                     Some(at) => picked.push(at),
                     None => {
-                        let place = source.place(&[Step::Key("application"), i.into(), key.into(), n.into()]);
-                        let what = format!(
+                        let span =
+                            source.span(&[PathStep::Key("application"), i.into(), key.into(), n.into()]);
+                        let message = format!(
                             "application `{}` lists `{name}` in `{key}`, which the fleet file does not define",
                             app.name
                         );
-                        let near = nearest(name, known.iter().copied());
+                        let near = closest_name(name, known.iter().copied());
                         let help = near
                             .map_or("Add it to the fleet file".into(), |n| format!("Did you mean `{n}`?"));
-                        findings.push(Finding::new(Code::UnknownName, place, what, help));
+                        findings.push(Finding::new(Code::UnknownName, span, message, help));
                     }
                 }
             }
@@ -219,8 +220,13 @@
         });
     }
     if fleet.applications.is_empty() {
-        let what = "there is no `[[application]]`, so no sidecar configuration can be written";
-        findings.push(Finding::new(Code::MissingKey, 0..0, what, "Add an `[[application]]` with its `name`"));
+        let message = "there is no `[[application]]`, so no sidecar configuration can be written";
+        findings.push(Finding::new(
+            Code::MissingKey,
+            0..0,
+            message,
+            "Add an `[[application]]` with its `name`",
+        ));
     }
     if findings.is_empty() {
         Ok(out)
--- a/crates/tools/nickelshed-config/src/lib.rs
+++ b/crates/tools/nickelshed-config/src/lib.rs
@@ -4,15 +4,15 @@
 pub mod check;
 pub mod code;
 pub mod compile;
+pub mod cross_file;
 pub mod diff;
 pub mod finding;
 pub mod fleet;
 pub mod operator;
 pub mod reference;
-pub mod shape;
+pub mod schema;
 pub mod sidecar;
 pub mod source;
-pub mod together;
 pub mod units;
 pub mod url;
 pub mod write;
@@ -20,7 +20,7 @@
 pub use code::{Code, Level};
 pub use finding::Finding;
 pub use operator::Operator;
-pub use shape::Shape;
+pub use schema::TypeSchema;
 pub use sidecar::Sidecar;
 pub use source::Source;
 
@@ -36,24 +36,24 @@
     ///
     /// # Errors
     /// All findings, if the file could not be read or if one of them is an error.
-    pub fn sound(self) -> Result<Sidecar, Vec<Finding>> {
-        let sound = !self.findings.iter().any(Finding::is_error);
-        self.file.filter(|_| sound).map(|(sidecar, _)| sidecar).ok_or(self.findings)
+    pub fn into_valid(self) -> Result<Sidecar, Vec<Finding>> {
+        let is_valid = !self.findings.iter().any(Finding::is_error);
+        self.file.filter(|_| is_valid).map(|(sidecar, _)| sidecar).ok_or(self.findings)
     }
 }
 
 /// Reads and checks the bytes of a file.
 pub fn load(bytes: &[u8]) -> Loaded {
-    load_shaped(bytes, &Shape::of::<Sidecar>())
+    load_with_schema(bytes, &TypeSchema::of::<Sidecar>())
 }
 
 /// Like [`load`], with a prepared schema of [`Sidecar`], for reading many files.
-pub fn load_shaped(bytes: &[u8], shape: &Shape) -> Loaded {
+pub fn load_with_schema(bytes: &[u8], schema: &TypeSchema) -> Loaded {
     let text = match source::text(bytes) {
         Ok(text) => text,
         Err(finding) => return Loaded { file: None, findings: vec![*finding] },
     };
-    let read = source::read_shaped::<Sidecar>(text, shape);
+    let read = source::read_with_schema::<Sidecar>(text, schema);
     let mut findings = read.findings;
     let file = read.value.zip(read.source);
     if let Some((sidecar, source)) = &file {
--- a/crates/tools/nickelshed-config/src/operator.rs
+++ b/crates/tools/nickelshed-config/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's own settings, in addition to the platform's configuration:
 //! `nickelshed --operator deploy/operator.toml`.
 use crate::sidecar::Journal;
-use crate::source::{self, Read};
+use crate::source::{self, ReadResult};
 use crate::Finding;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -18,7 +18,7 @@
     /// Every finding about the file.
     pub fn load(bytes: &[u8]) -> Result<Operator, Vec<Finding>> {
         let text = source::text(bytes).map_err(|f| vec![*f])?;
-        let Read { value, findings, .. } = source::read(text);
+        let ReadResult { value, findings, .. } = source::read(text);
         value.filter(|_| findings.is_empty()).ok_or(findings)
     }
 }
--- a/crates/tools/nickelshed-config/src/reference.rs
+++ b/crates/tools/nickelshed-config/src/reference.rs
@@ -1,7 +1,7 @@
 //! Generates the reference page, which lists every key and code, from the types.
 use crate::code::Code;
 use crate::code::Level;
-use crate::shape::{Key, Shape};
+use crate::schema::{Key, TypeSchema};
 use crate::sidecar::Sidecar;
 use std::fmt::Write;
 
@@ -13,24 +13,24 @@
 
 /// Returns the page in Markdown.
 pub fn page() -> String {
-    let shape = Shape::of::<Sidecar>();
+    let schema = TypeSchema::of::<Sidecar>();
     let mut out = HEAD.to_string();
     let (sections, plain): (Vec<Key>, Vec<Key>) =
-        shape.keys().into_iter().partition(|k| !shape.inside(k).is_empty());
+        schema.keys().into_iter().partition(|k| !schema.nested_keys(k).is_empty());
     out.push_str("\n## At the top of the file\n\n");
     table(&mut out, &plain);
     for section in &sections {
-        let heading = if Shape::is_list(section) {
+        let heading = if TypeSchema::is_list(section) {
             format!("[[{}]]", section.name)
         } else {
             format!("[{}]", section.name)
         };
         let must = if section.required { " Required." } else { "" };
-        _ = write!(out, "\n## `{heading}`\n\n{}{must}\n\n", section.about);
-        let keys = shape.inside(section);
+        _ = write!(out, "\n## `{heading}`\n\n{}{must}\n\n", section.description);
+        let keys = schema.nested_keys(section);
         table(&mut out, &keys);
         for key in &keys {
-            let inner = shape.inside(key);
+            let inner = schema.nested_keys(key);
             if !inner.is_empty() {
                 _ = write!(out, "\nA table in `{}.{}` has:\n\n", section.name, key.name);
                 table(&mut out, &inner);
@@ -41,7 +41,7 @@
     out.push_str("| code | level | meaning |\n| --- | --- | --- |\n");
     for code in Code::ALL {
         let level = if code.level() == Level::Error { "error" } else { "warning" };
-        _ = writeln!(out, "| {code} | {level} | {} |", code.about().title);
+        _ = writeln!(out, "| {code} | {level} | {} |", code.info().title);
     }
     out
 }
@@ -58,8 +58,8 @@
             out,
             "| `{}` | {} | {default} | {} |",
             key.name,
-            key.form,
-            key.about.replace('|', "\\|")
+            key.value_format,
+            key.description.replace('|', "\\|")
         );
     }
 }
--- a/crates/tools/nickelshed-config/src/shape.rs
+++ b/crates/tools/nickelshed-config/src/schema.rs
@@ -4,7 +4,7 @@
 use serde_json::Value as Json;
 
 /// The JSON schema of a type.
-pub struct Shape {
+pub struct TypeSchema {
     root: Json,
 }
 
@@ -12,17 +12,17 @@
 pub struct Key<'s> {
     pub name: &'s str,
     /// Description of the key, on one line.
-    pub about: String,
+    pub description: String,
     /// Description of the format of its value.
-    pub form: String,
+    pub value_format: String,
     pub default: Option<&'s Json>,
     pub required: bool,
     schema: &'s Json,
 }
 
-impl Shape {
-    pub fn of<T: JsonSchema>() -> Shape {
-        Shape { root: schemars::schema_for!(T).to_value() }
+impl TypeSchema {
+    pub fn of<T: JsonSchema>() -> TypeSchema {
+        TypeSchema { root: schemars::schema_for!(T).to_value() }
     }
 
     pub fn json(&self) -> &Json {
@@ -31,29 +31,29 @@
 
     /// Returns the keys at the top level of the file, including sections, in the order of the type.
     pub fn keys(&self) -> Vec<Key<'_>> {
-        self.keys_of(&self.root)
+        self.keys_of_schema(&self.root)
     }
 
     /// Returns the keys of a section or of the items of a list; none for a plain value.
-    pub fn inside<'s>(&'s self, key: &Key<'s>) -> Vec<Key<'s>> {
+    pub fn nested_keys<'s>(&'s self, key: &Key<'s>) -> Vec<Key<'s>> {
         let items = key.schema.get("items").unwrap_or(key.schema);
-        self.keys_of(items)
+        self.keys_of_schema(items)
     }
 
     pub fn is_list(key: &Key) -> bool {
         key.schema.get("items").is_some()
     }
 
-    fn keys_of<'s>(&'s self, schema: &'s Json) -> Vec<Key<'s>> {
-        let Some(object) = object(schema, &self.root) else { return Vec::new() };
+    fn keys_of_schema<'s>(&'s self, schema: &'s Json) -> Vec<Key<'s>> {
+        let Some(object_part) = object_schema(schema, &self.root) else { return Vec::new() };
         let required = |name: &str| {
-            object.get("required").and_then(Json::as_array).is_some_and(|r| r.iter().any(|n| n == name))
+            object_part.get("required").and_then(Json::as_array).is_some_and(|r| r.iter().any(|n| n == name))
         };
-        let properties = object.get("properties").and_then(Json::as_object).into_iter().flatten();
+        let properties = object_part.get("properties").and_then(Json::as_object).into_iter().flatten();
         let key = |(name, schema): (&'s String, &'s Json)| Key {
             name,
-            about: self.about(schema),
-            form: self.form(schema),
+            description: self.description(schema),
+            value_format: self.value_format(schema),
             default: schema.get("default").filter(|d| !d.is_null()),
             required: required(name),
             schema,
@@ -61,7 +61,7 @@
         properties.map(key).collect()
     }
 
-    fn about(&self, schema: &Json) -> String {
+    fn description(&self, schema: &Json) -> String {
         let own = schema.get("description").and_then(Json::as_str);
         let text = own.or_else(|| self.resolve(schema).get("description")?.as_str()).unwrap_or_default();
         text.split_whitespace().collect::<Vec<_>>().join(" ")
@@ -75,13 +75,13 @@
         }
     }
 
-    fn form(&self, schema: &Json) -> String {
+    fn value_format(&self, schema: &Json) -> String {
         if let Some(reference) = schema.get("$ref").and_then(Json::as_str) {
             match reference.rsplit('/').next() {
                 Some("Period") => return "time, such as `\"3s\"`".into(),
                 Some("Size") => return "size, such as `\"64KiB\"`".into(),
                 Some("Percent") => return "share, such as `\"25%\"`".into(),
-                _ => return self.form(self.resolve(schema)),
+                _ => return self.value_format(self.resolve(schema)),
             }
         }
         for choice in ["anyOf", "oneOf"] {
@@ -92,13 +92,13 @@
                 return words.join(", ");
             }
             let forms = choices.iter().filter(|c| c.get("type").is_none_or(|t| t != "null"));
-            return forms.map(|c| self.form(c)).collect::<Vec<_>>().join(", or ");
+            return forms.map(|c| self.value_format(c)).collect::<Vec<_>>().join(", or ");
         }
         if let Some(words) = schema.get("enum").and_then(Json::as_array) {
             return words.iter().map(|w| format!("`{w}`")).collect::<Vec<_>>().join(", ");
         }
         if let Some(items) = schema.get("items") {
-            return format!("list of: {}", self.form(items));
+            return format!("list of: {}", self.value_format(items));
         }
         let kind = match schema.get("type") {
             Some(Json::Array(kinds)) => kinds.iter().filter_map(Json::as_str).find(|k| *k != "null"),
@@ -116,13 +116,13 @@
 }
 
 /// Returns the part of a schema that defines the keys of an object, following references and alternatives.
-pub fn object<'s>(schema: &'s Json, root: &'s Json) -> Option<&'s Json> {
+pub fn object_schema<'s>(schema: &'s Json, root: &'s Json) -> Option<&'s Json> {
     if let Some(reference) = schema.get("$ref").and_then(Json::as_str) {
-        return object(root.pointer(reference.strip_prefix('#')?)?, root);
+        return object_schema(root.pointer(reference.strip_prefix('#')?)?, root);
     }
     if schema.get("properties").is_some() {
         return Some(schema);
     }
     let choices = ["anyOf", "oneOf", "allOf"].iter().filter_map(|k| schema.get(k)?.as_array()).flatten();
-    choices.filter_map(|c| object(c, root)).next()
+    choices.filter_map(|c| object_schema(c, root)).next()
 }
--- a/crates/tools/nickelshed-config/src/sidecar.rs
+++ b/crates/tools/nickelshed-config/src/sidecar.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 
 /// Largest configuration file that is read, in bytes. 8 MiB hold some 50,000 endpoints.
-pub const MAX_FILE: usize = 8 << 20;
+pub const MAX_FILE_BYTES: usize = 8 << 20;
 
 /// The configuration of one sidecar: the sender that runs beside one application.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
@@ -177,7 +177,7 @@
 impl Membership {
     /// Address at which other members reach this one.
     #[must_use]
-    pub fn reached_at(&self) -> SocketAddr {
+    pub fn advertised_address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 }
@@ -255,7 +255,7 @@
 
 impl Default for Traffic {
     fn default() -> Traffic {
-        Traffic { rate: 0.0, over_share_worth: Percent(1.0), late: Late::Halves }
+        Traffic { rate: 0.0, over_share_worth: Percent(1.0), late: Late::Exponential }
     }
 }
 
@@ -263,9 +263,11 @@
 #[serde(rename_all = "lowercase")]
 pub enum Late {
     /// Exponentially: by half with each further `wanted_within`.
-    Halves,
+    #[serde(rename = "halves")]
+    Exponential,
     /// Linearly, down to `late_worth` at `abandoned_after`.
-    Line,
+    #[serde(rename = "line")]
+    Linear,
 }
 
 /// Costs, in points of service per message, which the policy weighs against one another.
--- a/crates/tools/nickelshed-config/src/source.rs
+++ b/crates/tools/nickelshed-config/src/source.rs
@@ -1,9 +1,9 @@
 //! Reads the text of a file into its type and reports every mistake of syntax or type with its position. Never panics,
 //! whatever the bytes are.
 use crate::code::Code;
-use crate::finding::{Finding, Place};
-use crate::shape::{object, Shape};
-use crate::sidecar::MAX_FILE;
+use crate::finding::{Finding, Span};
+use crate::schema::{object_schema, TypeSchema};
+use crate::sidecar::MAX_FILE_BYTES;
 use schemars::JsonSchema;
 use serde::de::DeserializeOwned;
 use serde_json::Value as Json;
@@ -23,7 +23,7 @@
 }
 
 struct Node {
-    place: Place,
+    span: Span,
     inner: Inner,
 }
 
@@ -34,14 +34,14 @@
 }
 
 impl Node {
-    fn new(place: Place, value: &DeValue) -> Node {
+    fn new(span: Span, value: &DeValue) -> Node {
         let node = |v: &Spanned<DeValue>| Node::new(v.span(), v.get_ref());
         let inner = match value {
             DeValue::Table(table) => Inner::Table(keyed(table)),
             DeValue::Array(items) => Inner::Array(items.iter().map(node).collect()),
             _ => Inner::Leaf,
         };
-        Node { place, inner }
+        Node { span, inner }
     }
 }
 
@@ -51,7 +51,7 @@
 }
 
 /// The result of reading a file.
-pub struct Read<T> {
+pub struct ReadResult<T> {
     /// `None` if the file is not valid TOML.
     pub source: Option<Source>,
     /// The value, without unknown keys. `None` if there is any other mistake.
@@ -59,9 +59,9 @@
     pub findings: Vec<Finding>,
 }
 
-impl<T> Read<T> {
-    fn failed(finding: Finding) -> Read<T> {
-        Read { source: None, value: None, findings: vec![finding] }
+impl<T> ReadResult<T> {
+    fn failed(finding: Finding) -> ReadResult<T> {
+        ReadResult { source: None, value: None, findings: vec![finding] }
     }
 }
 
@@ -70,53 +70,53 @@
 /// # Errors
 /// If there are too many bytes or they are not UTF-8.
 pub fn text(bytes: &[u8]) -> Result<&str, Box<Finding>> {
-    if bytes.len() > MAX_FILE {
-        let what = format!("the file has {} bytes, but the maximum is {MAX_FILE}", bytes.len());
-        return Err(Box::new(Finding::new(Code::TooLarge, 0..0, what, Code::TooLarge.about().mend)));
+    if bytes.len() > MAX_FILE_BYTES {
+        let message = format!("the file has {} bytes, but the maximum is {MAX_FILE_BYTES}", bytes.len());
+        return Err(Box::new(Finding::new(Code::TooLarge, 0..0, message, Code::TooLarge.info().fix)));
     }
     std::str::from_utf8(bytes).map_err(|e| {
-        let what = format!("byte {} of the file is not UTF-8", e.valid_up_to() + 1);
-        Box::new(Finding::new(Code::NotText, 0..0, what, Code::NotText.about().mend))
+        let message = format!("byte {} of the file is not UTF-8", e.valid_up_to() + 1);
+        Box::new(Finding::new(Code::NotText, 0..0, message, Code::NotText.info().fix))
     })
 }
 
 /// Reads a text into a type. Reports every unknown key with the most similar known one, and as many other mistakes as
 /// can be distinguished.
-pub fn read<T: DeserializeOwned + JsonSchema>(text: &str) -> Read<T> {
-    read_shaped(text, &Shape::of::<T>())
+pub fn read<T: DeserializeOwned + JsonSchema>(text: &str) -> ReadResult<T> {
+    read_with_schema(text, &TypeSchema::of::<T>())
 }
 
 /// Like [`read`], with a prepared schema of the type, for reading many files.
-pub fn read_shaped<T: DeserializeOwned>(text: &str, shape: &Shape) -> Read<T> {
+pub fn read_with_schema<T: DeserializeOwned>(text: &str, type_schema: &TypeSchema) -> ReadResult<T> {
     if let Some(at) = too_deep(text) {
-        let what = format!("tables or lists are nested more than {DEEPEST} levels deep");
-        return Read::failed(Finding::new(
+        let message = format!("tables or lists are nested more than {DEEPEST} levels deep");
+        return ReadResult::failed(Finding::new(
             Code::Syntax,
             at..at + 1,
-            what,
+            message,
             "No key needs more than four levels",
         ));
     }
     let (tree, errors) = DeTable::parse_recoverable(text);
     let findings: Vec<Finding> = errors.iter().take(MOST).map(|e| syntax(e, text)).collect();
     if !findings.is_empty() {
-        return Read { source: None, value: None, findings };
+        return ReadResult { source: None, value: None, findings };
     }
-    let root = Node { place: tree.span(), inner: Inner::Table(keyed(tree.get_ref())) };
-    let schema = shape.json();
+    let root = Node { span: tree.span(), inner: Inner::Table(keyed(tree.get_ref())) };
+    let schema = type_schema.json();
     let mut findings = Vec::new();
     let mut known = tree;
     drop_unknown(known.get_mut(), schema, schema, "", &mut findings);
     let value = read_known(known, text, &mut findings);
-    findings.sort_by_key(|f| f.place.start);
+    findings.sort_by_key(|f| f.span.start);
     findings.truncate(MOST);
-    Read { source: Some(Source { root }), value, findings }
+    ReadResult { source: Some(Source { root }), value, findings }
 }
 
 fn syntax(error: &toml::de::Error, text: &str) -> Finding {
-    let place = error.span().unwrap_or(0..text.len().min(1));
-    let what = format!("invalid TOML: {}", error.message());
-    Finding::new(Code::Syntax, place, what, Code::Syntax.about().mend)
+    let span = error.span().unwrap_or(0..text.len().min(1));
+    let message = format!("invalid TOML: {}", error.message());
+    Finding::new(Code::Syntax, span, message, Code::Syntax.info().fix)
 }
 
 /// Returns the offset at which brackets are nested more than `DEEPEST` levels deep. Skips strings and comments, but only
@@ -144,23 +144,23 @@
 
 /// Removes unknown keys from a table and reports them.
 fn drop_unknown(table: &mut DeTable, schema: &Json, root: &Json, at: &str, findings: &mut Vec<Finding>) {
-    let Some(properties) = object(schema, root).and_then(|o| o.get("properties")?.as_object()) else {
+    let Some(properties) = object_schema(schema, root).and_then(|o| o.get("properties")?.as_object()) else {
         return;
     };
     let mut unknown = Vec::new();
     for (key, value) in table.iter_mut() {
         let name: &str = key.get_ref();
         let Some(inner) = properties.get(name) else {
-            let place = if at.is_empty() { "at the top level".into() } else { format!("in `{at}`") };
-            let what = format!("there is no key `{name}` {place}");
-            let help = match nearest(name, properties.keys().map(String::as_str)) {
+            let location = if at.is_empty() { "at the top level".into() } else { format!("in `{at}`") };
+            let message = format!("there is no key `{name}` {location}");
+            let help = match closest_name(name, properties.keys().map(String::as_str)) {
                 Some(known) => format!("Did you mean `{known}`?"),
                 None => {
                     let known: Vec<&str> = properties.keys().map(String::as_str).collect();
                     format!("Known keys: {}", known.join(", "))
                 }
             };
-            findings.push(Finding::new(Code::UnknownKey, key.span(), what, help));
+            findings.push(Finding::new(Code::UnknownKey, key.span(), message, help));
             unknown.push(key.clone());
             continue;
         };
@@ -184,7 +184,7 @@
 }
 
 /// Returns the known name most similar to `name`, if it is similar enough to be a misspelling.
-pub fn nearest<'n>(name: &str, known: impl Iterator<Item = &'n str>) -> Option<&'n str> {
+pub fn closest_name<'n>(name: &str, known: impl Iterator<Item = &'n str>) -> Option<&'n str> {
     let name = name.to_lowercase();
     let near = |k: &'n str| (strsim::damerau_levenshtein(&name, &k.to_lowercase()), k);
     let (distance, best) = known.map(near).min()?;
@@ -200,79 +200,79 @@
 ) -> Option<T> {
     let before = findings.len();
     let root = tree.span();
-    let mut above_left_out: HashSet<Place> = HashSet::new();
+    let mut above_left_out: HashSet<Span> = HashSet::new();
     loop {
         let error = match T::deserialize(toml::Deserializer::from(tree.clone())) {
             Ok(value) => return Some(value).filter(|_| findings.len() == before),
             Err(error) => error,
         };
-        let place = error.span().unwrap_or(root.clone());
-        let message = error.message();
-        let missing = message.starts_with("missing field");
-        let by_us = missing && above_left_out.contains(&place);
+        let span = error.span().unwrap_or(root.clone());
+        let error_text = error.message();
+        let missing = error_text.starts_with("missing field");
+        let by_us = missing && above_left_out.contains(&span);
         if !by_us {
-            findings.push(value_finding(message, place.clone(), text, missing.then_some(place == root)));
+            findings.push(value_finding(error_text, span.clone(), text, missing.then_some(span == root)));
         }
-        let above = remove(tree.get_mut(), &place).filter(|_| findings.len() < MOST)?;
+        let above = remove(tree.get_mut(), &span).filter(|_| findings.len() < MOST)?;
         above_left_out.extend(above);
     }
 }
 
 /// Builds the finding for an error of the deserializer. `missing` is set if a key is missing: true if it belongs at the
 /// top level of the file, false if it belongs in a section.
-fn value_finding(message: &str, place: Place, text: &str, missing: Option<bool>) -> Finding {
+fn value_finding(error_text: &str, span: Span, text: &str, missing: Option<bool>) -> Finding {
     let quoted = |m: &str| m.split('`').nth(1).unwrap_or_default().to_string();
     if let Some(of_file) = missing {
-        let key = quoted(message);
-        let section = text[place.clone()].lines().next().unwrap_or_default();
-        let (of, place) = match of_file || section.is_empty() {
+        let key = quoted(error_text);
+        let section = text[span.clone()].lines().next().unwrap_or_default();
+        let (of, span) = match of_file || section.is_empty() {
             true => ("the file".to_string(), 0..0),
-            false => (format!("`{section}`"), place),
+            false => (format!("`{section}`"), span),
         };
-        let what = format!("{of} lacks the required key `{key}`");
-        return Finding::new(Code::MissingKey, place, what, format!("Add `{key}`"));
+        let message = format!("{of} lacks the required key `{key}`");
+        return Finding::new(Code::MissingKey, span, message, format!("Add `{key}`"));
     }
-    if let Some(rest) = message.strip_prefix("unknown variant ") {
+    if let Some(rest) = error_text.strip_prefix("unknown variant ") {
         let mut words = rest.split('`').skip(1).step_by(2);
         let wrong = words.next().unwrap_or_default();
         let known: Vec<&str> = words.collect();
-        let what = format!("`{wrong}` is not one of {}", known.join(", "));
-        let help = match nearest(wrong, known.iter().copied()) {
+        let message = format!("`{wrong}` is not one of {}", known.join(", "));
+        let help = match closest_name(wrong, known.iter().copied()) {
             Some(near) => format!("Did you mean `{near}`?"),
             None => "Write one of these values".to_string(),
         };
-        return Finding::new(Code::WrongValue, place, what, help);
+        return Finding::new(Code::WrongValue, span, message, help);
     }
-    let help = match message {
+    let help = match error_text {
         m if m.contains("IP") || m.contains("socket address") => {
             "Write an IP address and a port, such as `127.0.0.1:7400`; host names are not resolved"
         }
-        _ => Code::WrongValue.about().mend,
+        _ => Code::WrongValue.info().fix,
     };
-    Finding::new(Code::WrongValue, place, message.to_string(), help)
+    Finding::new(Code::WrongValue, span, error_text.to_string(), help)
 }
 
 /// Removes the value at this position. Returns the positions of the values that contained it, innermost first, or `None`
 /// if there is no such value.
-fn remove(table: &mut DeTable, place: &Range<usize>) -> Option<Vec<Place>> {
-    let key = table.iter().find(|(k, v)| v.span() == *place || k.span() == *place).map(|(k, _)| k.clone());
+fn remove(table: &mut DeTable, span: &Range<usize>) -> Option<Vec<Span>> {
+    let key = table.iter().find(|(k, v)| v.span() == *span || k.span() == *span).map(|(k, _)| k.clone());
     if let Some(key) = key {
         return table.remove(&key).map(|_| Vec::new());
     }
-    table.iter_mut().find_map(|(_, value)| remove_inside(value, place))
+    table.iter_mut().find_map(|(_, value)| remove_inside(value, span))
 }
 
-fn remove_inside(value: &mut Spanned<DeValue>, place: &Range<usize>) -> Option<Vec<Place>> {
+fn remove_inside(value: &mut Spanned<DeValue>, span: &Range<usize>) -> Option<Vec<Span>> {
     let here = value.span();
     let mut above = match value.get_mut() {
-        DeValue::Table(table) => remove(table, place)?,
-        DeValue::Array(items) => match items.iter().position(|i| i.span() == *place) {
+        DeValue::Table(table) => remove(table, span)?,
+        DeValue::Array(items) => match items.iter().position(|i| i.span() == *span) {
             Some(at) => {
                 let kept = items.iter().enumerate().filter(|(i, _)| *i != at).map(|(_, v)| v.clone());
                 *items = kept.collect();
                 Vec::new()
             }
-            None => items.iter_mut().find_map(|i| remove_inside(i, place))?,
+            None => items.iter_mut().find_map(|i| remove_inside(i, span))?,
         },
         _ => return None,
     };
@@ -282,32 +282,32 @@
 
 /// One step of the path to a value in a file: a key of a table, or an index of a list.
 #[derive(Clone, Copy, Debug)]
-pub enum Step<'a> {
+pub enum PathStep<'a> {
     Key(&'a str),
-    Item(usize),
+    Index(usize),
 }
 
-impl<'a> From<&'a str> for Step<'a> {
-    fn from(key: &'a str) -> Step<'a> {
-        Step::Key(key)
+impl<'a> From<&'a str> for PathStep<'a> {
+    fn from(key: &'a str) -> PathStep<'a> {
+        PathStep::Key(key)
     }
 }
 
-impl From<usize> for Step<'_> {
+impl From<usize> for PathStep<'_> {
     fn from(item: usize) -> Self {
-        Step::Item(item)
+        PathStep::Index(item)
     }
 }
 
 impl Source {
     /// Returns the position of the value at a path. If the file does not contain it, returns the position of the nearest
     /// enclosing section, or else the start of the file.
-    pub fn place(&self, path: &[Step]) -> Place {
+    pub fn span(&self, path: &[PathStep]) -> Span {
         let mut node = &self.root;
         for step in path {
             let inner = match (step, &node.inner) {
-                (Step::Key(key), Inner::Table(table)) => table.get(*key),
-                (Step::Item(at), Inner::Array(items)) => items.get(*at),
+                (PathStep::Key(key), Inner::Table(table)) => table.get(*key),
+                (PathStep::Index(at), Inner::Array(items)) => items.get(*at),
                 _ => None,
             };
             match inner {
@@ -318,6 +318,6 @@
         if std::ptr::eq(node, &self.root) {
             return 0..0;
         }
-        node.place.clone()
+        node.span.clone()
     }
 }
--- a/crates/tools/nickelshed-config/src/write.rs
+++ b/crates/tools/nickelshed-config/src/write.rs
@@ -1,6 +1,6 @@
 //! Writes a configuration as a TOML file, with the description of each key as a comment above it, and formats existing
 //! files.
-use crate::shape::{Key, Shape};
+use crate::schema::{Key, TypeSchema};
 use crate::sidecar::Sidecar;
 use toml_edit::{Decor, DocumentMut, Item, KeyMut, RawString, Table, Value};
 
@@ -11,7 +11,7 @@
 ///
 /// # Errors
 /// If a value can't be represented in TOML, such as a path that is not UTF-8.
-pub fn file(sidecar: &Sidecar, explained: bool) -> Result<String, String> {
+pub fn to_toml(sidecar: &Sidecar, explained: bool) -> Result<String, String> {
     let text = toml::to_string(sidecar).map_err(|e| format!("can't be written as TOML: {e}"))?;
     let mut document: DocumentMut = text.parse().map_err(|e| format!("can't be written as TOML: {e}"))?;
     if explained {
@@ -25,21 +25,21 @@
 }
 
 fn explain(document: &mut DocumentMut) {
-    let shape = Shape::of::<Sidecar>();
-    for key in shape.keys() {
-        let inside = shape.inside(&key);
+    let schema = TypeSchema::of::<Sidecar>();
+    for key in schema.keys() {
+        let nested_keys = schema.nested_keys(&key);
         match document.get_mut(key.name) {
             Some(Item::Table(table)) => {
-                table.decor_mut().set_prefix(format!("\n{}", comment(&key.about)));
-                explain_keys(table, &inside);
+                table.decor_mut().set_prefix(format!("\n{}", comment(&key.description)));
+                explain_keys(table, &nested_keys);
             }
             Some(Item::ArrayOfTables(tables)) => {
                 for (i, table) in tables.iter_mut().enumerate() {
                     // Only the first table of a list is described.
-                    let above = if i == 0 { comment(&key.about) } else { String::new() };
+                    let above = if i == 0 { comment(&key.description) } else { String::new() };
                     table.decor_mut().set_prefix(format!("\n{above}"));
                     if i == 0 {
-                        explain_keys(table, &inside);
+                        explain_keys(table, &nested_keys);
                     }
                 }
             }
@@ -51,7 +51,7 @@
 fn explain_keys(table: &mut Table, keys: &[Key]) {
     for key in keys {
         if let Some(mut written) = table.key_mut(key.name) {
-            written.leaf_decor_mut().set_prefix(comment(&key.about));
+            written.leaf_decor_mut().set_prefix(comment(&key.description));
         }
     }
 }
@@ -76,7 +76,7 @@
 ///
 /// # Errors
 /// If the text is not valid TOML.
-pub fn tidy(text: &str) -> Result<String, String> {
+pub fn format_text(text: &str) -> Result<String, String> {
     let mut document: DocumentMut = text.parse().map_err(|e| format!("{e}"))?;
     let trailing = above(document.trailing()).trim_end_matches('\n').to_string();
     let trailing = if trailing.is_empty() { trailing } else { trailing + "\n" };
--- a/crates/tools/nickelshed-config/tests/load.rs
+++ b/crates/tools/nickelshed-config/tests/load.rs
@@ -1,5 +1,5 @@
 //! Reads valid and invalid configuration files, through the function that the sender and `nickelshed-ctl` use.
-use nickelshed_config::{compile, load, load_shaped, Code, Finding, Shape, Sidecar};
+use nickelshed_config::{compile, load, load_with_schema, Code, Finding, Sidecar, TypeSchema};
 use nickelshed_policy::api::Settings;
 use serde_json::json;
 
@@ -31,10 +31,10 @@
     let found = findings(&text);
     let finding = found.iter().find(|f| f.code == Code::BeyondAbandonment).unwrap();
     assert_eq!(
-        finding.what,
+        finding.message,
         "class `alert-prognozy` is abandoned after 20s, later than 16s, after which nobody waits for a message any more"
     );
-    assert_eq!(&text[finding.place.clone()], "\"20s\"");
+    assert_eq!(&text[finding.span.clone()], "\"20s\"");
     assert!(finding.is_error());
 }
 
@@ -47,52 +47,56 @@
 #[test]
 fn every_check_finds_what_it_is_for() {
     let rows: &[(&str, &str, Code)] = &[
-        ("wanted_within = \"3s\"", "wanted_within = \"17s\"", Code::AimBeyondDeadline),
-        ("allow = [\"NS203\"]", "allow = []", Code::ShortWindow),
-        ("wanted_within = \"2s\"", "wanted_within = \"0s\"", Code::NoTime),
-        ("repeat_window = \"15s\"\n", "", Code::NoWindow),
-        ("effect = \"unsafe\"", "effect = \"unsafe\"\nrepeat_window = \"3s\"", Code::IdleWindow),
-        ("effect = \"unsafe\"", "effect = \"unsafe\"\nin_order = true", Code::OrderWithoutKey),
-        ("overload_multiple = 1.5", "overload_multiple = nan", Code::BadFigure),
+        ("wanted_within = \"3s\"", "wanted_within = \"17s\"", Code::TargetBeyondExpiry),
+        ("allow = [\"NS203\"]", "allow = []", Code::ShortRepeatWindow),
+        ("wanted_within = \"2s\"", "wanted_within = \"0s\"", Code::DurationTooShort),
+        ("repeat_window = \"15s\"\n", "", Code::MissingRepeatWindow),
+        ("effect = \"unsafe\"", "effect = \"unsafe\"\nrepeat_window = \"3s\"", Code::UnusedRepeatWindow),
+        ("effect = \"unsafe\"", "effect = \"unsafe\"\nin_order = true", Code::OrderWithoutOrderingKey),
+        ("overload_multiple = 1.5", "overload_multiple = nan", Code::UnusableValue),
         ("slots = 16", "slots = 100", Code::SlotsOverSockets),
-        ("held = 200", "held = 20000000", Code::HeldOverMemory),
-        ("disk = \"3MB\"", "disk = \"300kB\"", Code::HeldOverDisk),
-        ("slots = 16", "slots = 1", Code::FewSlots),
-        ("held = 200", "held = 10", Code::HeldUnderSlots),
-        ("attempts = 8", "attempts = 0", Code::NoneHeld),
-        ("attempts = 8", "usual_body = \"65KiB\"", Code::LongBody),
+        ("held = 200", "held = 20000000", Code::HeldLimitOverMemory),
+        ("disk = \"3MB\"", "disk = \"300kB\"", Code::HeldLimitOverDisk),
+        ("slots = 16", "slots = 1", Code::TooFewSlots),
+        ("held = 200", "held = 10", Code::HeldLimitUnderSlots),
+        ("attempts = 8", "attempts = 0", Code::LimitOfZero),
+        ("attempts = 8", "usual_body = \"65KiB\"", Code::BodyTooLarge),
         ("endpoints = [\"127.0.0.1:7501\"]", "endpoints = []", Code::NoEndpoint),
-        ("7504", "7501", Code::TwoDestinations),
-        ("number = 3", "number = 1", Code::SameDestination),
-        ("[connections]", "[discovery]\naddress = \"127.0.0.1:8500\"\n[connections]", Code::TwoSources),
-        ("7501", "7400", Code::OwnAddress),
+        ("7504", "7501", Code::EndpointOfTwoDestinations),
+        ("number = 3", "number = 1", Code::DuplicateDestination),
+        (
+            "[connections]",
+            "[discovery]\naddress = \"127.0.0.1:8500\"\n[connections]",
+            Code::TwoEndpointSources,
+        ),
+        ("7501", "7400", Code::DeliveryToItself),
         ("number = 1", "number = 1\nkind = \"many\"", Code::UnknownName),
-        ("7503", "7502", Code::SameEndpoint),
-        ("share = \"40%\"", "share = \"41%\"", Code::SharesOverWhole),
-        ("name = \"wezwanie\"", "name = \"alert-prognozy\"", Code::SameName),
-        ("name = \"rolnictwo\"", "name = \"rolnictwo i las\"", Code::BadName),
-        ("name = \"wezwanie\"", "name = \"healthz\"", Code::BadName),
-        ("rate = 80\n", "", Code::IdleShares),
+        ("7503", "7502", Code::DuplicateEndpoint),
+        ("share = \"40%\"", "share = \"41%\"", Code::SharesOverTotal),
+        ("name = \"wezwanie\"", "name = \"alert-prognozy\"", Code::DuplicateName),
+        ("name = \"rolnictwo\"", "name = \"rolnictwo i las\"", Code::InvalidName),
+        ("name = \"wezwanie\"", "name = \"healthz\"", Code::InvalidName),
+        ("rate = 80\n", "", Code::SharesWithoutRate),
         ("127.0.0.1:7504", "10.1.0.1:7504", Code::NotLoopback),
-        ("127.0.0.1:7504", "127.0.0.1:0", Code::BadAddress),
-        ("loopback_only = true", "", Code::OpenListener),
-        ("file = \"../target/sidecar/notices.jsonl\"", "", Code::NoSink),
-        ("/sidecar/notices.jsonl", "/x/../sidecar/state/n", Code::SinkInState),
-        ("file = \"../target/sidecar/notices.jsonl\"", "http = \"127.0.0.1:7500\"", Code::BadUrl),
-        ("\"NS203\"", "\"NS203\", \"NS201\"", Code::NotAllowed),
+        ("127.0.0.1:7504", "127.0.0.1:0", Code::UnreachableAddress),
+        ("loopback_only = true", "", Code::ExposedListener),
+        ("file = \"../target/sidecar/notices.jsonl\"", "", Code::NoNoticeSink),
+        ("/sidecar/notices.jsonl", "/x/../sidecar/state/n", Code::NoticeFileInState),
+        ("file = \"../target/sidecar/notices.jsonl\"", "http = \"127.0.0.1:7500\"", Code::InvalidUrl),
+        ("\"NS203\"", "\"NS203\", \"NS201\"", Code::InvalidAllowEntry),
         ("slots = 16", "slotz = 16", Code::UnknownKey),
         ("slots = 16", "slots = \"16\"", Code::WrongValue),
         ("application = \"prognozy-wschod\"", "", Code::MissingKey),
         ("[limits]", "[limits", Code::Syntax),
-        ("[connections]", &member("seeds = [\"127.0.0.1:7450\"]"), Code::OwnSeed),
-        ("[connections]", &member("site = \"a site with a long name\""), Code::LongName),
-        ("[connections]", &member("").replace("127.0.0.1:7450", "10.1.0.1:7450"), Code::OpenFleet),
+        ("[connections]", &member("seeds = [\"127.0.0.1:7450\"]"), Code::SelfAsSeed),
+        ("[connections]", &member("site = \"a site with a long name\""), Code::NameTooLong),
+        ("[connections]", &member("").replace("127.0.0.1:7450", "10.1.0.1:7450"), Code::UnauthenticatedFleet),
     ];
     let mut left: Vec<Code> = Code::ALL.to_vec();
     for &(from, to, code) in rows {
-        let to = if code == Code::OpenListener { "loopback_only = false" } else { to };
+        let to = if code == Code::ExposedListener { "loopback_only = false" } else { to };
         let text = EXAMPLE.replacen(from, to, 1);
-        let text = if code == Code::OpenListener {
+        let text = if code == Code::ExposedListener {
             text.replacen("127.0.0.1:7400", "0.0.0.0:7400", 1)
         } else {
             text
@@ -102,11 +106,11 @@
         left.retain(|c| *c != code);
     }
     let none = "application = \"a\"\nlisten = \"127.0.0.1:1\"\nstate = \"s\"\n[notices]\nfile = \"n\"";
-    for code in [Code::NoClass, Code::NoSource] {
+    for code in [Code::NoClass, Code::NoEndpointSource] {
         assert!(findings(none).iter().any(|f| f.code == code));
     }
     // The remaining codes concern bytes that are not text, conflicts between files, and the host.
-    left.retain(|c| !matches!(c, Code::NoClass | Code::NoSource | Code::BeyondAbandonment));
+    left.retain(|c| !matches!(c, Code::NoClass | Code::NoEndpointSource | Code::BeyondAbandonment));
     use Code::*;
     assert_eq!(
         left,
@@ -114,18 +118,18 @@
             Unreadable,
             NotText,
             TooLarge,
-            PortTaken,
-            FolderTaken,
-            SameApplication,
-            SinkTaken,
-            MemberTaken,
-            FleetPortTaken,
-            ListenTaken,
+            PortConflict,
+            StateFolderConflict,
+            DuplicateApplication,
+            NoticeFileConflict,
+            DuplicateMember,
+            FleetAddressConflict,
+            ListenAddressInUse,
             FolderUnwritable,
-            DiskShort,
-            DescriptorsShort,
-            Unreachable,
-            MemoryShort
+            LowDiskSpace,
+            LowDescriptorLimit,
+            ConnectionFailed,
+            LowMemory
         ]
     );
 }
@@ -133,7 +137,7 @@
 #[test]
 fn a_misspelt_key_is_told_with_the_one_that_was_meant_and_all_of_them_at_once() {
     let finding = changed("abandoned_after = \"8s\"", "abandoned_after = \"8s\"\nwrth = 2");
-    assert_eq!(finding.what, "there is no key `wrth` in `class`");
+    assert_eq!(finding.message, "there is no key `wrth` in `class`");
     assert_eq!(finding.help, "Did you mean `worth`?");
     let text = EXAMPLE
         .replacen("slots", "slotss", 1)
@@ -142,7 +146,7 @@
         .replacen("\"127.0.0.1:7503\"", "\"127.0.0.1:75030\"", 1)
         .replacen("dial = \"1s\"", "dial = 1", 1);
     let found = findings(&text);
-    let places: Vec<&str> = found.iter().map(|f| &text[f.place.clone()]).collect();
+    let places: Vec<&str> = found.iter().map(|f| &text[f.span.clone()]).collect();
     assert_eq!(places, ["\"64 parsecs\"", "slotss", "1", "\"keyd\"", "\"127.0.0.1:75030\""], "{found:#?}");
     assert_eq!(found[3].help, "Did you mean `keyed`?");
 }
@@ -171,11 +175,14 @@
         "Services": [class("alert-prognozy", 3_000_000_000, 16_000_000_000, "keyed", 15_000_000_000),
             class("wezwanie", 2_000_000_000, 8_000_000_000, "unsafe", 0)]});
     let (settings, around): (Settings, _) = nickelshed_settings::read(&platform).unwrap();
-    let sidecar = load(EXAMPLE.as_bytes()).sound().unwrap();
+    let sidecar = load(EXAMPLE.as_bytes()).into_valid().unwrap();
     assert_eq!(compile::settings(&sidecar), (settings, around));
-    let listed = compile::listed(&sidecar);
-    assert_eq!(listed.len(), 4);
-    assert_eq!((listed[2].name.as_str(), listed[2].dest, listed[2].rate), ("2/127.0.0.1:7503", 2, 20.0));
+    let listed_endpoints = compile::listed_endpoints(&sidecar);
+    assert_eq!(listed_endpoints.len(), 4);
+    assert_eq!(
+        (listed_endpoints[2].name.as_str(), listed_endpoints[2].dest, listed_endpoints[2].rate),
+        ("2/127.0.0.1:7503", 2, 20.0)
+    );
 }
 
 #[test]
@@ -194,8 +201,8 @@
         (EXAMPLE.replace("slots = 16", "slots = -1").into_bytes(), Code::WrongValue),
         (EXAMPLE.replace("\"3s\"", "\"99999999999999999999s\"").into_bytes(), Code::WrongValue),
         (EXAMPLE.replace("rate = 80", "rate = 1e400").into_bytes(), Code::WrongValue),
-        (EXAMPLE.replace("rate = 80", "rate = 1e300").into_bytes(), Code::BadFigure),
-        (EXAMPLE.replace("\"../target/sidecar/state\"", "\"a\\u0000b\"").into_bytes(), Code::BadFigure),
+        (EXAMPLE.replace("rate = 80", "rate = 1e300").into_bytes(), Code::UnusableValue),
+        (EXAMPLE.replace("\"../target/sidecar/state\"", "\"a\\u0000b\"").into_bytes(), Code::UnusableValue),
     ];
     for (bytes, code) in rows {
         let found = load(&bytes).findings;
@@ -210,7 +217,7 @@
 #[test]
 fn mutated_files_are_answered() {
     let mut rng = fastrand::Rng::with_seed(11);
-    let (mut sound, shape) = (0, Shape::of::<Sidecar>());
+    let (mut valid, shape) = (0, TypeSchema::of::<Sidecar>());
     for _ in 0..3_000 {
         let mut bytes = EXAMPLE.as_bytes().to_vec();
         for _ in 0..rng.usize(1..4) {
@@ -222,20 +229,20 @@
                 _ => bytes.swap(at, rng.usize(0..EXAMPLE.len() / 2)),
             }
         }
-        let loaded = load_shaped(&bytes, &shape);
+        let loaded = load_with_schema(&bytes, &shape);
         let errors = loaded.findings.iter().filter(|f| f.is_error()).count();
         if let Ok(text) = std::str::from_utf8(&bytes) {
             for finding in &loaded.findings {
                 assert!(
-                    finding.place.end <= text.len() && text.is_char_boundary(finding.place.start),
+                    finding.span.end <= text.len() && text.is_char_boundary(finding.span.start),
                     "{finding:?}"
                 );
-                assert!(finding.line("f", text).contains(finding.code.about().code));
+                assert!(finding.to_log_line("f", text).contains(finding.code.info().code));
             }
         }
-        match loaded.sound() {
+        match loaded.into_valid() {
             Ok(sidecar) => {
-                sound += 1;
+                valid += 1;
                 assert_eq!(errors, 0);
                 let (settings, around) = compile::settings(&sidecar);
                 assert_eq!(settings.classes.len(), around.classes.len());
@@ -243,5 +250,5 @@
             Err(_) => assert!(errors > 0),
         }
     }
-    assert!(sound > 100, "{sound}");
+    assert!(valid > 100, "{valid}");
 }
--- a/crates/tools/nickelshed-ctl/src/doctor.rs
+++ b/crates/tools/nickelshed-ctl/src/doctor.rs
@@ -14,7 +14,7 @@
 
 fn finding(code: Code, source: &Source, path: &[&str], what: String) -> Finding {
     let steps: Vec<_> = path.iter().map(|p| (*p).into()).collect();
-    Finding::new(code, source.place(&steps), what, code.about().mend)
+    Finding::new(code, source.span(&steps), what, code.info().fix)
 }
 
 /// Everything on this host that stands in the way of a sidecar. `folder` is where its file lies.
@@ -22,7 +22,7 @@
     let mut found = Vec::new();
     if let Err(error) = TcpListener::bind(sidecar.listen) {
         let what = format!("cannot listen at {}: {error}", sidecar.listen);
-        found.push(finding(Code::ListenTaken, source, &["listen"], what));
+        found.push(finding(Code::ListenAddressInUse, source, &["listen"], what));
     }
     let state = folder.join(&sidecar.state);
     if let Err(error) = try_folder(&state) {
@@ -66,17 +66,17 @@
     let wanted = sidecar.limits.disk.0.saturating_sub(room.held);
     if let Some(free) = room.disk.filter(|free| *free < wanted) {
         let what = format!("the journal may take {wanted} bytes more, and {free} are free there");
-        found.push(finding(Code::DiskShort, source, &["limits", "disk"], what));
+        found.push(finding(Code::LowDiskSpace, source, &["limits", "disk"], what));
     }
     let sockets = sidecar.limits.sockets;
     if let Some(limit) = room.descriptors.filter(|limit| *limit < u64::from(sockets)) {
         let what = format!("a process may hold {limit} descriptors here, and {sockets} are configured");
-        found.push(finding(Code::DescriptorsShort, source, &["limits", "sockets"], what));
+        found.push(finding(Code::LowDescriptorLimit, source, &["limits", "sockets"], what));
     }
     if let Some(free) = room.memory.filter(|free| *free < sidecar.limits.memory.0) {
         let what =
             format!("{free} bytes of memory are free, and the sidecar may use {}", sidecar.limits.memory);
-        found.push(finding(Code::MemoryShort, source, &["limits", "memory"], what));
+        found.push(finding(Code::LowMemory, source, &["limits", "memory"], what));
     }
     found
 }
@@ -115,7 +115,7 @@
 }
 
 fn unreachable(sidecar: &Sidecar, source: &Source) -> Vec<Finding> {
-    let mut places: Vec<(String, SocketAddr, Vec<nickelshed_config::source::Step>)> = Vec::new();
+    let mut places: Vec<(String, SocketAddr, Vec<nickelshed_config::source::PathStep>)> = Vec::new();
     for (i, destination) in sidecar.destinations.iter().enumerate() {
         for (n, endpoint) in destination.endpoints.iter().enumerate() {
             let what = format!("the endpoint of {}", destination.name);
@@ -140,10 +140,10 @@
             let Some(error) = error else { continue };
             let what = format!("{what} takes no connection at {at}: {error}");
             found.push(Finding::new(
-                Code::Unreachable,
-                source.place(path),
+                Code::ConnectionFailed,
+                source.span(path),
                 what,
-                Code::Unreachable.about().mend,
+                Code::ConnectionFailed.info().fix,
             ));
         }
     }
@@ -164,9 +164,9 @@
             short(&sidecar, &source, &room).iter().map(|f| f.code).collect::<Vec<_>>()
         };
         assert_eq!(codes(2_000_000, 1_000_000, 256, 64_000_000), []);
-        assert_eq!(codes(1_999_999, 1_000_000, 256, 64_000_000), [Code::DiskShort]);
-        assert_eq!(codes(2_000_000, 1_000_000, 255, 64_000_000), [Code::DescriptorsShort]);
-        assert_eq!(codes(2_000_000, 1_000_000, 256, 63_999_999), [Code::MemoryShort]);
+        assert_eq!(codes(1_999_999, 1_000_000, 256, 64_000_000), [Code::LowDiskSpace]);
+        assert_eq!(codes(2_000_000, 1_000_000, 255, 64_000_000), [Code::LowDescriptorLimit]);
+        assert_eq!(codes(2_000_000, 1_000_000, 256, 63_999_999), [Code::LowMemory]);
         let unknown = Room { disk: None, held: 0, descriptors: None, memory: None };
         assert_eq!(short(&sidecar, &source, &unknown), []);
     }
--- a/crates/tools/nickelshed-ctl/src/files.rs
+++ b/crates/tools/nickelshed-ctl/src/files.rs
@@ -1,6 +1,6 @@
 //! Files: read within a bound, found again whatever the way to them, and written whole or not at all.
-use nickelshed_config::sidecar::MAX_FILE;
-use nickelshed_config::{check, load_shaped, together, Code, Finding, Shape, Sidecar, Source};
+use nickelshed_config::sidecar::MAX_FILE_BYTES;
+use nickelshed_config::{check, cross_file, load_with_schema, Code, Finding, Sidecar, Source, TypeSchema};
 use std::ffi::OsString;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -21,17 +21,17 @@
 /// No more than one byte past the most that is read at all: a path may lead to anything.
 pub fn read(path: &Path) -> (Text, Option<Finding>) {
     let mut bytes = Vec::new();
-    let read = File::open(path).and_then(|f| f.take(MAX_FILE as u64 + 1).read_to_end(&mut bytes));
+    let read = File::open(path).and_then(|f| f.take(MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes));
     let failed = read.err().map(|e| {
         let what = format!("cannot read {}: {e}", path.display());
-        Finding::new(Code::Unreadable, 0..0, what, Code::Unreadable.about().mend)
+        Finding::new(Code::Unreadable, 0..0, what, Code::Unreadable.info().fix)
     });
     (Text { path: path.to_path_buf(), bytes }, failed)
 }
 
 /// Files that were read and checked, each by itself and all together.
 pub struct Checked {
-    shape: Shape,
+    shape: TypeSchema,
     pub texts: Vec<Text>,
     /// For each file, if its form is right.
     pub files: Vec<Option<(Sidecar, Source)>>,
@@ -41,7 +41,12 @@
 
 impl Default for Checked {
     fn default() -> Checked {
-        Checked { shape: Shape::of::<Sidecar>(), texts: Vec::new(), files: Vec::new(), findings: Vec::new() }
+        Checked {
+            shape: TypeSchema::of::<Sidecar>(),
+            texts: Vec::new(),
+            files: Vec::new(),
+            findings: Vec::new(),
+        }
     }
 }
 
@@ -51,7 +56,7 @@
         let number = self.texts.len();
         let loaded = match failed {
             Some(finding) => nickelshed_config::Loaded { file: None, findings: vec![finding] },
-            None => load_shaped(&text.bytes, &self.shape),
+            None => load_with_schema(&text.bytes, &self.shape),
         };
         self.findings.extend(loaded.findings.into_iter().map(|f| Finding { file: number, ..f }));
         self.texts.push(text);
@@ -61,17 +66,17 @@
     /// What is wrong between the files.
     pub fn together(&mut self) {
         let files = self.files.iter().zip(&self.texts).enumerate();
-        let members: Vec<together::Member> = files
+        let members: Vec<cross_file::ConfigFile> = files
             .filter_map(|(file, (loaded, text))| {
                 let (sidecar, source) = loaded.as_ref()?;
                 let folder = text.path.parent().unwrap_or(Path::new(""));
                 let state = real(&folder.join(&sidecar.state));
                 let notices = sidecar.notices.file.as_ref().map(|f| real(&folder.join(f)));
-                Some(together::Member { file, sidecar, source, state, notices })
+                Some(cross_file::ConfigFile { file, sidecar, source, state, notices })
             })
             .collect();
-        self.findings.extend(together::check(&members));
-        self.findings.sort_by_key(|f| (f.file, f.place.start));
+        self.findings.extend(cross_file::check(&members));
+        self.findings.sort_by_key(|f| (f.file, f.span.start));
     }
 
     pub fn errors(&self) -> usize {
@@ -87,13 +92,13 @@
     loop {
         if let Ok(found) = fs::canonicalize(&known) {
             let all = rest.into_iter().rev().fold(found, |path, part| path.join(part));
-            return check::plain(&all);
+            return check::normalize_path(&all);
         }
         match (known.file_name().map(OsString::from), known.pop()) {
             (Some(name), true) => rest.push(name),
             // It ends in `..` beyond what exists.
             (None, true) => rest.push("..".into()),
-            (_, false) => return check::plain(&path),
+            (_, false) => return check::normalize_path(&path),
         }
     }
 }
--- a/crates/tools/nickelshed-ctl/src/lib.rs
+++ b/crates/tools/nickelshed-ctl/src/lib.rs
@@ -9,7 +9,7 @@
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
 pub use files::Checked;
 use nickelshed_config::fleet::Fleet;
-use nickelshed_config::{diff, reference, write, Code, Finding, Level, Shape, Sidecar};
+use nickelshed_config::{diff, reference, write, Code, Finding, Level, Sidecar, TypeSchema};
 use std::ffi::OsString;
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -169,7 +169,7 @@
             format!(
                 "{c}  {:7}  {}\n",
                 if c.level() == Level::Error { "error" } else { "warning" },
-                c.about().title
+                c.info().title
             )
         };
         print(&Code::ALL.iter().map(line).collect::<String>());
@@ -177,7 +177,7 @@
     };
     let known: Code =
         code.parse().map_err(|()| format!("there is no code {code}; `nickelshed-ctl explain` lists them"))?;
-    let about = known.about();
+    let about = known.info();
     let level = if known.level() == Level::Error {
         "An error: a sidecar does not start with it, or would break a promise."
     } else {
@@ -186,7 +186,7 @@
     let level = level.replace("CODE", about.code);
     print(&format!(
         "{known}: {}\n\n{level}\n\nWhy it matters: {}\n\nHow to mend it: {}\n",
-        about.title, about.why, about.mend
+        about.title, about.why, about.fix
     ));
     Ok(())
 }
@@ -207,10 +207,12 @@
     if changes.is_empty() {
         print("Both mean the same.\n");
     }
-    for (when, title) in
-        [(diff::When::Hangup, "On SIGHUP, at once:"), (diff::When::Start, "At the next start:")]
-    {
-        let words: Vec<&str> = changes.iter().filter(|c| c.when == when).map(|c| c.words.as_str()).collect();
+    for (when, title) in [
+        (diff::TakesEffect::OnReload, "On SIGHUP, at once:"),
+        (diff::TakesEffect::AfterRestart, "At the next start:"),
+    ] {
+        let words: Vec<&str> =
+            changes.iter().filter(|c| c.takes_effect == when).map(|c| c.description.as_str()).collect();
         if !words.is_empty() {
             print(&format!("{title}\n  {}\n", words.join("\n  ")));
         }
@@ -223,10 +225,10 @@
     for path in paths {
         let (text, failed) = files::read(path);
         if let Some(finding) = failed {
-            return Err(finding.what);
+            return Err(finding.message);
         }
-        let old = nickelshed_config::source::text(&text.bytes).map_err(|f| f.what)?;
-        let new = write::tidy(old).map_err(|e| format!("{}: {e}", path.display()))?;
+        let old = nickelshed_config::source::text(&text.bytes).map_err(|f| f.message)?;
+        let new = write::format_text(old).map_err(|e| format!("{}: {e}", path.display()))?;
         if new == old {
             continue;
         }
@@ -288,7 +290,7 @@
         Command::Explain { code } => explain(code.as_deref())?,
         Command::Diff { old, new } => return Ok(difference(&old, &new)),
         Command::Schema { fleet } => {
-            let shape = if fleet { Shape::of::<Fleet>() } else { Shape::of::<Sidecar>() };
+            let shape = if fleet { TypeSchema::of::<Fleet>() } else { TypeSchema::of::<Sidecar>() };
             print(&format!("{:#}\n", shape.json()));
         }
         Command::Fmt { files, check } => return tidy(&files, check),
--- a/crates/tools/nickelshed-ctl/src/new.rs
+++ b/crates/tools/nickelshed-ctl/src/new.rs
@@ -201,7 +201,7 @@
         };
         let mut checked = Checked::default();
         for sidecar in &made {
-            let bytes = write::file(sidecar, !self.bare)?.into_bytes();
+            let bytes = write::to_toml(sidecar, !self.bare)?.into_bytes();
             checked.add(Text { path: self.out.join(format!("{}.toml", sidecar.application)), bytes }, None);
         }
         checked.together();
--- a/crates/tools/nickelshed-ctl/src/report.rs
+++ b/crates/tools/nickelshed-ctl/src/report.rs
@@ -2,7 +2,7 @@
 use crate::files::Text;
 use annotate_snippets::renderer::DecorStyle;
 use annotate_snippets::{AnnotationKind, Group, Level as Tone, Renderer, Snippet};
-use nickelshed_config::finding::{position, Place};
+use nickelshed_config::finding::{position, Span};
 use nickelshed_config::{Finding, Level};
 use serde_json::{json, Value};
 use std::io::IsTerminal;
@@ -13,7 +13,7 @@
 const LINE: usize = 400;
 
 /// The lines that a place stands in: where they start in the text, and the number of the first.
-fn lines(text: &str, place: &Place) -> (usize, usize, usize) {
+fn lines(text: &str, place: &Span) -> (usize, usize, usize) {
     let mut start = place.start.min(text.len());
     while !text.is_char_boundary(start) {
         start -= 1;
@@ -31,7 +31,7 @@
 
 fn snippet<'a>(
     text: &'a Text,
-    place: &Place,
+    place: &Span,
     kind: AnnotationKind,
     label: &'a str,
 ) -> Snippet<'a, annotate_snippets::Annotation<'a>> {
@@ -56,17 +56,17 @@
 /// One finding with the lines that it is about.
 fn shown(finding: &Finding, texts: &[Text], renderer: &Renderer) -> String {
     let tone = if finding.is_error() { Tone::ERROR } else { Tone::WARNING };
-    let title = tone.primary_title(&finding.what).id(finding.code.about().code);
+    let title = tone.primary_title(&finding.message).id(finding.code.info().code);
     let mut group: Group = Group::with_title(title);
     let text = &texts[finding.file];
     if !text.str().is_empty() {
-        group = group.element(snippet(text, &finding.place, AnnotationKind::Primary, ""));
+        group = group.element(snippet(text, &finding.span, AnnotationKind::Primary, ""));
     }
     for related in &finding.related {
         let text = &texts[related.file];
-        group = group.element(snippet(text, &related.place, AnnotationKind::Context, &related.what));
+        group = group.element(snippet(text, &related.span, AnnotationKind::Context, &related.message));
     }
-    group = group.element(Tone::NOTE.message(finding.code.about().why));
+    group = group.element(Tone::NOTE.message(finding.code.info().why));
     group = group.element(Tone::HELP.message(&finding.help));
     renderer.render(&[group])
 }
@@ -92,7 +92,7 @@
 
 /// All findings for a program.
 pub fn json(findings: &[Finding], texts: &[Text]) -> Value {
-    let place = |file: usize, place: &Place| {
+    let place = |file: usize, place: &Span| {
         let text = &texts[file];
         let (line, column) = position(text.str(), place.start);
         let (end_line, end_column) = position(text.str(), place.end);
@@ -100,15 +100,15 @@
     };
     let one = |f: &Finding| {
         let related = f.related.iter().map(|r| {
-            let mut value = place(r.file, &r.place);
-            value["what"] = json!(r.what);
+            let mut value = place(r.file, &r.span);
+            value["what"] = json!(r.message);
             value
         });
-        let mut value = place(f.file, &f.place);
-        value["code"] = json!(f.code.about().code);
+        let mut value = place(f.file, &f.span);
+        value["code"] = json!(f.code.info().code);
         value["level"] = json!(if f.level() == Level::Error { "error" } else { "warning" });
-        value["what"] = json!(f.what);
-        value["why"] = json!(f.code.about().why);
+        value["what"] = json!(f.message);
+        value["why"] = json!(f.code.info().why);
         value["help"] = json!(f.help);
         value["related"] = related.collect();
         value
--- a/crates/tools/nickelshed-quickstart/src/main.rs
+++ b/crates/tools/nickelshed-quickstart/src/main.rs
@@ -105,7 +105,7 @@
 
 /// The example with addresses that are free here, and stand-ins at those of its customer systems.
 fn set_up(folder: &Path, seen: &Seen) -> Result<(Sidecar, PathBuf, Vec<Peer>), Failed> {
-    let mut sidecar = load(EXAMPLE.as_bytes()).sound().map_err(|_| "the example is not sound")?;
+    let mut sidecar = load(EXAMPLE.as_bytes()).into_valid().map_err(|_| "the example is not sound")?;
     let mut peers = Vec::new();
     for destination in &mut sidecar.destinations {
         for endpoint in &mut destination.endpoints {
@@ -120,7 +120,7 @@
     sidecar.notices.file = Some("notices.jsonl".into());
     fs::create_dir_all(folder)?;
     let file = folder.join("sidecar.toml");
-    fs::write(&file, write::file(&sidecar, true)?)?;
+    fs::write(&file, write::to_toml(&sidecar, true)?)?;
     Ok((sidecar, file, peers))
 }
 
