--- a/crates/decide/nickelshed-budget/src/lib.rs
+++ b/crates/decide/nickelshed-budget/src/lib.rs
@@ -1,5 +1,5 @@
-//! Memory budget shared by all messages: a message reserves its size before its body is read and frees it when it has
-//! finished.
+//! Memory budget shared by all messages: a message reserves its size before its body is read and frees it
+//! when it has finished.
 mod limits;
 
 pub use limits::{max_messages_in_memory, max_messages_on_disk, outage_list_bytes, SocketAllocation};
@@ -7,13 +7,13 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Fraction of the memory limit that messages may use. The rest is for connections, the journal's file (which counts
-/// as memory of the process) and the copies of a body that exist while it is written.
+/// Fraction of the memory limit that messages may use. The rest is for connections, the journal's file (which
+/// counts as memory of the process) and the copies of a body that exist while it is written.
 const MESSAGE_MEMORY_FRACTION: f64 = 0.2;
 /// Memory that a message uses besides its body, over all tables.
 const MESSAGE_OVERHEAD_BYTES: usize = 1_536;
-/// A message may reserve at most one part in this many of the free budget, so that bodies of 64 KiB cannot use up the
-/// memory that messages of usual size need.
+/// A message may reserve at most one part in this many of the free budget, so that bodies of 64 KiB cannot
+/// use up the memory that messages of usual size need.
 const MAX_MESSAGE_DIVISOR: usize = 8;
 
 #[derive(Clone)]
@@ -31,16 +31,16 @@
         Budget(Rc::new(Cell::new((memory_mb * 1e6 * MESSAGE_MEMORY_FRACTION) as usize)))
     }
 
-    /// Reserves memory for a message with a body of `body` bytes. Returns `None` if the message is too large for what is
-    /// free.
+    /// Reserves memory for a message with a body of `body` bytes. Returns `None` if the message is too large
+    /// for what is free.
     pub fn try_reserve(&self, body: usize) -> Option<MemoryReservation> {
         let bytes = body + MESSAGE_OVERHEAD_BYTES;
         let free = self.0.get();
         (bytes <= free / MAX_MESSAGE_DIVISOR).then(|| self.reserve_up_to(bytes))
     }
 
-    /// Reserves memory for a message recovered from the journal. It was accepted before and must be kept, so this never
-    /// fails: if too little is free, it reserves what there is.
+    /// Reserves memory for a message recovered from the journal. It was accepted before and must be kept, so
+    /// this never fails: if too little is free, it reserves what there is.
     pub fn reserve_recovered(&self, body: usize) -> MemoryReservation {
         self.reserve_up_to(body + MESSAGE_OVERHEAD_BYTES)
     }
--- a/crates/decide/nickelshed-budget/src/limits.rs
+++ b/crates/decide/nickelshed-budget/src/limits.rs
@@ -1,5 +1,5 @@
-//! Capacities that follow from the limits of a process. The sender divides its resources by them, and the configuration
-//! checks compute with the same code.
+//! Capacities that follow from the limits of a process. The sender divides its resources by them, and the
+//! configuration checks compute with the same code.
 use crate::{MAX_MESSAGE_DIVISOR, MESSAGE_MEMORY_FRACTION, MESSAGE_OVERHEAD_BYTES};
 
 /// File descriptors reserved for the listener, the discovery watch, notices and files.
@@ -17,8 +17,9 @@
 }
 
 impl SocketAllocation {
-    /// Calls get enough for their slots where possible, a sixteenth is for clients that are only told to retry later, and
-    /// the remainder is for served clients, because some clients open hundreds of connections.
+    /// Calls get enough for their slots where possible, a sixteenth is for clients that are only told to
+    /// retry later, and the remainder is for served clients, because some clients open hundreds of
+    /// connections.
     pub fn divide(sockets: usize, slots: usize) -> SocketAllocation {
         let sockets = sockets.saturating_sub(RESERVED_SOCKETS);
         let calls = slots.saturating_mul(2).saturating_add(32).max(sockets / 4).min(sockets * 3 / 8);
@@ -46,26 +47,29 @@
         .map_or(0, |remaining| remaining / message_bytes + 1)
 }
 
-/// Upper bounds of what the journal writes, in bytes. The tests of the journal compare them with its real use of the
-/// disk.
+/// Upper bounds of what the journal writes, in bytes. The tests of the journal compare them with its real use
+/// of the disk.
 mod journal {
-    /// Fraction of the disk limit left for records after partly filled blocks, record framing and the ballast (1/32).
+    /// Fraction of the disk limit left for records after partly filled blocks, record framing and the ballast
+    /// (1/32).
     pub const USABLE_DISK_FRACTION: f64 = 0.93 - 1.0 / 32.0;
-    /// A segment is one part in this many of the usable space, within the two bounds below. One segment is kept free,
-    /// and two more where a 202 waits for a sync.
+    /// A segment is one part in this many of the usable space, within the two bounds below. One segment is
+    /// kept free, and two more where a 202 waits for a sync.
     pub const SEGMENT_DIVISOR: u64 = 16;
     pub const MIN_SEGMENT_BYTES: u64 = 16 << 10;
     pub const MAX_SEGMENT_BYTES: u64 = 1 << 20;
     pub const HEADERS_BYTES: u64 = 16 << 10;
     /// Record of an accepted message without its body: numbers, and names of usual length.
     pub const MESSAGE_RECORD_BYTES: u64 = 91 + 24 + 32 + 100;
-    /// Records that may still follow for the message: `ATTEMPT_RECORDS_BYTES` for each attempt, `ENDING_RECORD_BYTES` once.
+    /// Records that may still follow for the message: `ATTEMPT_RECORDS_BYTES` for each attempt,
+    /// `ENDING_RECORD_BYTES` once.
     pub const ATTEMPT_RECORDS_BYTES: u64 = 97 + 21 + 48 + 86;
     pub const ENDING_RECORD_BYTES: u64 = 34 + 48 + 20;
 }
 
-/// Size in bytes of each of the two copies of the list of unavailable routes: a sixty-fourth of the disk limit, which
-/// at 3 MB holds 1,024 routes with names of 32 bytes. At least 2 KiB, at most 96 KiB, rounded down to whole blocks.
+/// Size in bytes of each of the two copies of the list of unavailable routes: a sixty-fourth of the disk
+/// limit, which at 3 MB holds 1,024 routes with names of 32 bytes. At least 2 KiB, at most 96 KiB, rounded
+/// down to whole blocks.
 pub fn outage_list_bytes(disk: u64) -> u64 {
     const DISK_DIVISOR: u64 = 64;
     const MIN_BYTES: u64 = 2 << 10;
@@ -74,14 +78,15 @@
     (disk / DISK_DIVISOR).clamp(MIN_BYTES, MAX_BYTES) / BLOCK_BYTES * BLOCK_BYTES
 }
 
-/// Number of open messages with bodies of `body` bytes that a journal with a disk limit of `disk` bytes can hold, with
-/// space for every record that may follow for them. `synced`: a 202 waits for a sync of the disk.
+/// Number of open messages with bodies of `body` bytes that a journal with a disk limit of `disk` bytes can
+/// hold, with space for every record that may follow for them. `synced`: a 202 waits for a sync of the disk.
 pub fn max_messages_on_disk(disk: u64, body: u64, attempts: u32, synced: bool) -> u64 {
     let usable_bytes = (disk as f64 * journal::USABLE_DISK_FRACTION) as u64;
     let segment_bytes = (usable_bytes / journal::SEGMENT_DIVISOR)
         .clamp(journal::MIN_SEGMENT_BYTES, journal::MAX_SEGMENT_BYTES);
     let record_bytes = journal::MESSAGE_RECORD_BYTES + body;
-    // The two copies of the list of unavailable routes, and as much again for what rounding to whole segments loses.
+    // The two copies of the list of unavailable routes, and as much again for what rounding to whole segments
+    // loses.
     let outage_lists_bytes = 4 * outage_list_bytes(disk);
     let reserved_bytes = segment_bytes * if synced { 3 } else { 1 }
         + 6 * record_bytes
--- a/crates/decide/nickelshed-settings/src/lib.rs
+++ b/crates/decide/nickelshed-settings/src/lib.rs
@@ -1,11 +1,12 @@
-//! Reads the platform's JSON settings object into the policy's `api::Settings`, for the sender and for the simulator
-//! host. Unknown keys are ignored.
+//! Reads the platform's JSON settings object into the policy's `api::Settings`, for the sender and for the
+//! simulator host. Unknown keys are ignored.
 use nickelshed_policy::api::*;
 use serde_json::Value;
 
 /// About three years, in nanoseconds.
 const MAX_TIME_NS: f64 = 1e17;
 
+/// A value of the settings object with its path, which error messages name. An absent value is `Null`.
 struct Node<'a> {
     value: &'a Value,
     path: String,
@@ -31,11 +32,13 @@
         }
     }
 
-    /// A time in nanoseconds, capped at about three years so that sums of several times do not overflow a clock value.
+    /// A time in nanoseconds, capped at about three years so that sums of several times do not overflow a
+    /// clock value.
     fn time(&self, min: f64) -> Result<Ns, String> {
         Ok(self.number(min)?.min(MAX_TIME_NS) as Ns)
     }
 
+    /// Like `time`, with 0 for an absent value.
     fn time_or_zero(&self) -> Result<Ns, String> {
         Ok(self.number_or(0.0, 0.0)?.min(MAX_TIME_NS) as Ns)
     }
@@ -80,11 +83,11 @@
 /// Kind of service that answers a sender's requests for the list of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// An agent of the sender's own, which answers immediately and at no cost. The sender counts as notified of a change
-    /// once its agent has been sent it.
+    /// An agent of the sender's own, which answers immediately and at no cost. The sender counts as notified
+    /// of a change once its agent has been sent it.
     Agent,
-    /// A discovery service shared by all senders, for which each request costs work. A sender that has not asked counts
-    /// as notified of a change only much later.
+    /// A discovery service shared by all senders, for which each request costs work. A sender that has not
+    /// asked counts as notified of a change only much later.
     Shared,
 }
 
@@ -97,18 +100,24 @@
     /// Positions of the fields `x0` and `x1` in a load report; `None` if the report lacks them.
     pub x0_column: Option<usize>,
     pub x1_column: Option<usize>,
-    /// Names of the classes, by the index that the policy uses; the lists below alike.
+    /// Names of the classes by the index that the policy uses; tenants, kinds and zones alike.
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
 }
 
+/// Returns the names of a list's items: the items themselves, or their value for `key`. A name that is not a
+/// string is read as empty.
 fn names(items: Vec<Node>, key: Option<&str>) -> Vec<String> {
     let name = |i: &Node| key.map_or(i.value, |k| i.get(k).value).as_str().unwrap_or_default().to_string();
     items.iter().map(name).collect()
 }
 
+/// Reads the settings object.
+///
+/// # Errors
+/// The path of the first missing or invalid value, and what is wrong with it.
 pub fn read(value: &Value) -> Result<(Settings, DeploymentContext), String> {
     let root = Node { value, path: String::new() };
     if !value.is_object() {
--- a/crates/serve/nickelshed-host/src/lib.rs
+++ b/crates/serve/nickelshed-host/src/lib.rs
@@ -1,6 +1,6 @@
 //! Network and clocks of the machine that a sender runs on, as traits, so that tests can simulate them. The
-//! implementation is a type parameter, so real sockets pay no dynamic dispatch. Timers are Tokio's, which a test can
-//! pause and advance; storage has its own trait in the journal.
+//! implementation is a type parameter, so real sockets pay no dynamic dispatch. Timers are Tokio's, which a
+//! test can pause and advance; storage has its own trait in the journal.
 mod system;
 
 pub use system::SystemHost;
@@ -20,7 +20,8 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// If the connection is refused. If nothing answers, the future never completes, so the caller needs a time-out.
+    /// If the connection is refused. If nothing answers, the future never completes, so the caller needs a
+    /// time-out.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 
     /// Listens for connections at an address.
@@ -32,11 +33,13 @@
     /// Opens a socket that sends and receives datagrams at an address.
     ///
     /// # Errors
-    /// If the address is in use or does not belong to this machine, or if the machine does not support datagrams.
+    /// If the address is in use or does not belong to this machine, or if the machine does not support
+    /// datagrams.
     fn bind_datagrams(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::DatagramSocket>>;
 
-    /// The machine's monotonic clock. It advances even while the process is blocked, for example by a slow disk. Under
-    /// simulated time this is the only clock that does; Tokio's stands still until the process yields.
+    /// The machine's monotonic clock. It advances even while the process is blocked, for example by a slow
+    /// disk. Under simulated time this is the only clock that does; Tokio's stands still until the process
+    /// yields.
     fn monotonic(&self) -> Instant;
 
     /// Unix time in milliseconds. It may jump; use it only for times that must remain valid after a restart.
@@ -55,8 +58,8 @@
 
 /// A datagram socket.
 pub trait DatagramSocket: 'static {
-    /// Sends a datagram without blocking. It is dropped if the machine's send buffer is full, like a datagram lost in
-    /// the network.
+    /// Sends a datagram without blocking. It is dropped if the machine's send buffer is full, like a datagram
+    /// lost in the network.
     fn send(&self, bytes: &[u8], to: SocketAddr);
 
     /// Receives the next datagram and its source. Bytes that do not fit into the buffer are discarded.
@@ -66,18 +69,18 @@
     fn receive(&self, buffer: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
 }
 
-/// A connection that can be read, written and watched through shared references. Dropping it closes the connection; if
-/// received bytes are then unread, the peer sees a reset.
+/// A connection that can be read, written and watched through shared references. Dropping it closes the
+/// connection; if received bytes are then unread, the peer sees a reset.
 pub trait Stream: 'static {
-    /// Reads into `buffer`. `Ready(Ok(0))` means that the peer has shut down its sending side, or that `buffer` is empty.
-    /// Only the task that polled last is woken.
+    /// Reads into `buffer`. `Ready(Ok(0))` means that the peer has shut down its sending side, or that
+    /// `buffer` is empty. Only the task that polled last is woken.
     fn poll_read(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>>;
 
     /// Writes a part of the bytes and returns how many. Only the task that polled last is woken.
     fn poll_write(&self, cx: &mut Context<'_>, parts: &[IoSlice<'_>]) -> Poll<io::Result<usize>>;
 
-    /// Whether unread bytes or the end of the connection are pending. Asks the machine, since the runtime may not have
-    /// been told yet.
+    /// Whether unread bytes or the end of the connection are pending. Asks the machine, since the runtime may
+    /// not have been told yet.
     fn has_readable_data(&self) -> bool;
 
     /// Shuts down the sending side; reading remains possible.
--- a/crates/serve/nickelshed-host/src/system.rs
+++ b/crates/serve/nickelshed-host/src/system.rs
@@ -85,7 +85,7 @@
 
     fn has_readable_data(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
-        !matches!(SockRef::from(self).peek(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
+        !matches!(SockRef::from(self).peek(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
     fn shutdown_write(&self) -> io::Result<()> {
--- a/crates/tools/nickelshed-config/src/check.rs
+++ b/crates/tools/nickelshed-config/src/check.rs
@@ -11,19 +11,18 @@
 use std::path::{Component, Path, PathBuf};
 
 /// Largest message body that is accepted, in bytes.
-const MAX_BODY: u64 = 64 << 10;
-/// Longest name of an endpoint that the journal stores, and longest name that these checks accept for a class or tenant,
-/// in bytes.
-const MAX_NAME: usize = 64;
-/// Largest rate, worth or price. Bounded because the policy multiplies them.
-const LARGEST_FIGURE: f64 = 1e9;
+const MAX_BODY_BYTES: u64 = 64 << 10;
+/// Longest name that these checks accept, in bytes. The journal stores no longer name of an endpoint.
+const MAX_NAME_BYTES: usize = 64;
+/// Largest rate, value or price. Bounded because the policy multiplies them.
+const MAX_NUMBER: f64 = 1e9;
 // Larger counts are mistakes, and the tables of the policy would use too much memory for them.
-const MOST_SLOTS: u32 = 65_536;
-const MOST_SENDERS: u32 = 10_000;
-const MOST_ATTEMPTS: u32 = 1_000;
-const MOST_BATCH: u32 = 1_000;
+const MAX_SLOTS: u32 = 65_536;
+const MAX_SENDERS: u32 = 10_000;
+const MAX_ATTEMPTS: u32 = 1_000;
+const MAX_BATCH: u32 = 1_000;
 
-struct Check<'a> {
+struct Checker<'a> {
     source: &'a Source,
     findings: Vec<Finding>,
 }
@@ -32,19 +31,20 @@
     ($($step:expr),*) => { &[$(PathStep::from($step)),*] };
 }
 
-/// Checks the content of a file that was read without errors of form. Warnings that the file allows are left out.
+/// Checks the content of a file that has the right syntax and types. Warnings that the file allows are left
+/// out.
 pub fn check(sidecar: &Sidecar, source: &Source) -> Vec<Finding> {
-    let mut c = Check { source, findings: Vec::new() };
-    c.names(sidecar);
-    c.classes(sidecar);
-    c.limits(sidecar);
-    c.figures(sidecar);
-    c.traffic(sidecar);
-    c.addresses(sidecar);
-    c.destinations(sidecar);
-    c.notices(sidecar);
-    c.allowed(sidecar);
-    let mut findings = c.findings;
+    let mut checker = Checker { source, findings: Vec::new() };
+    checker.check_names(sidecar);
+    checker.check_classes(sidecar);
+    checker.check_limits(sidecar);
+    checker.check_parameters(sidecar);
+    checker.check_traffic(sidecar);
+    checker.check_addresses(sidecar);
+    checker.check_destinations(sidecar);
+    checker.check_notices(sidecar);
+    checker.check_allowed_codes(sidecar);
+    let mut findings = checker.findings;
     findings.retain(|f| f.is_error() || !allows(sidecar, f.code));
     findings.sort_by_key(|f| (f.span.start, f.code));
     findings
@@ -57,41 +57,49 @@
 
 /// Removes `.` and `..` from a path as far as possible without reading the file system.
 pub fn normalize_path(path: &Path) -> PathBuf {
-    let mut out = PathBuf::new();
-    for part in path.components() {
-        match part {
+    let mut normalized = PathBuf::new();
+    for component in path.components() {
+        match component {
             Component::CurDir => {}
-            Component::ParentDir if matches!(out.components().next_back(), Some(Component::Normal(_))) => {
-                _ = out.pop()
+            Component::ParentDir
+                if matches!(normalized.components().next_back(), Some(Component::Normal(_))) =>
+            {
+                _ = normalized.pop()
             }
-            Component::ParentDir if out.has_root() => {}
-            other => out.push(other),
+            Component::ParentDir if normalized.has_root() => {}
+            other => normalized.push(other),
         }
     }
-    out
+    normalized
 }
 
-impl Check<'_> {
-    fn find(&mut self, code: Code, path: &[PathStep], message: impl Into<String>, help: impl Into<String>) {
+impl Checker<'_> {
+    fn report_with_help(
+        &mut self,
+        code: Code,
+        path: &[PathStep],
+        message: impl Into<String>,
+        help: impl Into<String>,
+    ) {
         let span = self.source.span(path);
         self.findings.push(Finding::new(code, span, message, help));
     }
 
     /// Like `report_with_help`, with the help text of the code.
-    fn say(&mut self, code: Code, path: &[PathStep], message: impl Into<String>) {
-        self.find(code, path, message, code.info().fix);
+    fn report(&mut self, code: Code, path: &[PathStep], message: impl Into<String>) {
+        self.report_with_help(code, path, message, code.info().fix);
     }
 
-    fn allowed(&mut self, s: &Sidecar) {
-        for (i, allowed) in s.allow.iter().enumerate() {
+    fn check_allowed_codes(&mut self, sidecar: &Sidecar) {
+        for (i, allowed) in sidecar.allow.iter().enumerate() {
             match allowed.parse::<Code>() {
                 Ok(code) if code.level() == crate::code::Level::Warning => {}
-                Ok(_) => self.say(
+                Ok(_) => self.report(
                     Code::InvalidAllowEntry,
                     path!["allow", i],
                     format!("`{allowed}` is an error, which can't be allowed"),
                 ),
-                Err(()) => self.say(
+                Err(()) => self.report(
                     Code::InvalidAllowEntry,
                     path!["allow", i],
                     format!("there is no code `{allowed}`"),
@@ -100,280 +108,300 @@
         }
     }
 
-    fn name(&mut self, subject: &str, name: &str, path: &[PathStep]) {
-        let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-        let shown: String = name.chars().take(MAX_NAME).collect();
+    fn check_name(&mut self, subject: &str, name: &str, path: &[PathStep]) {
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+        let prefix: String = name.chars().take(MAX_NAME_BYTES).collect();
         if name.is_empty() {
-            self.say(Code::InvalidName, path, format!("the {subject} has an empty name"));
-        } else if name.len() > MAX_NAME {
-            self.say(
+            self.report(Code::InvalidName, path, format!("the {subject} has an empty name"));
+        } else if name.len() > MAX_NAME_BYTES {
+            self.report(
                 Code::InvalidName,
                 path,
-                format!("the {subject} `{shown}…` has a name of {} bytes", name.len()),
+                format!("the {subject} `{prefix}…` has a name of {} bytes", name.len()),
+            );
+        } else if let Some(invalid) = name.chars().find(|c| !is_allowed(*c)) {
+            self.report(
+                Code::InvalidName,
+                path,
+                format!("the {subject} `{prefix}` has {invalid:?} in its name"),
             );
-        } else if let Some(wrong) = name.chars().find(|c| !fits(*c)) {
-            self.say(Code::InvalidName, path, format!("the {subject} `{shown}` has {wrong:?} in its name"));
         } else if subject == "class" && (name == "healthz" || name.chars().all(|c| c == '.')) {
-            self.say(Code::InvalidName, path, format!("the class `{name}` has the name of a reserved path"));
+            self.report(
+                Code::InvalidName,
+                path,
+                format!("the class `{name}` has the name of a reserved path"),
+            );
         }
     }
 
     /// Checks the names of a list of sections: each is valid, and each is unique.
-    fn list_of_names<'n>(&mut self, subject: &str, section: &str, names: impl Iterator<Item = &'n str>) {
+    fn check_unique_names<'n>(&mut self, subject: &str, section: &str, names: impl Iterator<Item = &'n str>) {
         let mut seen = HashMap::new();
         for (i, name) in names.enumerate() {
-            self.name(subject, name, path![section, i, "name"]);
+            self.check_name(subject, name, path![section, i, "name"]);
             if let Some(first) = seen.insert(name, i) {
                 let span = self.source.span(path![section, first, "name"]);
-                self.say(
+                self.report(
                     Code::DuplicateName,
                     path![section, i, "name"],
                     format!("there are two sections for the {subject} `{name}`"),
                 );
-                self.relate(span, "first defined here");
+                self.add_related(span, "first defined here");
             }
         }
     }
 
-    fn relate(&mut self, span: crate::finding::Span, message: &str) {
+    fn add_related(&mut self, span: crate::finding::Span, message: &str) {
         if let Some(finding) = self.findings.last_mut() {
             finding.related.push(crate::finding::Related { file: 0, span, message: message.to_string() });
         }
     }
 
-    fn names(&mut self, s: &Sidecar) {
-        self.name("application", &s.application, path!["application"]);
-        if let Some(host) = &s.host {
-            self.name("host", host, path!["host"]);
-        }
-        self.list_of_names("class", "class", s.classes.iter().map(|c| c.name.as_str()));
-        self.list_of_names("tenant", "tenant", s.tenants.iter().map(|t| t.name.as_str()));
-        self.list_of_names("kind", "kind", s.kinds.iter().map(|k| k.name.as_str()));
-        self.list_of_names("zone", "zone", s.zones.iter().map(|z| z.name.as_str()));
-        if let Some(zone) = &s.own_zone {
-            self.known("zone", zone, s.zones.iter().map(|z| z.name.as_str()), path!["own_zone"]);
+    fn check_names(&mut self, sidecar: &Sidecar) {
+        self.check_name("application", &sidecar.application, path!["application"]);
+        if let Some(host) = &sidecar.host {
+            self.check_name("host", host, path!["host"]);
+        }
+        self.check_unique_names("class", "class", sidecar.classes.iter().map(|c| c.name.as_str()));
+        self.check_unique_names("tenant", "tenant", sidecar.tenants.iter().map(|t| t.name.as_str()));
+        self.check_unique_names("kind", "kind", sidecar.kinds.iter().map(|k| k.name.as_str()));
+        self.check_unique_names("zone", "zone", sidecar.zones.iter().map(|z| z.name.as_str()));
+        if let Some(zone) = &sidecar.own_zone {
+            self.check_reference(
+                "zone",
+                zone,
+                sidecar.zones.iter().map(|z| z.name.as_str()),
+                path!["own_zone"],
+            );
         }
     }
 
-    fn known<'n>(
+    fn check_reference<'n>(
         &mut self,
         subject: &str,
         name: &str,
-        known: impl Iterator<Item = &'n str> + Clone,
+        known_names: impl Iterator<Item = &'n str> + Clone,
         path: &[PathStep],
     ) {
-        if known.clone().any(|k| k == name) {
+        if known_names.clone().any(|k| k == name) {
             return;
         }
-        let help = match closest_name(name, known.clone()) {
-            Some(near) => format!("Did you mean `{near}`?"),
-            None if known.clone().next().is_none() => {
+        let help = match closest_name(name, known_names.clone()) {
+            Some(closest) => format!("Did you mean `{closest}`?"),
+            None if known_names.clone().next().is_none() => {
                 format!("Add a `[[{subject}]]` with that name, or remove it")
             }
-            None => format!("Known are: {}", known.collect::<Vec<_>>().join(", ")),
+            None => format!("Known names: {}", known_names.collect::<Vec<_>>().join(", ")),
         };
-        self.find(Code::UnknownName, path, format!("there is no {subject} `{name}`"), help);
+        self.report_with_help(Code::UnknownName, path, format!("there is no {subject} `{name}`"), help);
     }
 
-    fn classes(&mut self, s: &Sidecar) {
-        if s.classes.is_empty() {
-            self.say(
+    fn check_classes(&mut self, sidecar: &Sidecar) {
+        if sidecar.classes.is_empty() {
+            self.report(
                 Code::NoClass,
                 path!["class"],
                 "there is no `[[class]]`, so no message can be submitted",
             );
         }
-        let most = s.rules.abandonment;
-        for (i, class) in s.classes.iter().enumerate() {
-            let (name, given_up, wanted) = (&class.name, class.abandoned_after, class.wanted_within);
-            if given_up > most {
-                let message = format!("class `{name}` is abandoned after {given_up}, later than {most}, after which nobody waits for a message any more");
-                let help = format!("Set `abandoned_after` to {most} at most, or raise `rules.abandonment` if clients and destinations really wait longer");
-                self.find(Code::BeyondAbandonment, path!["class", i, "abandoned_after"], message, help);
+        let abandonment = sidecar.rules.abandonment;
+        for (i, class) in sidecar.classes.iter().enumerate() {
+            let (name, abandoned_after, wanted_within) =
+                (&class.name, class.abandoned_after, class.wanted_within);
+            if abandoned_after > abandonment {
+                let message = format!("class `{name}` is abandoned after {abandoned_after}, later than {abandonment}, after which nobody waits for a message any more");
+                let help = format!("Set `abandoned_after` to {abandonment} at most, or raise `rules.abandonment` if clients and destinations really wait longer");
+                self.report_with_help(
+                    Code::BeyondAbandonment,
+                    path!["class", i, "abandoned_after"],
+                    message,
+                    help,
+                );
             }
-            if wanted > given_up {
+            if wanted_within > abandoned_after {
                 let message = format!(
-                    "class `{name}` has a `wanted_within` of {wanted}, but is abandoned after {given_up}"
+                    "class `{name}` has a `wanted_within` of {wanted_within}, but is abandoned after {abandoned_after}"
                 );
-                self.say(Code::TargetBeyondExpiry, path!["class", i, "wanted_within"], message);
+                self.report(Code::TargetBeyondExpiry, path!["class", i, "wanted_within"], message);
             }
-            for (key, time) in [("wanted_within", wanted), ("abandoned_after", given_up)] {
-                if time.ns() < 1_000_000 {
+            for (key, duration) in [("wanted_within", wanted_within), ("abandoned_after", abandoned_after)] {
+                if duration.ns() < 1_000_000 {
                     let message = format!("class `{name}` has a `{key}` under a millisecond");
-                    self.say(Code::DurationTooShort, path!["class", i, key], message);
+                    self.report(Code::DurationTooShort, path!["class", i, key], message);
                 }
             }
             match (class.effect, class.repeat_window) {
                 (Effect::Keyed, None) => {
                     let message = format!("class `{name}` is keyed and has no `repeat_window`");
-                    self.say(Code::MissingRepeatWindow, path!["class", i, "effect"], message);
+                    self.report(Code::MissingRepeatWindow, path!["class", i, "effect"], message);
                 }
-                (Effect::Keyed, Some(window)) if window < given_up => {
-                    let rest = crate::units::Period(given_up.0 - window.0);
-                    let message = format!("class `{name}` is abandoned after {given_up}, but its destinations drop repeats only for {window}: a message that may have been executed is not attempted in its last {rest}");
-                    self.say(Code::ShortRepeatWindow, path!["class", i, "repeat_window"], message);
+                (Effect::Keyed, Some(repeat_window)) if repeat_window < abandoned_after => {
+                    let uncovered = crate::units::Period(abandoned_after.0 - repeat_window.0);
+                    let message = format!("class `{name}` is abandoned after {abandoned_after}, but its destinations drop repeats only for {repeat_window}: a message that may have been executed is not attempted in its last {uncovered}");
+                    self.report(Code::ShortRepeatWindow, path!["class", i, "repeat_window"], message);
                 }
                 (Effect::Safe | Effect::Unsafe, Some(_)) => {
                     let message =
                         format!("class `{name}` is not keyed, so its `repeat_window` has no effect");
-                    self.say(Code::UnusedRepeatWindow, path!["class", i, "repeat_window"], message);
+                    self.report(Code::UnusedRepeatWindow, path!["class", i, "repeat_window"], message);
                 }
                 _ => {}
             }
             if class.in_order {
                 let message = format!("class `{name}` sets `in_order`, but messages carry no ordering key");
-                self.say(Code::OrderWithoutOrderingKey, path!["class", i, "in_order"], message);
+                self.report(Code::OrderWithoutOrderingKey, path!["class", i, "in_order"], message);
             }
-            self.figure(class.worth, 0.0, path!["class", i, "worth"]);
-            self.figure(class.wanted_stretch, 0.0, path!["class", i, "wanted_stretch"]);
-            self.share(class.late_worth.0, path!["class", i, "late_worth"]);
+            self.check_number(class.worth, 0.0, path!["class", i, "worth"]);
+            self.check_number(class.wanted_stretch, 0.0, path!["class", i, "wanted_stretch"]);
+            self.check_share(class.late_worth.0, path!["class", i, "late_worth"]);
         }
     }
 
-    fn figure(&mut self, figure: f64, least: f64, path: &[PathStep]) {
-        if !(figure >= least && figure <= LARGEST_FIGURE) {
-            self.say(
+    fn check_number(&mut self, number: f64, min: f64, path: &[PathStep]) {
+        if !(number >= min && number <= MAX_NUMBER) {
+            self.report(
                 Code::UnusableValue,
                 path,
-                format!("{figure} is out of range: it must be from {least} to {LARGEST_FIGURE:e}"),
+                format!("{number} is out of range: it must be from {min} to {MAX_NUMBER:e}"),
             );
         }
     }
 
-    fn share(&mut self, share: f64, path: &[PathStep]) {
+    fn check_share(&mut self, share: f64, path: &[PathStep]) {
         if !(0.0..=1.0).contains(&share) {
             let message =
                 format!("{} is out of range: it must be from 0% to 100%", crate::units::Percent(share));
-            self.say(Code::UnusableValue, path, message);
+            self.report(Code::UnusableValue, path, message);
         }
     }
 
-    fn whole(&mut self, number: u32, least: u32, most: u32, code: Code, path: &[PathStep]) {
-        if number < least {
-            self.say(code, path, format!("{number} is too low: the minimum is {least}"));
-        } else if number > most {
-            self.say(Code::UnusableValue, path, format!("{number} is out of range: the maximum is {most}"));
+    fn check_integer(&mut self, number: u32, min: u32, max: u32, code: Code, path: &[PathStep]) {
+        if number < min {
+            self.report(code, path, format!("{number} is too low: the minimum is {min}"));
+        } else if number > max {
+            self.report(Code::UnusableValue, path, format!("{number} is out of range: the maximum is {max}"));
         }
     }
 
-    fn limits(&mut self, s: &Sidecar) {
-        let l = &s.limits;
-        self.whole(l.attempts, 1, MOST_ATTEMPTS, Code::LimitOfZero, path!["limits", "attempts"]);
-        self.whole(l.held, 1, u32::MAX, Code::LimitOfZero, path!["limits", "held"]);
-        self.whole(s.senders, 1, MOST_SENDERS, Code::UnusableValue, path!["senders"]);
-        self.whole(l.slots, 0, MOST_SLOTS, Code::TooFewSlots, path!["limits", "slots"]);
-        if l.slots < 2 {
+    fn check_limits(&mut self, sidecar: &Sidecar) {
+        let limits = &sidecar.limits;
+        self.check_integer(limits.attempts, 1, MAX_ATTEMPTS, Code::LimitOfZero, path!["limits", "attempts"]);
+        self.check_integer(limits.held, 1, u32::MAX, Code::LimitOfZero, path!["limits", "held"]);
+        self.check_integer(sidecar.senders, 1, MAX_SENDERS, Code::UnusableValue, path!["senders"]);
+        self.check_integer(limits.slots, 0, MAX_SLOTS, Code::TooFewSlots, path!["limits", "slots"]);
+        if limits.slots < 2 {
             let message = format!(
                 "three quarters of {} slots are less than one call, so no destination would get a call",
-                l.slots
+                limits.slots
             );
-            self.say(Code::TooFewSlots, path!["limits", "slots"], message);
-        } else if l.slots <= MOST_SLOTS
-            && !SocketAllocation::divide(l.sockets as usize, l.slots as usize).supports(l.slots as usize)
+            self.report(Code::TooFewSlots, path!["limits", "slots"], message);
+        } else if limits.slots <= MAX_SLOTS
+            && !SocketAllocation::divide(limits.sockets as usize, limits.slots as usize)
+                .supports(limits.slots as usize)
         {
-            let calls = SocketAllocation::divide(l.sockets as usize, l.slots as usize).calls;
-            let message = format!("{} slots need as many connections to endpoints, but only {calls} of {} descriptors are for calls", l.slots, l.sockets);
-            self.say(Code::SlotsOverSockets, path!["limits", "slots"], message);
+            let calls = SocketAllocation::divide(limits.sockets as usize, limits.slots as usize).calls;
+            let message = format!("{} slots need as many connections to endpoints, but only {calls} of {} descriptors are for calls", limits.slots, limits.sockets);
+            self.report(Code::SlotsOverSockets, path!["limits", "slots"], message);
         }
-        if l.usual_body.0 > MAX_BODY {
-            let message = format!("bodies of {} are never accepted: the maximum is 64KiB", l.usual_body);
-            self.say(Code::BodyTooLarge, path!["limits", "usual_body"], message);
+        if limits.usual_body.0 > MAX_BODY_BYTES {
+            let message = format!("bodies of {} are never accepted: the maximum is 64KiB", limits.usual_body);
+            self.report(Code::BodyTooLarge, path!["limits", "usual_body"], message);
             return;
         }
-        if l.held >= 1 && l.held < l.slots {
+        if limits.held >= 1 && limits.held < limits.slots {
             let message = format!(
                 "only {} messages can be open at once, so of {} slots {} are never used",
-                l.held,
-                l.slots,
-                l.slots - l.held
+                limits.held,
+                limits.slots,
+                limits.slots - limits.held
             );
-            self.say(Code::HeldLimitUnderSlots, path!["limits", "held"], message);
+            self.report(Code::HeldLimitUnderSlots, path!["limits", "held"], message);
         }
-        let memory = max_messages_in_memory(l.memory.0, l.usual_body.0 as usize);
-        if u64::from(l.held) > memory {
+        let memory_capacity = max_messages_in_memory(limits.memory.0, limits.usual_body.0 as usize);
+        if u64::from(limits.held) > memory_capacity {
             let message = format!(
-                "`limits.held` is {} messages with bodies of {}, but a memory of {} holds only {memory}",
-                l.held, l.usual_body, l.memory
+                "`limits.held` is {} messages with bodies of {}, but a memory of {} holds only {memory_capacity}",
+                limits.held, limits.usual_body, limits.memory
             );
-            self.say(Code::HeldLimitOverMemory, path!["limits", "held"], message);
+            self.report(Code::HeldLimitOverMemory, path!["limits", "held"], message);
         }
-        let disk = max_messages_on_disk(
-            l.disk.0,
-            l.usual_body.0,
-            l.attempts,
-            s.journal.durability == Durability::Machine,
+        let disk_capacity = max_messages_on_disk(
+            limits.disk.0,
+            limits.usual_body.0,
+            limits.attempts,
+            sidecar.journal.durability == Durability::Machine,
         );
-        if u64::from(l.held) > disk {
+        if u64::from(limits.held) > disk_capacity {
             let message = format!(
-                "`limits.held` is {} messages with bodies of {} and up to {} attempts, but a journal of {} holds only {disk}",
-                l.held, l.usual_body, l.attempts, l.disk
+                "`limits.held` is {} messages with bodies of {} and up to {} attempts, but a journal of {} holds only {disk_capacity}",
+                limits.held, limits.usual_body, limits.attempts, limits.disk
             );
-            self.say(Code::HeldLimitOverDisk, path!["limits", "held"], message);
+            self.report(Code::HeldLimitOverDisk, path!["limits", "held"], message);
         }
     }
 
-    fn figures(&mut self, s: &Sidecar) {
-        let r = &s.rules;
-        self.share(r.start_capacity.0, path!["rules", "start_capacity"]);
-        self.figure(r.overload_multiple, 1.0, path!["rules", "overload_multiple"]);
-        for (key, time) in
-            [("abandonment", r.abandonment), ("overload_for", r.overload_for), ("tick", r.tick)]
+    fn check_parameters(&mut self, sidecar: &Sidecar) {
+        let rules = &sidecar.rules;
+        self.check_share(rules.start_capacity.0, path!["rules", "start_capacity"]);
+        self.check_number(rules.overload_multiple, 1.0, path!["rules", "overload_multiple"]);
+        for (key, duration) in
+            [("abandonment", rules.abandonment), ("overload_for", rules.overload_for), ("tick", rules.tick)]
         {
-            if time.ns() < 1_000_000 {
-                self.say(
+            if duration.ns() < 1_000_000 {
+                self.report(
                     Code::DurationTooShort,
                     path!["rules", key],
                     format!("`rules.{key}` is under a millisecond"),
                 );
             }
         }
-        if r.tick.ns() > 1_000_000_000 {
-            let message = format!("a tick of {} is out of range: the maximum is 1s", r.tick);
-            self.say(Code::UnusableValue, path!["rules", "tick"], message);
+        if rules.tick.ns() > 1_000_000_000 {
+            let message = format!("a tick of {} is out of range: the maximum is 1s", rules.tick);
+            self.report(Code::UnusableValue, path!["rules", "tick"], message);
         }
-        for (key, time) in [("idle", s.connections.idle), ("dial", s.connections.dial)] {
-            if time.ns() < 1_000_000 {
-                self.say(
+        for (key, duration) in [("idle", sidecar.connections.idle), ("dial", sidecar.connections.dial)] {
+            if duration.ns() < 1_000_000 {
+                self.report(
                     Code::DurationTooShort,
                     path!["connections", key],
                     format!("`connections.{key}` is under a millisecond"),
                 );
             }
         }
-        let p = &s.prices;
+        let prices = &sidecar.prices;
         for (key, price) in [
-            ("handshake", p.handshake),
-            ("cross_zone", p.cross_zone),
-            ("refused", p.refused),
-            ("waste", p.waste),
+            ("handshake", prices.handshake),
+            ("cross_zone", prices.cross_zone),
+            ("refused", prices.refused),
+            ("waste", prices.waste),
         ] {
-            self.figure(price, 0.0, path!["prices", key]);
+            self.check_number(price, 0.0, path!["prices", key]);
         }
-        for (i, zone) in s.zones.iter().enumerate() {
-            self.figure(zone.fee, 0.0, path!["zone", i, "fee"]);
+        for (i, zone) in sidecar.zones.iter().enumerate() {
+            self.check_number(zone.fee, 0.0, path!["zone", i, "fee"]);
         }
-        for (i, kind) in s.kinds.iter().enumerate() {
-            self.whole(kind.batch, 1, MOST_BATCH, Code::UnusableValue, path!["kind", i, "batch"]);
+        for (i, kind) in sidecar.kinds.iter().enumerate() {
+            self.check_integer(kind.batch, 1, MAX_BATCH, Code::UnusableValue, path!["kind", i, "batch"]);
         }
     }
 
-    fn traffic(&mut self, s: &Sidecar) {
-        self.figure(s.traffic.rate, 0.0, path!["traffic", "rate"]);
-        self.share(s.traffic.over_share_worth.0, path!["traffic", "over_share_worth"]);
-        let total: f64 = s.tenants.iter().map(|t| t.share.0).sum();
+    fn check_traffic(&mut self, sidecar: &Sidecar) {
+        self.check_number(sidecar.traffic.rate, 0.0, path!["traffic", "rate"]);
+        self.check_share(sidecar.traffic.over_share_worth.0, path!["traffic", "over_share_worth"]);
+        let total: f64 = sidecar.tenants.iter().map(|t| t.share.0).sum();
         // Shares are written with few digits, so three thirds may add up to slightly more than 100%.
         if total > 1.0 + 1e-6 {
-            let most =
-                (0..s.tenants.len()).max_by(|a, b| s.tenants[*a].share.0.total_cmp(&s.tenants[*b].share.0));
+            let largest = (0..sidecar.tenants.len())
+                .max_by(|a, b| sidecar.tenants[*a].share.0.total_cmp(&sidecar.tenants[*b].share.0));
             let message = format!(
                 "the shares of {} tenants add up to {}",
-                s.tenants.len(),
+                sidecar.tenants.len(),
                 crate::units::Percent(total)
             );
-            self.say(Code::SharesOverTotal, path!["tenant", most.unwrap_or(0), "share"], message);
+            self.report(Code::SharesOverTotal, path!["tenant", largest.unwrap_or(0), "share"], message);
         }
-        if !s.tenants.is_empty() && s.traffic.rate == 0.0 {
-            self.say(
+        if !sidecar.tenants.is_empty() && sidecar.traffic.rate == 0.0 {
+            self.report(
                 Code::SharesWithoutRate,
                 path!["tenant", 0, "share"],
                 "tenants have shares, but `traffic.rate` is not set",
@@ -381,17 +409,19 @@
         }
     }
 
-    fn address(&mut self, s: &Sidecar, subject: &str, address: SocketAddr, path: &[PathStep]) {
-        let peer = subject != "sidecar";
-        if address.port() == 0 || (peer && (address.ip().is_unspecified() || is_group(address.ip()))) {
-            let verb = if peer { "is reached" } else { "listens" };
-            self.say(
-                Code::UnreachableAddress,
+    fn check_address(&mut self, sidecar: &Sidecar, subject: &str, address: SocketAddr, path: &[PathStep]) {
+        let is_peer = subject != "sidecar";
+        if address.port() == 0
+            || (is_peer && (address.ip().is_unspecified() || is_multicast_or_broadcast(address.ip())))
+        {
+            let verb = if is_peer { "is reached" } else { "listens" };
+            self.report(
+                Code::UnspecificAddress,
                 path,
-                format!("the {subject} {verb} at {address}, which does not identify a single peer"),
+                format!("the {subject} {verb} at {address}, which does not identify a single listener"),
             );
-        } else if s.loopback_only && !address.ip().to_canonical().is_loopback() {
-            self.say(
+        } else if sidecar.loopback_only && !address.ip().to_canonical().is_loopback() {
+            self.report(
                 Code::NotLoopback,
                 path,
                 format!("the {subject} is at {address}, but this file sets `loopback_only`"),
@@ -399,30 +429,32 @@
         }
     }
 
-    fn addresses(&mut self, s: &Sidecar) {
-        self.address(s, "sidecar", s.listen, path!["listen"]);
-        if !s.listen.ip().to_canonical().is_loopback() && !s.loopback_only {
-            let message =
-                format!("the sidecar listens at {}, where other machines may be able to reach it", s.listen);
-            self.say(Code::ExposedListener, path!["listen"], message);
+    fn check_addresses(&mut self, sidecar: &Sidecar) {
+        self.check_address(sidecar, "sidecar", sidecar.listen, path!["listen"]);
+        if !sidecar.listen.ip().to_canonical().is_loopback() && !sidecar.loopback_only {
+            let message = format!(
+                "the sidecar listens at {}, where other machines may be able to reach it",
+                sidecar.listen
+            );
+            self.report(Code::ExposedListener, path!["listen"], message);
         }
-        if let Some(discovery) = &s.discovery {
-            self.address(s, "discovery", discovery.address, path!["discovery", "address"]);
+        if let Some(discovery) = &sidecar.discovery {
+            self.check_address(sidecar, "discovery", discovery.address, path!["discovery", "address"]);
         }
-        if let Some(fleet) = &s.fleet {
-            self.membership(s, fleet);
+        if let Some(fleet) = &sidecar.fleet {
+            self.check_membership(sidecar, fleet);
         }
     }
 
-    fn membership(&mut self, s: &Sidecar, fleet: &Membership) {
-        self.address(s, "member", fleet.listen, path!["fleet", "listen"]);
-        if let Some(at) = fleet.advertise {
-            self.address(s, "member", at, path!["fleet", "advertise"]);
+    fn check_membership(&mut self, sidecar: &Sidecar, fleet: &Membership) {
+        self.check_address(sidecar, "member", fleet.listen, path!["fleet", "listen"]);
+        if let Some(address) = fleet.advertise {
+            self.check_address(sidecar, "member", address, path!["fleet", "advertise"]);
         }
         for (i, seed) in fleet.seeds.iter().enumerate() {
-            self.address(s, "seed", *seed, path!["fleet", "seeds", i]);
+            self.check_address(sidecar, "seed", *seed, path!["fleet", "seeds", i]);
             if *seed == fleet.advertised_address() {
-                self.say(
+                self.report(
                     Code::SelfAsSeed,
                     path!["fleet", "seeds", i],
                     format!("the seed {seed} is this member itself"),
@@ -431,31 +463,31 @@
         }
         if fleet.key_file.is_none() && !fleet.listen.ip().to_canonical().is_loopback() {
             let message = format!("the fleet `{}` has no `key_file`", fleet.name);
-            self.say(Code::UnauthenticatedFleet, path!["fleet", "listen"], message);
+            self.report(Code::UnauthenticatedFleet, path!["fleet", "listen"], message);
         }
-        let member = fleet.member.as_ref().unwrap_or(&s.application);
-        let name_at: &[PathStep] =
+        let member = fleet.member.as_ref().unwrap_or(&sidecar.application);
+        let name_path: &[PathStep] =
             if fleet.member.is_some() { path!["fleet", "member"] } else { path!["application"] };
-        let site_at: &[PathStep] = path!["fleet", "site"];
-        for (name, most, path) in [(member, MOST_NAME, name_at), (&fleet.site, MOST_SITE, site_at)] {
-            if name.len() > most {
-                let message = format!("`{name}` has {} bytes, but the maximum is {most}", name.len());
-                self.say(Code::NameTooLong, path, message);
+        let site_path: &[PathStep] = path!["fleet", "site"];
+        for (name, max, path) in [(member, MOST_NAME, name_path), (&fleet.site, MOST_SITE, site_path)] {
+            if name.len() > max {
+                let message = format!("`{name}` has {} bytes, but the maximum is {max}", name.len());
+                self.report(Code::NameTooLong, path, message);
             }
         }
     }
 
-    fn destinations(&mut self, s: &Sidecar) {
-        match (&s.discovery, s.destinations.is_empty()) {
-            (Some(_), false) => self.say(
+    fn check_destinations(&mut self, sidecar: &Sidecar) {
+        match (&sidecar.discovery, sidecar.destinations.is_empty()) {
+            (Some(_), false) => self.report(
                 Code::TwoEndpointSources,
                 path!["discovery"],
                 format!(
                     "there is `[discovery]`, but the file also lists {} destinations",
-                    s.destinations.len()
+                    sidecar.destinations.len()
                 ),
             ),
-            (None, true) => self.say(
+            (None, true) => self.report(
                 Code::NoEndpointSource,
                 path![],
                 "there is neither `[[destination]]` nor `[discovery]`",
@@ -463,68 +495,69 @@
             _ => {}
         }
         let (mut numbers, mut names, mut endpoints) = (HashMap::new(), HashMap::new(), HashMap::new());
-        for (i, d) in s.destinations.iter().enumerate() {
-            let name = &d.name;
-            self.name("destination", name, path!["destination", i, "name"]);
-            if let Some(first) = numbers.insert(d.number, i) {
+        for (i, destination) in sidecar.destinations.iter().enumerate() {
+            let name = &destination.name;
+            self.check_name("destination", name, path!["destination", i, "name"]);
+            if let Some(first) = numbers.insert(destination.number, i) {
                 let message = format!(
                     "destination `{name}` has the number {}, which `{}` has too",
-                    d.number, s.destinations[first].name
+                    destination.number, sidecar.destinations[first].name
                 );
-                self.say(Code::DuplicateDestination, path!["destination", i, "number"], message);
-                self.relate(self.source.span(path!["destination", first, "number"]), "first used here");
+                self.report(Code::DuplicateDestination, path!["destination", i, "number"], message);
+                self.add_related(self.source.span(path!["destination", first, "number"]), "first used here");
             }
             if let Some(first) = names.insert(name, i) {
                 let message = format!("there are two destinations named `{name}`");
-                self.say(Code::DuplicateDestination, path!["destination", i, "name"], message);
-                self.relate(self.source.span(path!["destination", first, "name"]), "first defined here");
+                self.report(Code::DuplicateDestination, path!["destination", i, "name"], message);
+                self.add_related(self.source.span(path!["destination", first, "name"]), "first defined here");
             }
-            if let Some(kind) = &d.kind {
-                self.known(
+            if let Some(kind) = &destination.kind {
+                self.check_reference(
                     "kind",
                     kind,
-                    s.kinds.iter().map(|k| k.name.as_str()),
+                    sidecar.kinds.iter().map(|k| k.name.as_str()),
                     path!["destination", i, "kind"],
                 );
             }
-            if let Some(rate) = d.rate {
-                self.figure(rate, 0.0, path!["destination", i, "rate"]);
+            if let Some(rate) = destination.rate {
+                self.check_number(rate, 0.0, path!["destination", i, "rate"]);
             }
-            if d.endpoints.is_empty() {
+            if destination.endpoints.is_empty() {
                 let message = format!("destination `{name}` has no endpoint");
-                self.say(Code::NoEndpoint, path!["destination", i, "endpoints"], message);
+                self.report(Code::NoEndpoint, path!["destination", i, "endpoints"], message);
             }
-            for (n, endpoint) in d.endpoints.iter().enumerate() {
+            for (j, endpoint) in destination.endpoints.iter().enumerate() {
                 let endpoint = endpoint.endpoint();
-                let at = path!["destination", i, "endpoints", n];
-                self.address(s, "endpoint", endpoint.address, at);
-                if same_place(endpoint.address, s.listen) {
+                let path = path!["destination", i, "endpoints", j];
+                self.check_address(sidecar, "endpoint", endpoint.address, path);
+                if reaches_listener(endpoint.address, sidecar.listen) {
                     let message = format!(
                         "destination `{name}` has the endpoint {}, where this sidecar itself listens",
                         endpoint.address
                     );
-                    self.say(Code::DeliveryToItself, at, message);
+                    self.report(Code::DeliveryToItself, path, message);
                 }
                 if let Some(zone) = &endpoint.zone {
-                    self.known("zone", zone, s.zones.iter().map(|z| z.name.as_str()), at);
+                    self.check_reference("zone", zone, sidecar.zones.iter().map(|z| z.name.as_str()), path);
                 }
-                let Some((first, item)) = endpoints.insert(canonical(endpoint.address), (i, n)) else {
+                let Some((first, item)) = endpoints.insert(to_canonical_address(endpoint.address), (i, j))
+                else {
                     continue;
                 };
                 let address = endpoint.address;
                 if first == i {
-                    self.say(
+                    self.report(
                         Code::DuplicateEndpoint,
-                        at,
+                        path,
                         format!("destination `{name}` lists the endpoint {address} twice"),
                     );
                 } else {
-                    let other = &s.destinations[first].name;
+                    let other = &sidecar.destinations[first].name;
                     let message =
                         format!("the endpoint {address} is listed under `{other}` and under `{name}`");
-                    self.say(Code::EndpointOfTwoDestinations, at, message);
+                    self.report(Code::EndpointOfTwoDestinations, path, message);
                 }
-                self.relate(
+                self.add_related(
                     self.source.span(path!["destination", first, "endpoints", item]),
                     "first listed here",
                 );
@@ -532,65 +565,70 @@
         }
     }
 
-    fn notices(&mut self, s: &Sidecar) {
-        let n = &s.notices;
-        if n.http.is_none() && n.file.is_none() {
-            self.say(
+    fn check_notices(&mut self, sidecar: &Sidecar) {
+        let notices = &sidecar.notices;
+        if notices.http.is_none() && notices.file.is_none() {
+            self.report(
                 Code::NoNoticeSink,
                 path!["notices"],
                 "neither `notices.http` nor `notices.file` is set",
             );
         }
-        if let Some(http) = &n.http {
+        if let Some(http) = &notices.http {
             match url::parse(http) {
                 Ok(url) => {
-                    self.address(s, "receiver of notices", url.address, path!["notices", "http"]);
-                    if same_place(url.address, s.listen) {
+                    self.check_address(sidecar, "receiver of notices", url.address, path!["notices", "http"]);
+                    if reaches_listener(url.address, sidecar.listen) {
                         let message = format!(
                             "notices are posted to {}, where this sidecar itself listens",
                             url.address
                         );
-                        self.say(Code::DeliveryToItself, path!["notices", "http"], message);
+                        self.report(Code::DeliveryToItself, path!["notices", "http"], message);
                     }
                 }
-                Err(why) => self.say(Code::InvalidUrl, path!["notices", "http"], format!("`{http}` {why}")),
+                Err(why) => {
+                    self.report(Code::InvalidUrl, path!["notices", "http"], format!("`{http}` {why}"))
+                }
             }
         }
-        if s.state.as_os_str().is_empty() {
-            self.say(Code::UnusableValue, path!["state"], "the path of the state folder is empty");
+        if sidecar.state.as_os_str().is_empty() {
+            self.report(Code::UnusableValue, path!["state"], "the path of the state folder is empty");
         }
-        if let Some(file) = &n.file {
+        if let Some(file) = &notices.file {
             if file.file_name().is_none() {
-                self.say(Code::UnusableValue, path!["notices", "file"], "the path has no file name");
-            } else if normalize_path(file).starts_with(normalize_path(&s.state)) {
+                self.report(Code::UnusableValue, path!["notices", "file"], "the path has no file name");
+            } else if normalize_path(file).starts_with(normalize_path(&sidecar.state)) {
                 let message = format!(
                     "the notice file {} is in the state folder {}",
                     file.display(),
-                    s.state.display()
+                    sidecar.state.display()
                 );
-                self.say(Code::NoticeFileInState, path!["notices", "file"], message);
+                self.report(Code::NoticeFileInState, path!["notices", "file"], message);
             }
         }
-        for (key, text) in [("state", s.state.to_str()), ("file", n.file.as_ref().and_then(|f| f.to_str()))] {
+        for (key, text) in
+            [("state", sidecar.state.to_str()), ("file", notices.file.as_ref().and_then(|f| f.to_str()))]
+        {
             if text.is_some_and(|t| t.contains('\0')) {
                 let path: &[PathStep] =
                     if key == "state" { path!["state"] } else { path!["notices", "file"] };
-                self.say(Code::UnusableValue, path, "a path can't contain a NUL byte");
+                self.report(Code::UnusableValue, path, "a path can't contain a NUL byte");
             }
         }
     }
 }
 
-fn is_group(ip: IpAddr) -> bool {
+fn is_multicast_or_broadcast(ip: IpAddr) -> bool {
     ip.is_multicast() || matches!(ip, IpAddr::V4(v4) if v4.is_broadcast())
 }
 
-fn canonical(address: SocketAddr) -> SocketAddr {
+fn to_canonical_address(address: SocketAddr) -> SocketAddr {
     SocketAddr::new(address.ip().to_canonical(), address.port())
 }
 
 /// Whether a call to `address` would reach the listener at `listen`, as far as the addresses show.
-fn same_place(address: SocketAddr, listen: SocketAddr) -> bool {
-    let (ip, at) = (address.ip().to_canonical(), listen.ip().to_canonical());
-    address.port() == listen.port() && (ip == at || (at.is_unspecified() && ip.is_loopback()))
+fn reaches_listener(address: SocketAddr, listen: SocketAddr) -> bool {
+    let (ip, listener_ip) = (address.ip().to_canonical(), listen.ip().to_canonical());
+    address.port() == listen.port()
+        && (ip == listener_ip || (listener_ip.is_unspecified() && ip.is_loopback()))
 }
--- a/crates/tools/nickelshed-config/src/code.rs
+++ b/crates/tools/nickelshed-config/src/code.rs
@@ -151,8 +151,8 @@
     NotLoopback = "NS601", Error, "an address that is not a loopback address",
         "The file sets `loopback_only`: the sidecar may listen and connect only on its own machine.",
         "Use an address in 127.0.0.0/8 or [::1], or remove `loopback_only`.";
-    UnreachableAddress = "NS602", Error, "an address that can't be reached",
-        "Port 0, an unspecified address such as 0.0.0.0, and multicast and broadcast addresses do not identify a single peer.",
+    UnspecificAddress = "NS602", Error, "an address that is not specific",
+        "Port 0, and for a peer also 0.0.0.0, [::], multicast and broadcast addresses, do not identify a single listener.",
         "Set the port, and for an endpoint its own address.";
     ExposedListener = "NS603", Warning, "clients on other machines can submit messages",
         "The listener does not authenticate clients. Anyone who can reach it can send to your customers.",
--- a/crates/tools/nickelshed-config/src/compile.rs
+++ b/crates/tools/nickelshed-config/src/compile.rs
@@ -1,5 +1,5 @@
-//! Translates the operator's file into the settings of the policy and a list of endpoints. Expects a file without
-//! errors.
+//! Translates the operator's file into the settings of the policy and a list of endpoints. Expects a file
+//! without errors.
 use crate::sidecar::{Class, Effect, Late, Scope, Sidecar};
 use nickelshed_policy::api;
 use nickelshed_settings::{DeploymentContext, DiscoveryMode};
@@ -20,87 +20,87 @@
 }
 
 /// Name of the kind and zone of endpoints without one.
-const PLAIN: &str = "plain";
+const DEFAULT_NAME: &str = "plain";
 
 /// Returns the settings of the policy, and the names of classes, tenants, kinds and zones by index.
-pub fn settings(s: &Sidecar) -> (api::Settings, DeploymentContext) {
-    let kinds: Vec<(&str, api::Kind)> = s
+pub fn settings(sidecar: &Sidecar) -> (api::Settings, DeploymentContext) {
+    let kinds: Vec<(&str, api::Kind)> = sidecar
         .kinds
         .iter()
         .map(|k| (k.name.as_str(), api::Kind { batch: k.batch as usize, separate_routes: k.separate_routes }))
         .collect();
-    let plain = (PLAIN, api::Kind { batch: 1, separate_routes: false });
-    // Endpoints without a kind get the kind `PLAIN`, which must therefore exist.
-    let kinds: Vec<_> = if kinds.iter().any(|(name, _)| *name == PLAIN) {
+    let default_kind = (DEFAULT_NAME, api::Kind { batch: 1, separate_routes: false });
+    // Endpoints without a kind get the kind `DEFAULT_NAME`, which must therefore exist.
+    let kinds: Vec<_> = if kinds.iter().any(|(name, _)| *name == DEFAULT_NAME) {
         kinds
     } else {
-        kinds.into_iter().chain([plain]).collect()
+        kinds.into_iter().chain([default_kind]).collect()
     };
-    let mut zones: Vec<String> = s.zones.iter().map(|z| z.name.clone()).collect();
-    let mut fees: Vec<f64> = s.zones.iter().map(|z| z.fee).collect();
+    let mut zones: Vec<String> = sidecar.zones.iter().map(|z| z.name.clone()).collect();
+    let mut route_fees: Vec<f64> = sidecar.zones.iter().map(|z| z.fee).collect();
     if zones.is_empty() {
-        zones.push(PLAIN.to_string());
+        zones.push(DEFAULT_NAME.to_string());
     }
-    if fees.iter().all(|f| *f == 0.0) {
-        fees.clear();
+    if route_fees.iter().all(|f| *f == 0.0) {
+        route_fees.clear();
     }
-    let zone = s.own_zone.as_ref().and_then(|own| zones.iter().position(|z| z == own)).unwrap_or(0);
-    let hints = s.discovery.is_some() || s.destinations.iter().any(|d| d.rate.is_some());
+    let zone = sidecar.own_zone.as_ref().and_then(|own| zones.iter().position(|z| z == own)).unwrap_or(0);
+    let has_rates = sidecar.discovery.is_some() || sidecar.destinations.iter().any(|d| d.rate.is_some());
     let settings = api::Settings {
-        classes: s.classes.iter().map(class).collect(),
+        classes: sidecar.classes.iter().map(class_settings).collect(),
         kinds: kinds.iter().map(|(_, kind)| *kind).collect(),
-        tenants: s
+        tenants: sidecar
             .tenants
             .iter()
-            .map(|t| api::Tenant { quota_per_s: quota(s.traffic.rate, t.share.0) })
+            .map(|t| api::Tenant { quota_per_s: tenant_quota(sidecar.traffic.rate, t.share.0) })
             .collect(),
-        over_share_worth: s.traffic.over_share_worth.0,
-        halves: s.traffic.late == Late::Exponential,
-        n_instances: s.senders as usize,
+        over_share_worth: sidecar.traffic.over_share_worth.0,
+        halves: sidecar.traffic.late == Late::Halves,
+        n_instances: sidecar.senders as usize,
         zone,
-        tick: s.rules.tick.ns(),
-        slots: s.limits.slots as usize,
-        max_open: s.limits.held as usize,
-        max_attempts: s.limits.attempts,
-        max_retry_after: s.rules.longest_return.ns(),
+        tick: sidecar.rules.tick.ns(),
+        slots: sidecar.limits.slots as usize,
+        max_open: sidecar.limits.held as usize,
+        max_attempts: sidecar.limits.attempts,
+        max_retry_after: sidecar.rules.longest_return.ns(),
         // The file has no key that allows two attempts of a message at the same time.
         may_duplicate: false,
-        may_probe: s.rules.probes,
-        may_cancel: s.rules.cancel,
+        may_probe: sidecar.rules.probes,
+        may_cancel: sidecar.rules.cancel,
         // HTTP/1.1 allows one call at a time per connection.
         streams_per_conn: 1,
-        idle_close: s.connections.idle.ns(),
-        dial_timeout: s.connections.dial.ns(),
+        idle_close: sidecar.connections.idle.ns(),
+        dial_timeout: sidecar.connections.dial.ns(),
         reports: false,
-        hints,
-        rough_hints: hints,
-        start_capacity: s.rules.start_capacity.0,
-        cold: s.rules.cold.ns(),
-        fall_multiple: s.rules.overload_multiple,
-        overload_for: s.rules.overload_for.ns(),
-        key_rest: s.rules.key_rest.ns(),
-        price_handshake: s.prices.handshake,
-        price_cross_zone: s.prices.cross_zone,
-        price_refused: s.prices.refused,
-        price_waste: s.prices.waste,
-        route_fee: fees,
+        hints: has_rates,
+        rough_hints: has_rates,
+        start_capacity: sidecar.rules.start_capacity.0,
+        cold: sidecar.rules.cold.ns(),
+        fall_multiple: sidecar.rules.overload_multiple,
+        overload_for: sidecar.rules.overload_for.ns(),
+        key_rest: sidecar.rules.key_rest.ns(),
+        price_handshake: sidecar.prices.handshake,
+        price_cross_zone: sidecar.prices.cross_zone,
+        price_refused: sidecar.prices.refused,
+        price_waste: sidecar.prices.waste,
+        route_fee: route_fees,
     };
-    let around = DeploymentContext {
+    let context = DeploymentContext {
         // A sidecar's fleet is configured in its own section `[fleet]`.
         peer_datagrams: false,
         discovery_mode: DiscoveryMode::Agent,
         x0_column: None,
         x1_column: None,
-        classes: s.classes.iter().map(|c| c.name.clone()).collect(),
-        tenants: s.tenants.iter().map(|t| t.name.clone()).collect(),
+        classes: sidecar.classes.iter().map(|c| c.name.clone()).collect(),
+        tenants: sidecar.tenants.iter().map(|t| t.name.clone()).collect(),
         kinds: kinds.iter().map(|(name, _)| name.to_string()).collect(),
         zones,
     };
-    (settings, around)
+    (settings, context)
 }
 
 /// Without a rate, shares are not enforced; this equals a missing quota in the platform's settings.
-fn quota(rate: f64, share: f64) -> f64 {
+fn tenant_quota(rate: f64, share: f64) -> f64 {
     if rate == 0.0 {
         f64::MAX
     } else {
@@ -108,40 +108,41 @@
     }
 }
 
-fn class(c: &Class) -> api::Class {
+fn class_settings(class: &Class) -> api::Class {
     api::Class {
-        aim: c.wanted_within.ns(),
-        aim_stretch: c.wanted_stretch,
-        deadline: c.abandoned_after.ns(),
-        effect: match c.effect {
+        aim: class.wanted_within.ns(),
+        aim_stretch: class.wanted_stretch,
+        deadline: class.abandoned_after.ns(),
+        effect: match class.effect {
             Effect::Safe => api::Effect::Safe,
             Effect::Keyed => api::Effect::Keyed,
             Effect::Unsafe => api::Effect::Unsafe,
         },
-        scope: match c.repeat_scope {
+        scope: match class.repeat_scope {
             Scope::Destination => api::DedupScope::All,
             Scope::Zone => api::DedupScope::Zone,
             Scope::Endpoint => api::DedupScope::Endpoint,
         },
-        window: c.repeat_window.unwrap_or_default().ns(),
-        worth: c.worth,
-        late_worth: c.late_worth.0,
-        in_order: c.in_order,
+        window: class.repeat_window.unwrap_or_default().ns(),
+        worth: class.worth,
+        late_worth: class.late_worth.0,
+        in_order: class.in_order,
     }
 }
 
 /// Returns the endpoints that the file lists.
-pub fn listed_endpoints(s: &Sidecar) -> Vec<ListedEndpoint> {
-    let first_zone = s.zones.first().map_or(PLAIN, |z| z.name.as_str());
-    let each = s.destinations.iter().flat_map(|d| d.endpoints.iter().map(move |e| (d, e.endpoint())));
-    each.map(|(d, e)| ListedEndpoint {
-        name: format!("{}/{}", d.number, e.address),
-        address: e.address,
-        dest: d.number,
-        kind: d.kind.clone().unwrap_or_else(|| PLAIN.to_string()),
-        zone: e.zone.unwrap_or_else(|| first_zone.to_string()),
-        draining: e.draining,
-        rate: d.rate.unwrap_or(0.0),
-    })
-    .collect()
+pub fn listed_endpoints(sidecar: &Sidecar) -> Vec<ListedEndpoint> {
+    let first_zone = sidecar.zones.first().map_or(DEFAULT_NAME, |z| z.name.as_str());
+    let pairs = sidecar.destinations.iter().flat_map(|d| d.endpoints.iter().map(move |e| (d, e.endpoint())));
+    pairs
+        .map(|(d, e)| ListedEndpoint {
+            name: format!("{}/{}", d.number, e.address),
+            address: e.address,
+            dest: d.number,
+            kind: d.kind.clone().unwrap_or_else(|| DEFAULT_NAME.to_string()),
+            zone: e.zone.unwrap_or_else(|| first_zone.to_string()),
+            draining: e.draining,
+            rate: d.rate.unwrap_or(0.0),
+        })
+        .collect()
 }
--- a/crates/tools/nickelshed-config/src/diff.rs
+++ b/crates/tools/nickelshed-config/src/diff.rs
@@ -13,6 +13,7 @@
     AfterRestart,
 }
 
+/// A difference, described in one sentence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     pub description: String,
@@ -20,12 +21,12 @@
 }
 
 /// Descriptions of changed keys, as (section, key, template). Other keys get a generic sentence.
-const SENTENCES: &[(&str, &str, &str)] = &[
+const KEY_TEMPLATES: &[(&str, &str, &str)] = &[
     ("class", "wanted_within", "{name} has a target latency of {new}, was {old}"),
     ("class", "abandoned_after", "{name} is abandoned at {new}, was {old}"),
     ("class", "effect", "the effect of a repeat of {name} is {new}, was {old}"),
     ("class", "repeat_window", "repeats of {name} are dropped for {new}, was {old}"),
-    ("class", "worth", "{name} is worth {new}, was {old}"),
+    ("class", "worth", "the value of {name} is {new}, was {old}"),
     ("tenant", "share", "{name} has a share of {new}, was {old}"),
     ("destination", "rate", "{name} accepts {new} calls per second, was {old}"),
     ("destination", "number", "{name} has the number {new}, was {old}"),
@@ -45,7 +46,7 @@
 ];
 
 /// Descriptions of an added and of a removed item of a list, as (section, added, removed).
-const ITEMS: &[(&str, &str, &str)] = &[
+const ITEM_TEMPLATES: &[(&str, &str, &str)] = &[
     (
         "class",
         "the class {name} is new",
@@ -59,18 +60,21 @@
 /// Returns every difference from `old` to `new`; none if both are equivalent.
 pub fn diff(old: &Sidecar, new: &Sidecar) -> Vec<Change> {
     let mut changes = endpoints(old, new);
-    let start = |description: String| Change { description, takes_effect: TakesEffect::AfterRestart };
-    let (before, after) = (json(old), json(new));
-    let keys: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
+    let after_restart = |description: String| Change { description, takes_effect: TakesEffect::AfterRestart };
+    let (old_map, new_map) = (json(old), json(new));
+    let keys: BTreeSet<&String> = old_map.keys().chain(new_map.keys()).collect();
     for key in keys {
-        let (b, a) = (before.get(key).unwrap_or(&Json::Null), after.get(key).unwrap_or(&Json::Null));
-        match (b, a) {
-            _ if b == a => {}
-            (Json::Object(b), Json::Object(a)) => {
-                changes.extend(fields(key, "", b, a).into_iter().map(start))
+        let (old_value, new_value) =
+            (old_map.get(key).unwrap_or(&Json::Null), new_map.get(key).unwrap_or(&Json::Null));
+        match (old_value, new_value) {
+            _ if old_value == new_value => {}
+            (Json::Object(old_value), Json::Object(new_value)) => {
+                changes.extend(fields(key, "", old_value, new_value).into_iter().map(after_restart))
             }
-            _ if is_list(b) || is_list(a) => changes.extend(items(key, b, a).into_iter().map(start)),
-            _ => changes.push(start(sentence("", "", key, b, a))),
+            _ if is_list(old_value) || is_list(new_value) => {
+                changes.extend(items(key, old_value, new_value).into_iter().map(after_restart))
+            }
+            _ => changes.push(after_restart(sentence("", "", key, old_value, new_value))),
         }
     }
     // The address of discovery may change on SIGHUP, but adding or removing discovery needs a restart.
@@ -97,12 +101,12 @@
 fn fields(section: &str, name: &str, old: &Map<String, Json>, new: &Map<String, Json>) -> Vec<String> {
     let keys: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
     // Endpoints are described by `endpoints`.
-    let keys = keys.into_iter().filter(|k| *k != "endpoints" && *k != "name");
-    let pair =
-        |k: &String| (old.get(k).cloned().unwrap_or_default(), new.get(k).cloned().unwrap_or_default());
-    keys.filter_map(|k| {
-        let (b, a) = pair(k);
-        (b != a).then(|| sentence(section, name, k, &b, &a))
+    let keys = keys.into_iter().filter(|key| *key != "endpoints" && *key != "name");
+    let old_and_new =
+        |key: &String| (old.get(key).cloned().unwrap_or_default(), new.get(key).cloned().unwrap_or_default());
+    keys.filter_map(|key| {
+        let (old_value, new_value) = old_and_new(key);
+        (old_value != new_value).then(|| sentence(section, name, key, &old_value, &new_value))
     })
     .collect()
 }
@@ -111,72 +115,75 @@
     let by_name = |list: &Json| -> BTreeMap<String, Map<String, Json>> {
         let items = list.as_array().into_iter().flatten().filter_map(Json::as_object);
         items
-            .map(|i| (i.get("name").and_then(Json::as_str).unwrap_or_default().to_string(), i.clone()))
+            .map(|item| {
+                (item.get("name").and_then(Json::as_str).unwrap_or_default().to_string(), item.clone())
+            })
             .collect()
     };
     let (old, new) = (by_name(old), by_name(new));
-    let templates = ITEMS.iter().find(|(s, ..)| *s == section);
-    let mut out = Vec::new();
+    let templates = ITEM_TEMPLATES.iter().find(|(s, ..)| *s == section);
+    let mut changes = Vec::new();
     for name in old.keys().chain(new.keys()).collect::<BTreeSet<_>>() {
         match (old.get(name), new.get(name)) {
-            (Some(b), Some(a)) => out.extend(fields(section, name, b, a)),
-            (None, Some(_)) => out.extend(templates.map(|(_, added, _)| added.replace("{name}", name))),
-            (Some(_), None) => out.extend(templates.map(|(.., removed)| removed.replace("{name}", name))),
+            (Some(old_item), Some(new_item)) => changes.extend(fields(section, name, old_item, new_item)),
+            (None, Some(_)) => changes.extend(templates.map(|(_, added, _)| added.replace("{name}", name))),
+            (Some(_), None) => changes.extend(templates.map(|(.., removed)| removed.replace("{name}", name))),
             (None, None) => {}
         }
     }
-    out
+    changes
 }
 
 fn sentence(section: &str, name: &str, key: &str, old: &Json, new: &Json) -> String {
-    let own = SENTENCES.iter().find(|(s, k, _)| *s == section && *k == key);
-    let of = match (section, name) {
+    let own_template = KEY_TEMPLATES.iter().find(|(s, k, _)| *s == section && *k == key);
+    let subject = match (section, name) {
         ("", _) => key.to_string(),
         (_, "") => format!("{section}.{key}"),
         _ => format!("{key} of the {section} {name}"),
     };
-    let template = own.map_or(format!("{of} is {{new}}, was {{old}}"), |(.., t)| t.to_string());
-    template.replace("{name}", name).replace("{new}", &shown(new)).replace("{old}", &shown(old))
+    let template = own_template.map_or(format!("{subject} is {{new}}, was {{old}}"), |(.., t)| t.to_string());
+    template.replace("{name}", name).replace("{new}", &format_value(new)).replace("{old}", &format_value(old))
 }
 
 /// Formats a value for a sentence.
-fn shown(value: &Json) -> String {
+fn format_value(value: &Json) -> String {
     match value {
         Json::Null => "not set".to_string(),
-        Json::String(text) => spaced(text),
+        Json::String(text) => space_units(text),
         other => other.to_string(),
     }
 }
 
 /// Formats `9s 500ms` as `9 s 500 ms`; returns any text that is not a list of numbers with units unchanged.
-fn spaced(text: &str) -> String {
-    let word = |w: &str| -> Option<String> {
-        let unit = w.find(|c: char| !c.is_ascii_digit()).filter(|at| *at > 0)?;
-        let (number, unit) = w.split_at(unit);
+fn space_units(text: &str) -> String {
+    let with_space = |part: &str| -> Option<String> {
+        let unit = part.find(|c: char| !c.is_ascii_digit()).filter(|at| *at > 0)?;
+        let (number, unit) = part.split_at(unit);
         unit.chars().all(|c| c.is_ascii_alphabetic()).then(|| format!("{number} {unit}"))
     };
-    let parts: Option<Vec<String>> = text.split(' ').map(word).collect();
-    parts.map_or(text.to_string(), |w| w.join(" "))
+    let parts: Option<Vec<String>> = text.split(' ').map(with_space).collect();
+    parts.map_or(text.to_string(), |spaced| spaced.join(" "))
 }
 
 /// Changes of destinations and endpoints, which a running sidecar applies on SIGHUP.
 fn endpoints(old: &Sidecar, new: &Sidecar) -> Vec<Change> {
-    let change = |description: String| Change { description, takes_effect: TakesEffect::OnReload };
+    let on_reload = |description: String| Change { description, takes_effect: TakesEffect::OnReload };
     let mut changes = Vec::new();
     let names =
         |s: &Sidecar| s.destinations.iter().map(|d| (d.number, d.name.clone())).collect::<BTreeMap<_, _>>();
-    let (was, is) = (names(old), names(new));
-    for (number, name) in &is {
-        if !was.contains_key(number) {
-            changes.push(change(format!("the destination {name} is new, with the number {number}")));
+    let (old_names, new_names) = (names(old), names(new));
+    for (number, name) in &new_names {
+        if !old_names.contains_key(number) {
+            changes.push(on_reload(format!("the destination {name} is new, with the number {number}")));
         }
     }
-    for (number, name) in &was {
-        match is.get(number) {
-            None => changes
-                .push(change(format!("the destination {name} is removed: its open messages are returned"))),
+    for (number, name) in &old_names {
+        match new_names.get(number) {
+            None => changes.push(on_reload(format!(
+                "the destination {name} is removed: its open messages are returned"
+            ))),
             Some(now) if now != name => {
-                changes.push(change(format!("the destination {number} is named {now}, was {name}")))
+                changes.push(on_reload(format!("the destination {number} is named {now}, was {name}")))
             }
             Some(_) => {}
         }
@@ -187,28 +194,28 @@
             .map(|endpoint| (endpoint.name.clone(), endpoint))
             .collect::<BTreeMap<_, _>>()
     };
-    let (before, after) = (by_name(old), by_name(new));
-    for (name, endpoint) in &after {
-        let dest = &is[&endpoint.dest];
-        match before.get(name) {
-            None => changes.push(change(format!("{dest} gets the endpoint {}", endpoint.address))),
-            Some(b) if b.draining != endpoint.draining => {
+    let (old_endpoints, new_endpoints) = (by_name(old), by_name(new));
+    for (name, endpoint) in &new_endpoints {
+        let dest = &new_names[&endpoint.dest];
+        match old_endpoints.get(name) {
+            None => changes.push(on_reload(format!("{dest} gets the endpoint {}", endpoint.address))),
+            Some(old_endpoint) if old_endpoint.draining != endpoint.draining => {
                 let state =
                     if endpoint.draining { "drains: it gets no new calls" } else { "no longer drains" };
-                changes.push(change(format!("the endpoint {} of {dest} {state}", endpoint.address)));
+                changes.push(on_reload(format!("the endpoint {} of {dest} {state}", endpoint.address)));
             }
-            Some(b) if b != endpoint => changes.push(change(format!(
+            Some(old_endpoint) if old_endpoint != endpoint => changes.push(on_reload(format!(
                 "the endpoint {} of {dest} has a different kind, zone or rate",
                 endpoint.address
             ))),
             Some(_) => {}
         }
     }
-    for (name, endpoint) in &before {
-        if !after.contains_key(name) && is.contains_key(&endpoint.dest) {
-            changes.push(change(format!(
+    for (name, endpoint) in &old_endpoints {
+        if !new_endpoints.contains_key(name) && new_names.contains_key(&endpoint.dest) {
+            changes.push(on_reload(format!(
                 "{} loses the endpoint {}: it gets no new calls",
-                was[&endpoint.dest], endpoint.address
+                old_names[&endpoint.dest], endpoint.address
             )));
         }
     }
--- a/crates/tools/nickelshed-config/src/finding.rs
+++ b/crates/tools/nickelshed-config/src/finding.rs
@@ -17,6 +17,7 @@
     pub message: String,
 }
 
+/// A mistake or a warning about a configuration file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
     pub code: Code,
@@ -50,14 +51,14 @@
     }
 }
 
-/// Returns line and column of a byte offset, both counted from 1, the column in characters. An offset past the end
-/// counts as the end.
-pub fn position(text: &str, at: usize) -> (usize, usize) {
-    let mut at = at.min(text.len());
-    while !text.is_char_boundary(at) {
-        at -= 1;
+/// Returns line and column of a byte offset, both counted from 1, the column in characters. An offset past
+/// the end counts as the end.
+pub fn position(text: &str, offset: usize) -> (usize, usize) {
+    let mut offset = offset.min(text.len());
+    while !text.is_char_boundary(offset) {
+        offset -= 1;
     }
-    let before = &text[..at];
+    let before = &text[..offset];
     let line_start = before.rfind('\n').map_or(0, |n| n + 1);
     (before.matches('\n').count() + 1, before[line_start..].chars().count() + 1)
 }
--- a/crates/tools/nickelshed-config/src/fleet.rs
+++ b/crates/tools/nickelshed-config/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet file: settings that the sidecars of one host have in common, and the applications that each get a sidecar.
-//! Derives one sidecar configuration per application.
+//! The fleet file: settings that the sidecars of one host have in common, and the applications that each get
+//! a sidecar. Derives one sidecar configuration per application.
 use crate::code::Code;
 use crate::finding::Finding;
 use crate::sidecar::*;
@@ -121,7 +121,7 @@
 }
 
 impl LimitsOver {
-    fn over(&self, limits: &Limits) -> Limits {
+    fn apply_to(&self, limits: &Limits) -> Limits {
         Limits {
             memory: self.memory.unwrap_or(limits.memory),
             sockets: self.sockets.unwrap_or(limits.sockets),
@@ -138,8 +138,8 @@
     IpAddr::V4(Ipv4Addr::LOCALHOST)
 }
 
-/// Derives the sidecar configuration of each application, in the order of the fleet file. A port is not assigned if
-/// another application has it or if `is_free` returns false for it.
+/// Derives the sidecar configuration of each application, in the order of the fleet file. A port is not
+/// assigned if another application has it or if `is_free` returns false for it.
 ///
 /// # Errors
 /// Mistakes in the fleet file itself. The caller checks the resulting configurations like any others.
@@ -149,11 +149,11 @@
     is_free: impl Fn(u16) -> bool,
 ) -> Result<Vec<Sidecar>, Vec<Finding>> {
     let mut findings = Vec::new();
-    let mut taken: HashSet<u16> = fleet.applications.iter().filter_map(|a| a.port).collect();
-    let mut free = (fleet.ports[0]..=fleet.ports[1]).filter(|port| *port > 0);
-    let mut out = Vec::new();
+    let mut used_ports: HashSet<u16> = fleet.applications.iter().filter_map(|a| a.port).collect();
+    let mut candidates = (fleet.ports[0]..=fleet.ports[1]).filter(|port| *port > 0);
+    let mut configs = Vec::new();
     for (i, app) in fleet.applications.iter().enumerate() {
-        let port = app.port.or_else(|| free.find(|port| !taken.contains(port) && is_free(*port)));
+        let port = app.port.or_else(|| candidates.find(|port| !used_ports.contains(port) && is_free(*port)));
         let Some(port) = port else {
             let [first, last] = fleet.ports;
             let message = format!("no port from {first} to {last} is free for application `{}`", app.name);
@@ -161,37 +161,43 @@
             findings.push(Finding::new(Code::PortConflict, span, message, "Widen `ports`"));
             break;
         };
-        taken.insert(port);
-        let mut pick = |key: &'static str, wanted: &Option<Vec<String>>, known: Vec<&str>| -> Vec<usize> {
-            let Some(wanted) = wanted else { return (0..known.len()).collect() };
-            let mut picked = Vec::new();
-            for (n, name) in wanted.iter().enumerate() {
-                match known.iter().position(|k| k == name) {
-                    Some(at) => picked.push(at),
+        used_ports.insert(port);
+        let mut indices_of = |key: &'static str,
+                              requested: &Option<Vec<String>>,
+                              defined: Vec<&str>|
+         -> Vec<usize> {
+            let Some(requested) = requested else { return (0..defined.len()).collect() };
+            let mut indices = Vec::new();
+            for (j, name) in requested.iter().enumerate() {
+                match defined.iter().position(|k| k == name) {
+                    Some(index) => indices.push(index),
                     None => {
                         let span =
-                            source.span(&[PathStep::Key("application"), i.into(), key.into(), n.into()]);
+                            source.span(&[PathStep::Key("application"), i.into(), key.into(), j.into()]);
                         let message = format!(
                             "application `{}` lists `{name}` in `{key}`, which the fleet file does not define",
                             app.name
                         );
-                        let near = closest_name(name, known.iter().copied());
-                        let help = near
-                            .map_or("Add it to the fleet file".into(), |n| format!("Did you mean `{n}`?"));
+                        let suggestion = closest_name(name, defined.iter().copied());
+                        let help = suggestion.map_or("Add it to the fleet file".into(), |known| {
+                            format!("Did you mean `{known}`?")
+                        });
                         findings.push(Finding::new(Code::UnknownName, span, message, help));
                     }
                 }
             }
-            picked
+            indices
         };
-        let classes = pick("classes", &app.classes, fleet.classes.iter().map(|c| c.name.as_str()).collect());
-        let tenants = pick("tenants", &app.tenants, fleet.tenants.iter().map(|t| t.name.as_str()).collect());
-        let destinations = pick(
+        let classes =
+            indices_of("classes", &app.classes, fleet.classes.iter().map(|c| c.name.as_str()).collect());
+        let tenants =
+            indices_of("tenants", &app.tenants, fleet.tenants.iter().map(|t| t.name.as_str()).collect());
+        let destinations = indices_of(
             "destinations",
             &app.destinations,
             fleet.destinations.iter().map(|d| d.name.as_str()).collect(),
         );
-        out.push(Sidecar {
+        configs.push(Sidecar {
             application: app.name.clone(),
             host: fleet.host.clone(),
             listen: SocketAddr::new(fleet.listen_at, port),
@@ -200,7 +206,7 @@
             senders: fleet.senders.unwrap_or(fleet.applications.len() as u32),
             own_zone: app.own_zone.clone(),
             allow: fleet.allow.clone(),
-            limits: app.limits.over(&fleet.limits),
+            limits: app.limits.apply_to(&fleet.limits),
             journal: fleet.journal,
             notices: Notices {
                 http: fleet.notices_http.clone(),
@@ -229,7 +235,7 @@
         ));
     }
     if findings.is_empty() {
-        Ok(out)
+        Ok(configs)
     } else {
         Err(findings)
     }
--- a/crates/tools/nickelshed-config/src/lib.rs
+++ b/crates/tools/nickelshed-config/src/lib.rs
@@ -1,10 +1,9 @@
-//! The operator's configuration of a sidecar: its types, its checks, and reading and writing of the text. Performs no
-//! I/O: it takes texts and returns findings and settings. The sender and the tool `nickelshed-ctl` both read files
-//! through [`load`], so both reject the same files.
+//! The operator's configuration of a sidecar: its types, its checks, and reading and writing of the text.
+//! Performs no I/O: it takes texts and returns findings and settings. The sender and the tool
+//! `nickelshed-ctl` both read files through [`load`], so both reject the same files.
 pub mod check;
 pub mod code;
 pub mod compile;
-pub mod cross_file;
 pub mod diff;
 pub mod finding;
 pub mod fleet;
@@ -13,6 +12,7 @@
 pub mod schema;
 pub mod sidecar;
 pub mod source;
+pub mod together;
 pub mod units;
 pub mod url;
 pub mod write;
@@ -53,9 +53,9 @@
         Ok(text) => text,
         Err(finding) => return Loaded { file: None, findings: vec![*finding] },
     };
-    let read = source::read_with_schema::<Sidecar>(text, schema);
-    let mut findings = read.findings;
-    let file = read.value.zip(read.source);
+    let result = source::read_with_schema::<Sidecar>(text, schema);
+    let mut findings = result.findings;
+    let file = result.value.zip(result.source);
     if let Some((sidecar, source)) = &file {
         findings.extend(check::check(sidecar, source));
     }
--- a/crates/tools/nickelshed-config/src/operator.rs
+++ b/crates/tools/nickelshed-config/src/operator.rs
@@ -29,17 +29,17 @@
     use crate::sidecar::Durability;
 
     #[test]
-    fn the_example_is_the_default_and_a_misspelt_key_is_named() {
+    fn example_equals_default_and_misspelt_keys_get_suggestions() {
         let example = Operator::load(include_bytes!("../../../../deploy/operator.toml")).unwrap();
         assert_eq!(example, Operator::default());
         let machine = Operator::load(b"[journal]\ndurability = \"machine\"").unwrap();
         assert_eq!(machine.journal.durability, Durability::Machine);
-        for (wrong, help) in [
+        for (text, help) in [
             ("[journal]\ndurabilty = \"machine\"", "Did you mean `durability`?"),
             ("[journal]\ndurability = \"machin\"", "Did you mean `machine`?"),
             ("[jornal]", "Did you mean `journal`?"),
         ] {
-            assert_eq!(Operator::load(wrong.as_bytes()).unwrap_err()[0].help, help);
+            assert_eq!(Operator::load(text.as_bytes()).unwrap_err()[0].help, help);
         }
     }
 }
--- a/crates/tools/nickelshed-config/src/schema.rs
+++ b/crates/tools/nickelshed-config/src/schema.rs
@@ -1,5 +1,5 @@
-//! Sections and keys of a configuration type, read from its JSON schema. The reference page, the comments of a new file
-//! and the detection of unknown keys all use this one source.
+//! Sections and keys of a configuration type, read from its JSON schema. The reference page, the comments of
+//! a new file and the detection of unknown keys all use this one source.
 use schemars::JsonSchema;
 use serde_json::Value as Json;
 
@@ -45,11 +45,14 @@
     }
 
     fn keys_of_schema<'s>(&'s self, schema: &'s Json) -> Vec<Key<'s>> {
-        let Some(object_part) = object_schema(schema, &self.root) else { return Vec::new() };
+        let Some(object) = object_schema(schema, &self.root) else { return Vec::new() };
         let required = |name: &str| {
-            object_part.get("required").and_then(Json::as_array).is_some_and(|r| r.iter().any(|n| n == name))
+            object
+                .get("required")
+                .and_then(Json::as_array)
+                .is_some_and(|names| names.iter().any(|item| item == name))
         };
-        let properties = object_part.get("properties").and_then(Json::as_object).into_iter().flatten();
+        let properties = object.get("properties").and_then(Json::as_object).into_iter().flatten();
         let key = |(name, schema): (&'s String, &'s Json)| Key {
             name,
             description: self.description(schema),
@@ -62,8 +65,9 @@
     }
 
     fn description(&self, schema: &Json) -> String {
-        let own = schema.get("description").and_then(Json::as_str);
-        let text = own.or_else(|| self.resolve(schema).get("description")?.as_str()).unwrap_or_default();
+        let own_description = schema.get("description").and_then(Json::as_str);
+        let text =
+            own_description.or_else(|| self.resolve(schema).get("description")?.as_str()).unwrap_or_default();
         text.split_whitespace().collect::<Vec<_>>().join(" ")
     }
 
@@ -84,27 +88,27 @@
                 _ => return self.value_format(self.resolve(schema)),
             }
         }
-        for choice in ["anyOf", "oneOf"] {
-            let Some(choices) = schema.get(choice).and_then(Json::as_array) else { continue };
-            let words: Vec<String> =
+        for keyword in ["anyOf", "oneOf"] {
+            let Some(choices) = schema.get(keyword).and_then(Json::as_array) else { continue };
+            let values: Vec<String> =
                 choices.iter().filter_map(|c| Some(format!("`\"{}\"`", c.get("const")?.as_str()?))).collect();
-            if !words.is_empty() {
-                return words.join(", ");
+            if !values.is_empty() {
+                return values.join(", ");
             }
-            let forms = choices.iter().filter(|c| c.get("type").is_none_or(|t| t != "null"));
-            return forms.map(|c| self.value_format(c)).collect::<Vec<_>>().join(", or ");
+            let alternatives = choices.iter().filter(|c| c.get("type").is_none_or(|t| t != "null"));
+            return alternatives.map(|c| self.value_format(c)).collect::<Vec<_>>().join(", or ");
         }
-        if let Some(words) = schema.get("enum").and_then(Json::as_array) {
-            return words.iter().map(|w| format!("`{w}`")).collect::<Vec<_>>().join(", ");
+        if let Some(values) = schema.get("enum").and_then(Json::as_array) {
+            return values.iter().map(|w| format!("`{w}`")).collect::<Vec<_>>().join(", ");
         }
         if let Some(items) = schema.get("items") {
             return format!("list of: {}", self.value_format(items));
         }
-        let kind = match schema.get("type") {
-            Some(Json::Array(kinds)) => kinds.iter().filter_map(Json::as_str).find(|k| *k != "null"),
+        let type_name = match schema.get("type") {
+            Some(Json::Array(names)) => names.iter().filter_map(Json::as_str).find(|k| *k != "null"),
             other => other.and_then(Json::as_str),
         };
-        match kind {
+        match type_name {
             Some("string") => "text".into(),
             Some("boolean") => "`true` or `false`".into(),
             Some("integer") => "integer".into(),
@@ -123,6 +127,6 @@
     if schema.get("properties").is_some() {
         return Some(schema);
     }
-    let choices = ["anyOf", "oneOf", "allOf"].iter().filter_map(|k| schema.get(k)?.as_array()).flatten();
-    choices.filter_map(|c| object_schema(c, root)).next()
+    let alternatives = ["anyOf", "oneOf", "allOf"].iter().filter_map(|k| schema.get(k)?.as_array()).flatten();
+    alternatives.filter_map(|c| object_schema(c, root)).next()
 }
--- a/crates/tools/nickelshed-config/src/sidecar.rs
+++ b/crates/tools/nickelshed-config/src/sidecar.rs
@@ -1,5 +1,5 @@
-//! Types of the operator's configuration file. Their doc comments are the descriptions in the reference page, in the
-//! JSON schema and in files written by `nickelshed-ctl new`.
+//! Types of the operator's configuration file. Their doc comments are the descriptions in the reference page,
+//! in the JSON schema and in files written by `nickelshed-ctl new`.
 use crate::units::{Percent, Period, Size};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -15,19 +15,20 @@
 pub struct Sidecar {
     /// Name of the application that this sidecar serves. It identifies the sidecar in logs and notices.
     pub application: String,
-    /// Name of the machine that the sidecar runs on. Files that name different machines never conflict over ports and
-    /// folders.
+    /// Name of the machine that the sidecar runs on. Files that name different machines never conflict over
+    /// ports and folders.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<String>,
     /// IP address and port at which the application submits its messages.
     pub listen: SocketAddr,
-    /// Folder for accepted messages that have not finished; it is kept across restarts. Relative to the folder of this
-    /// file. Created if it does not exist.
+    /// Folder for accepted messages that have not finished; it is kept across restarts. Relative to the
+    /// folder of this file. Created if it does not exist.
     pub state: PathBuf,
     /// Whether every address in this file must be a loopback address.
     #[serde(default)]
     pub loopback_only: bool,
-    /// Number of sidecars that deliver to the same destinations. The rate of a destination is shared among them.
+    /// Number of sidecars that deliver to the same destinations. The rate of a destination is shared among
+    /// them.
     #[serde(default = "one")]
     pub senders: u32,
     /// Zone that the sidecar runs in, one of `[[zone]]`.
@@ -45,8 +46,8 @@
     /// Source of the list of endpoints, if it does not come from `[[destination]]`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub discovery: Option<Discovery>,
-    /// The fleet that the sidecar is a member of: sidecars that share the limits of the same destinations and determine
-    /// their number among themselves.
+    /// The fleet that the sidecar is a member of: sidecars that share the limits of the same destinations and
+    /// determine their number among themselves.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fleet: Option<Membership>,
     #[serde(default)]
@@ -126,13 +127,13 @@
     Machine,
 }
 
-/// Where notices about accepted messages that were not delivered are sent. A notice stays pending until each configured
-/// sink has it.
+/// Where notices about accepted messages that were not delivered are sent. A notice stays pending until each
+/// configured sink has it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Notices {
-    /// URL that notices are posted to, one JSON object per line: `http://ADDRESS:PORT/PATH`. Any response from 200 to 299
-    /// confirms them.
+    /// URL that notices are posted to, one JSON object per line: `http://ADDRESS:PORT/PATH`. Any response
+    /// from 200 to 299 confirms them.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub http: Option<String>,
     /// File that notices are appended to, one JSON object per line. Relative to the folder of this file.
@@ -168,8 +169,8 @@
     /// Name of the site that this member is in. At most 16 bytes.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub site: String,
-    /// File with the key that authenticates every datagram; only members may be able to read it. Relative to the folder
-    /// of this file.
+    /// File with the key that authenticates every datagram; only members may be able to read it. Relative to
+    /// the folder of this file.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key_file: Option<PathBuf>,
 }
@@ -192,7 +193,8 @@
     pub start_capacity: Percent,
     /// Slow start: time that a destination takes after an outage to reach its full capacity again.
     pub cold: Period,
-    /// A destination in slow start collapses if it is sent this multiple of its current capacity for `overload_for`.
+    /// A destination in slow start collapses if it is sent this multiple of its current capacity for
+    /// `overload_for`.
     pub overload_multiple: f64,
     /// Duration of overload after which a destination in slow start collapses; see `overload_multiple`.
     pub overload_for: Period,
@@ -247,15 +249,15 @@
 pub struct Traffic {
     /// Messages per second over all sidecars, of which tenants have shares. With 0, shares are not enforced.
     pub rate: f64,
-    /// Share of its worth that a message beyond the share of its tenant has.
+    /// Share of its value that a message beyond the share of its tenant has.
     pub over_share_worth: Percent,
-    /// How the worth of a late message decreases.
+    /// How the value of a late message decreases.
     pub late: Late,
 }
 
 impl Default for Traffic {
     fn default() -> Traffic {
-        Traffic { rate: 0.0, over_share_worth: Percent(1.0), late: Late::Exponential }
+        Traffic { rate: 0.0, over_share_worth: Percent(1.0), late: Late::Halves }
     }
 }
 
@@ -263,11 +265,9 @@
 #[serde(rename_all = "lowercase")]
 pub enum Late {
     /// Exponentially: by half with each further `wanted_within`.
-    #[serde(rename = "halves")]
-    Exponential,
+    Halves,
     /// Linearly, down to `late_worth` at `abandoned_after`.
-    #[serde(rename = "line")]
-    Linear,
+    Line,
 }
 
 /// Costs, in points of service per message, which the policy weighs against one another.
@@ -290,22 +290,23 @@
 pub struct Class {
     /// Name of the class, as in the request path and in `X-Qos`.
     pub name: String,
-    /// Target latency: a message that is delivered within this time has its full worth.
+    /// Target latency: a message that is delivered within this time has its full value.
     pub wanted_within: Period,
     /// Time after which a message expires and is abandoned.
     pub abandoned_after: Period,
     /// Effect of executing the same message a second time.
     pub effect: Effect,
-    /// For `keyed`: how long a destination drops repeats, counted from the first attempt that may have been executed.
+    /// For `keyed`: how long a destination drops repeats, counted from the first attempt that may have been
+    /// executed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeat_window: Option<Period>,
     /// For `keyed`: which endpoints drop a repeat of a message that another endpoint has executed.
     #[serde(default)]
     pub repeat_scope: Scope,
-    /// Worth of a message that is delivered within `wanted_within`.
-    #[serde(default = "whole")]
+    /// Value of a message that is delivered within `wanted_within`.
+    #[serde(default = "default_worth")]
     pub worth: f64,
-    /// Lowest share of its worth that a late message has until `abandoned_after`.
+    /// Lowest share of its value that a late message has until `abandoned_after`.
     #[serde(default)]
     pub late_worth: Percent,
     /// Extends `wanted_within` by this multiple of the expected work of the message.
@@ -323,7 +324,8 @@
     Safe,
     /// Each message has a key, and a destination drops repeats with that key for `repeat_window`.
     Keyed,
-    /// A second execution is harmful: the message is sent again only if no earlier attempt can have been executed.
+    /// A second execution is harmful: the message is sent again only if no earlier attempt can have been
+    /// executed.
     Unsafe,
 }
 
@@ -345,7 +347,8 @@
 pub struct Tenant {
     /// Name of the tenant, as in `X-Customer`.
     pub name: String,
-    /// Share of `traffic.rate`. Messages beyond it have only `traffic.over_share_worth` of their worth.
+    /// Share of `traffic.rate`. Messages beyond it have only the share `traffic.over_share_worth` of their
+    /// value.
     pub share: Percent,
 }
 
@@ -426,13 +429,13 @@
     }
 }
 
-/// Implemented by hand, because a derived implementation for an untagged enum reports every mistake inside only as
-/// "no variant matches".
+/// Implemented by hand, because a derived implementation for an untagged enum reports every mistake inside
+/// only as "no variant matches".
 impl<'de> Deserialize<'de> for EndpointForm {
     fn deserialize<D: serde::Deserializer<'de>>(from: D) -> Result<EndpointForm, D::Error> {
-        struct Form;
+        struct EndpointVisitor;
 
-        impl<'de> serde::de::Visitor<'de> for Form {
+        impl<'de> serde::de::Visitor<'de> for EndpointVisitor {
             type Value = EndpointForm;
 
             fn expecting(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -451,7 +454,7 @@
             }
         }
 
-        from.deserialize_any(Form)
+        from.deserialize_any(EndpointVisitor)
     }
 }
 
@@ -459,6 +462,6 @@
     1
 }
 
-fn whole() -> f64 {
+fn default_worth() -> f64 {
     1.0
 }
--- a/crates/tools/nickelshed-config/src/units.rs
+++ b/crates/tools/nickelshed-config/src/units.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 /// Longest duration in a configuration; a longer one is taken for a mistake in the unit.
-const LONGEST: Duration = Duration::from_secs(24 * 3600);
+const MAX_PERIOD: Duration = Duration::from_secs(24 * 3600);
 /// Largest size in a configuration, in bytes: 1 TiB.
-const LARGEST: u64 = 1 << 40;
+const MAX_SIZE_BYTES: u64 = 1 << 40;
 
 /// A duration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -29,7 +29,8 @@
         Period(Duration::from_millis(ms))
     }
 
-    /// Returns the duration in nanoseconds, the unit of the policy. Cannot overflow, because a period is at most a day.
+    /// Returns the duration in nanoseconds, the unit of the policy. Cannot overflow, because a period is at
+    /// most a day.
     pub fn ns(self) -> i64 {
         self.0.as_nanos() as i64
     }
@@ -39,11 +40,11 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Period, String> {
-        let wrong = |why: String| {
+        let invalid = |why: String| {
             format!("`{text}` is not a time: {why}. Write a number with a unit, such as `3s` or `250ms`")
         };
-        let period = humantime::parse_duration(text).map_err(|e| wrong(e.to_string()))?;
-        if period > LONGEST {
+        let period = humantime::parse_duration(text).map_err(|e| invalid(e.to_string()))?;
+        if period > MAX_PERIOD {
             return Err(format!("`{text}` is longer than a day, which is the maximum"));
         }
         Ok(Period(period))
@@ -60,17 +61,17 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Size, String> {
-        let wrong = |why: &str| {
+        let invalid = |why: &str| {
             format!("`{text}` is not a size: {why}. Write a number with a unit, such as `64KiB` or `192MB`")
         };
         if !text.ends_with(|c: char| c.is_ascii_alphabetic()) {
-            return Err(wrong("its unit is missing"));
+            return Err(invalid("its unit is missing"));
         }
         let bytes = text
             .parse::<bytesize::ByteSize>()
-            .map_err(|_| wrong("its number or its unit is invalid"))?
+            .map_err(|_| invalid("its number or its unit is invalid"))?
             .as_u64();
-        if bytes > LARGEST {
+        if bytes > MAX_SIZE_BYTES {
             return Err(format!("`{text}` is more than 1 TiB, which is the maximum"));
         }
         Ok(Size(bytes))
@@ -110,19 +111,20 @@
 
 impl fmt::Display for Percent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Ten decimals are more than a file has, and they hide the rounding error of the division by a hundred.
+        // Ten decimals are more than a file has, and they hide the rounding error of the division by a
+        // hundred.
         let text = format!("{:.10}", self.0 * 100.0);
         write!(f, "{}%", text.trim_end_matches('0').trim_end_matches('.'))
     }
 }
 
-macro_rules! written_as_text {
+macro_rules! impl_text_format {
     ($type:ident, $expected:literal, $pattern:literal, $description:literal) => {
         impl<'de> Deserialize<'de> for $type {
-            fn deserialize<D: Deserializer<'de>>(from: D) -> Result<$type, D::Error> {
-                struct Text;
+            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<$type, D::Error> {
+                struct TextVisitor;
 
-                impl Visitor<'_> for Text {
+                impl Visitor<'_> for TextVisitor {
                     type Value = $type;
 
                     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -134,13 +136,13 @@
                     }
                 }
 
-                from.deserialize_str(Text)
+                deserializer.deserialize_str(TextVisitor)
             }
         }
 
         impl Serialize for $type {
-            fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-                to.collect_str(self)
+            fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+                serializer.collect_str(self)
             }
         }
 
@@ -156,19 +158,19 @@
     };
 }
 
-written_as_text!(
+impl_text_format!(
     Period,
     "a time with its unit, such as \"3s\"",
     "^[0-9]",
     "A time with its unit: `3s`, `250ms`, `1m 30s`; at most a day."
 );
-written_as_text!(
+impl_text_format!(
     Size,
     "a size with its unit, such as \"64KiB\"",
     "^[0-9.]+ *[A-Za-z]+$",
     "A size with its unit: `64KiB`, `192MB`; at most 1 TiB."
 );
-written_as_text!(Percent, "a share with a percent sign, such as \"25%\"", "^[0-9.]+ *%$", "A share: `25%`.");
+impl_text_format!(Percent, "a share with a percent sign, such as \"25%\"", "^[0-9.]+ *%$", "A share: `25%`.");
 
 #[cfg(test)]
 mod tests {
@@ -176,29 +178,29 @@
 
     /// Formatting a value and parsing the result must return the same value.
     #[test]
-    fn what_is_written_reads_back() {
+    fn formatted_values_parse_to_the_same_value() {
         let mut rng = fastrand::Rng::with_seed(7);
         for _ in 0..5_000 {
-            let period = Period(Duration::from_nanos(rng.u64(0..=LONGEST.as_nanos() as u64)));
+            let period = Period(Duration::from_nanos(rng.u64(0..=MAX_PERIOD.as_nanos() as u64)));
             assert_eq!(period.to_string().parse(), Ok(period));
-            let size = Size(rng.u64(0..=LARGEST) >> rng.u32(0..40));
+            let size = Size(rng.u64(0..=MAX_SIZE_BYTES) >> rng.u32(0..40));
             assert_eq!(size.to_string().parse(), Ok(size));
             let percent = Percent(f64::from(rng.u32(0..=10_000)) / 10_000.0);
-            let back: Percent = percent.to_string().parse().unwrap();
-            assert!((back.0 - percent.0).abs() < 1e-9, "{percent}");
+            let parsed: Percent = percent.to_string().parse().unwrap();
+            assert!((parsed.0 - percent.0).abs() < 1e-9, "{percent}");
         }
     }
 
     #[test]
-    fn what_is_no_figure_is_refused_with_an_example() {
-        for wrong in ["", "3", "s", "3 parsecs", "-3s", "25h", "99999999999999999999s", "1e3s", "NaN"] {
-            assert!(wrong.parse::<Period>().is_err(), "{wrong}");
+    fn invalid_values_are_rejected_with_an_example() {
+        for text in ["", "3", "s", "3 parsecs", "-3s", "25h", "99999999999999999999s", "1e3s", "NaN"] {
+            assert!(text.parse::<Period>().is_err(), "{text}");
         }
-        for wrong in ["", "64", "KiB", "64 parsecs", "-1KiB", "2TiB", "99999999999999999999999KiB"] {
-            assert!(wrong.parse::<Size>().is_err(), "{wrong}");
+        for text in ["", "64", "KiB", "64 parsecs", "-1KiB", "2TiB", "99999999999999999999999KiB"] {
+            assert!(text.parse::<Size>().is_err(), "{text}");
         }
-        for wrong in ["", "25", "%", "-1%", "inf%", "NaN%", "0.25"] {
-            assert!(wrong.parse::<Percent>().is_err(), "{wrong}");
+        for text in ["", "25", "%", "-1%", "inf%", "NaN%", "0.25"] {
+            assert!(text.parse::<Percent>().is_err(), "{text}");
         }
         assert!("3".parse::<Period>().unwrap_err().contains("`3s`"));
     }
--- a/crates/tools/nickelshed-config/src/url.rs
+++ b/crates/tools/nickelshed-config/src/url.rs
@@ -17,8 +17,9 @@
         .parse()
         .map_err(|_| format!("has `{address}` where an IP address and a port are expected"))?;
     let path = if path.is_empty() { "/" } else { path };
-    if let Some(wrong) = path.chars().find(|c| !c.is_ascii_graphic() || matches!(c, '#' | '"' | '<' | '>')) {
-        return Err(format!("has {wrong:?} in its path"));
+    if let Some(invalid) = path.chars().find(|c| !c.is_ascii_graphic() || matches!(c, '#' | '"' | '<' | '>'))
+    {
+        return Err(format!("has {invalid:?} in its path"));
     }
     Ok(Url { address, path: path.to_string() })
 }
@@ -28,11 +29,11 @@
     use super::*;
 
     #[test]
-    fn only_plain_http_to_an_address() {
+    fn accepts_only_plain_http_to_an_address() {
         let url = parse("http://127.0.0.1:7500/reports?x=1").unwrap();
         assert_eq!((url.address, url.path.as_str()), (([127, 0, 0, 1], 7500).into(), "/reports?x=1"));
         assert_eq!(parse("http://[::1]:80").unwrap().path, "/");
-        for wrong in [
+        for invalid in [
             "",
             "127.0.0.1:80",
             "https://127.0.0.1:80/",
@@ -40,7 +41,7 @@
             "http://127.0.0.1/",
             "http://127.0.0.1:80/a b",
         ] {
-            assert!(parse(wrong).is_err(), "{wrong}");
+            assert!(parse(invalid).is_err(), "{invalid}");
         }
     }
 }
--- a/crates/tools/nickelshed-config/tests/load.rs
+++ b/crates/tools/nickelshed-config/tests/load.rs
@@ -1,4 +1,5 @@
-//! Reads valid and invalid configuration files, through the function that the sender and `nickelshed-ctl` use.
+//! Reads valid and invalid configuration files, through the function that the sender and `nickelshed-ctl`
+//! use.
 use nickelshed_config::{compile, load, load_with_schema, Code, Finding, Sidecar, TypeSchema};
 use nickelshed_policy::api::Settings;
 use serde_json::json;
@@ -10,7 +11,7 @@
 }
 
 /// Replaces one text in the example and returns the only finding.
-fn changed(from: &str, to: &str) -> Finding {
+fn only_finding_after(from: &str, to: &str) -> Finding {
     assert!(EXAMPLE.contains(from), "{from}");
     let text = EXAMPLE.replacen(from, to, 1);
     let mut found = findings(&text);
@@ -19,14 +20,14 @@
 }
 
 #[test]
-fn the_example_is_sound() {
+fn example_has_no_findings() {
     assert_eq!(findings(EXAMPLE), []);
 }
 
-/// Users report two mistakes most; this is the message of one. The other, a port used by two sidecars, is a conflict
-/// between files and is tested with `nickelshed-ctl`.
+/// Users report two mistakes most; this is the message of one. The other, a port used by two sidecars, is a
+/// conflict between files and is tested with `nickelshed-ctl`.
 #[test]
-fn a_deadline_longer_than_the_abandonment_is_told_plainly() {
+fn abandoned_after_beyond_the_abandonment_limit_is_an_error_at_its_value() {
     let text = EXAMPLE.replacen("abandoned_after = \"16s\"", "abandoned_after = \"20s\"", 1);
     let found = findings(&text);
     let finding = found.iter().find(|f| f.code == Code::BeyondAbandonment).unwrap();
@@ -38,15 +39,15 @@
     assert!(finding.is_error());
 }
 
-/// Returns a `[fleet]` section with the keys of `more`, to be inserted in place of the line `[connections]`, which it
-/// repeats at its end.
-fn member(more: &str) -> String {
+/// Returns a `[fleet]` section with the keys of `more`, to be inserted in place of the line `[connections]`,
+/// which it repeats at its end.
+fn fleet_section(more: &str) -> String {
     format!("[fleet]\nname = \"f\"\nlisten = \"127.0.0.1:7450\"\n{more}\n[connections]")
 }
 
 #[test]
-fn every_check_finds_what_it_is_for() {
-    let rows: &[(&str, &str, Code)] = &[
+fn every_code_about_a_single_file_is_reported() {
+    let cases: &[(&str, &str, Code)] = &[
         ("wanted_within = \"3s\"", "wanted_within = \"17s\"", Code::TargetBeyondExpiry),
         ("allow = [\"NS203\"]", "allow = []", Code::ShortRepeatWindow),
         ("wanted_within = \"2s\"", "wanted_within = \"0s\"", Code::DurationTooShort),
@@ -78,7 +79,7 @@
         ("name = \"wezwanie\"", "name = \"healthz\"", Code::InvalidName),
         ("rate = 80\n", "", Code::SharesWithoutRate),
         ("127.0.0.1:7504", "10.1.0.1:7504", Code::NotLoopback),
-        ("127.0.0.1:7504", "127.0.0.1:0", Code::UnreachableAddress),
+        ("127.0.0.1:7504", "127.0.0.1:0", Code::UnspecificAddress),
         ("loopback_only = true", "", Code::ExposedListener),
         ("file = \"../target/sidecar/notices.jsonl\"", "", Code::NoNoticeSink),
         ("/sidecar/notices.jsonl", "/x/../sidecar/state/n", Code::NoticeFileInState),
@@ -88,12 +89,16 @@
         ("slots = 16", "slots = \"16\"", Code::WrongValue),
         ("application = \"prognozy-wschod\"", "", Code::MissingKey),
         ("[limits]", "[limits", Code::Syntax),
-        ("[connections]", &member("seeds = [\"127.0.0.1:7450\"]"), Code::SelfAsSeed),
-        ("[connections]", &member("site = \"a site with a long name\""), Code::NameTooLong),
-        ("[connections]", &member("").replace("127.0.0.1:7450", "10.1.0.1:7450"), Code::UnauthenticatedFleet),
+        ("[connections]", &fleet_section("seeds = [\"127.0.0.1:7450\"]"), Code::SelfAsSeed),
+        ("[connections]", &fleet_section("site = \"a site with a long name\""), Code::NameTooLong),
+        (
+            "[connections]",
+            &fleet_section("").replace("127.0.0.1:7450", "10.1.0.1:7450"),
+            Code::UnauthenticatedFleet,
+        ),
     ];
-    let mut left: Vec<Code> = Code::ALL.to_vec();
-    for &(from, to, code) in rows {
+    let mut uncovered: Vec<Code> = Code::ALL.to_vec();
+    for &(from, to, code) in cases {
         let to = if code == Code::ExposedListener { "loopback_only = false" } else { to };
         let text = EXAMPLE.replacen(from, to, 1);
         let text = if code == Code::ExposedListener {
@@ -103,17 +108,17 @@
         };
         let found = findings(&text);
         assert!(found.iter().any(|f| f.code == code), "{from} -> {to}: {found:#?}");
-        left.retain(|c| *c != code);
+        uncovered.retain(|c| *c != code);
     }
-    let none = "application = \"a\"\nlisten = \"127.0.0.1:1\"\nstate = \"s\"\n[notices]\nfile = \"n\"";
+    let minimal = "application = \"a\"\nlisten = \"127.0.0.1:1\"\nstate = \"s\"\n[notices]\nfile = \"n\"";
     for code in [Code::NoClass, Code::NoEndpointSource] {
-        assert!(findings(none).iter().any(|f| f.code == code));
+        assert!(findings(minimal).iter().any(|f| f.code == code));
     }
     // The remaining codes concern bytes that are not text, conflicts between files, and the host.
-    left.retain(|c| !matches!(c, Code::NoClass | Code::NoEndpointSource | Code::BeyondAbandonment));
+    uncovered.retain(|c| !matches!(c, Code::NoClass | Code::NoEndpointSource | Code::BeyondAbandonment));
     use Code::*;
     assert_eq!(
-        left,
+        uncovered,
         [
             Unreadable,
             NotText,
@@ -135,8 +140,8 @@
 }
 
 #[test]
-fn a_misspelt_key_is_told_with_the_one_that_was_meant_and_all_of_them_at_once() {
-    let finding = changed("abandoned_after = \"8s\"", "abandoned_after = \"8s\"\nwrth = 2");
+fn misspelt_keys_get_suggestions_and_all_mistakes_are_reported_together() {
+    let finding = only_finding_after("abandoned_after = \"8s\"", "abandoned_after = \"8s\"\nwrth = 2");
     assert_eq!(finding.message, "there is no key `wrth` in `class`");
     assert_eq!(finding.help, "Did you mean `worth`?");
     let text = EXAMPLE
@@ -146,23 +151,24 @@
         .replacen("\"127.0.0.1:7503\"", "\"127.0.0.1:75030\"", 1)
         .replacen("dial = \"1s\"", "dial = 1", 1);
     let found = findings(&text);
-    let places: Vec<&str> = found.iter().map(|f| &text[f.span.clone()]).collect();
-    assert_eq!(places, ["\"64 parsecs\"", "slotss", "1", "\"keyd\"", "\"127.0.0.1:75030\""], "{found:#?}");
+    let excerpts: Vec<&str> = found.iter().map(|f| &text[f.span.clone()]).collect();
+    assert_eq!(excerpts, ["\"64 parsecs\"", "slotss", "1", "\"keyd\"", "\"127.0.0.1:75030\""], "{found:#?}");
     assert_eq!(found[3].help, "Did you mean `keyed`?");
 }
 
 #[test]
-fn what_is_missing_names_its_section() {
-    let finding = changed("wanted_within = \"2s\"\n", "");
+fn missing_key_is_named() {
+    let finding = only_finding_after("wanted_within = \"2s\"\n", "");
     assert_eq!((finding.code, finding.help.as_str()), (Code::MissingKey, "Add `wanted_within`"));
 }
 
-/// The same configuration in the platform's JSON and in the operator's TOML must give the policy the same settings.
+/// The same configuration in the platform's JSON and in the operator's TOML must give the policy the same
+/// settings.
 #[test]
-fn both_forms_give_the_module_the_same_settings() {
-    let class = |name: &str, aim: u64, end: u64, effect: &str, window: u64| {
-        json!({"Name": name, "PromiseNs": aim, "DeadlineNs": end, "Effect": effect, "DedupScope": "all",
-            "WindowNs": window, "Worth": 1, "LateWorth": if effect == "keyed" { 0.3 } else { 0.0 }})
+fn platform_and_operator_files_give_the_same_settings() {
+    let class_json = |name: &str, target_ns: u64, deadline_ns: u64, effect: &str, window_ns: u64| {
+        json!({"Name": name, "PromiseNs": target_ns, "DeadlineNs": deadline_ns, "Effect": effect,
+            "DedupScope": "all", "WindowNs": window_ns, "Worth": 1, "LateWorth": if effect == "keyed" { 0.3 } else { 0.0 }})
     };
     let platform = json!({"NInstances": 1, "TickNs": 5_000_000, "Kinds": ["plain"], "Localities": ["plain"],
         "Realms": [{"Name": "rolnictwo", "QuotaPerS": 48.0}, {"Name": "drogi", "QuotaPerS": 32.0}],
@@ -172,11 +178,11 @@
             "DialTimeoutNs": 1_000_000_000, "MaxRetryAfterNs": 3_000_000_000u64},
         "Safety": {"StartCapacity": 0.26, "ColdNs": 9_500_000_000u64, "FallMultiple": 1.5,
             "OverloadForNs": 2_000_000_000},
-        "Services": [class("alert-prognozy", 3_000_000_000, 16_000_000_000, "keyed", 15_000_000_000),
-            class("wezwanie", 2_000_000_000, 8_000_000_000, "unsafe", 0)]});
-    let (settings, around): (Settings, _) = nickelshed_settings::read(&platform).unwrap();
+        "Services": [class_json("alert-prognozy", 3_000_000_000, 16_000_000_000, "keyed", 15_000_000_000),
+            class_json("wezwanie", 2_000_000_000, 8_000_000_000, "unsafe", 0)]});
+    let (settings, context): (Settings, _) = nickelshed_settings::read(&platform).unwrap();
     let sidecar = load(EXAMPLE.as_bytes()).into_valid().unwrap();
-    assert_eq!(compile::settings(&sidecar), (settings, around));
+    assert_eq!(compile::settings(&sidecar), (settings, context));
     let listed_endpoints = compile::listed_endpoints(&sidecar);
     assert_eq!(listed_endpoints.len(), 4);
     assert_eq!(
@@ -186,14 +192,14 @@
 }
 
 #[test]
-fn no_file_however_odd_does_more_than_be_refused() {
-    let deep = |open: &str| format!("a = {}", open.repeat(100_000));
-    let rows: Vec<(Vec<u8>, Code)> = vec![
+fn malformed_and_oversized_files_are_rejected_with_errors() {
+    let nested = |opening: &str| format!("a = {}", opening.repeat(100_000));
+    let cases: Vec<(Vec<u8>, Code)> = vec![
         (vec![], Code::MissingKey),
         (vec![0xff, 0xfe, 0x00], Code::NotText),
         (vec![b'#'; 100 << 20], Code::TooLarge),
-        (deep("[").into_bytes(), Code::Syntax),
-        (deep("{a=").into_bytes(), Code::Syntax),
+        (nested("[").into_bytes(), Code::Syntax),
+        (nested("{a=").into_bytes(), Code::Syntax),
         ("[a.".repeat(100_000).into_bytes(), Code::Syntax),
         (vec![0; 1 << 20], Code::Syntax),
         (EXAMPLE.replace("rate = 80", "rate = 99999999999999999999999999").into_bytes(), Code::WrongValue),
@@ -204,32 +210,32 @@
         (EXAMPLE.replace("rate = 80", "rate = 1e300").into_bytes(), Code::UnusableValue),
         (EXAMPLE.replace("\"../target/sidecar/state\"", "\"a\\u0000b\"").into_bytes(), Code::UnusableValue),
     ];
-    for (bytes, code) in rows {
+    for (bytes, code) in cases {
         let found = load(&bytes).findings;
-        let start = String::from_utf8_lossy(&bytes[..bytes.len().min(40)]).into_owned();
-        assert!(found.iter().any(|f| f.code == code && f.is_error()), "{start}: {found:#?}");
-        assert!(found.len() <= 60, "{start}");
+        let excerpt = String::from_utf8_lossy(&bytes[..bytes.len().min(40)]).into_owned();
+        assert!(found.iter().any(|f| f.code == code && f.is_error()), "{excerpt}: {found:#?}");
+        assert!(found.len() <= 60, "{excerpt}");
     }
 }
 
-/// Files with bytes changed, removed, doubled or swapped at random: reading never panics, and every position is inside
-/// the text.
+/// Files with bytes changed, removed, doubled or swapped at random: reading never panics, and every position
+/// is inside the text.
 #[test]
-fn mutated_files_are_answered() {
+fn randomly_mutated_files_are_read_or_rejected() {
     let mut rng = fastrand::Rng::with_seed(11);
-    let (mut valid, shape) = (0, TypeSchema::of::<Sidecar>());
+    let (mut valid, schema) = (0, TypeSchema::of::<Sidecar>());
     for _ in 0..3_000 {
         let mut bytes = EXAMPLE.as_bytes().to_vec();
         for _ in 0..rng.usize(1..4) {
-            let at = rng.usize(0..bytes.len());
+            let offset = rng.usize(0..bytes.len());
             match rng.u8(0..4) {
-                0 => bytes[at] = rng.u8(..),
-                1 => _ = bytes.remove(at),
-                2 => bytes.insert(at, bytes[at]),
-                _ => bytes.swap(at, rng.usize(0..EXAMPLE.len() / 2)),
+                0 => bytes[offset] = rng.u8(..),
+                1 => _ = bytes.remove(offset),
+                2 => bytes.insert(offset, bytes[offset]),
+                _ => bytes.swap(offset, rng.usize(0..EXAMPLE.len() / 2)),
             }
         }
-        let loaded = load_with_schema(&bytes, &shape);
+        let loaded = load_with_schema(&bytes, &schema);
         let errors = loaded.findings.iter().filter(|f| f.is_error()).count();
         if let Ok(text) = std::str::from_utf8(&bytes) {
             for finding in &loaded.findings {
@@ -244,8 +250,8 @@
             Ok(sidecar) => {
                 valid += 1;
                 assert_eq!(errors, 0);
-                let (settings, around) = compile::settings(&sidecar);
-                assert_eq!(settings.classes.len(), around.classes.len());
+                let (settings, context) = compile::settings(&sidecar);
+                assert_eq!(settings.classes.len(), context.classes.len());
             }
             Err(_) => assert!(errors > 0),
         }
--- a/crates/tools/nickelshed-ctl/src/files.rs
+++ b/crates/tools/nickelshed-ctl/src/files.rs
@@ -1,6 +1,6 @@
 //! Files: read within a bound, found again whatever the way to them, and written whole or not at all.
 use nickelshed_config::sidecar::MAX_FILE_BYTES;
-use nickelshed_config::{check, cross_file, load_with_schema, Code, Finding, Sidecar, Source, TypeSchema};
+use nickelshed_config::{check, load_with_schema, together, Code, Finding, Sidecar, Source, TypeSchema};
 use std::ffi::OsString;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -66,16 +66,16 @@
     /// What is wrong between the files.
     pub fn together(&mut self) {
         let files = self.files.iter().zip(&self.texts).enumerate();
-        let members: Vec<cross_file::ConfigFile> = files
+        let members: Vec<together::ConfigFile> = files
             .filter_map(|(file, (loaded, text))| {
                 let (sidecar, source) = loaded.as_ref()?;
                 let folder = text.path.parent().unwrap_or(Path::new(""));
                 let state = real(&folder.join(&sidecar.state));
                 let notices = sidecar.notices.file.as_ref().map(|f| real(&folder.join(f)));
-                Some(cross_file::ConfigFile { file, sidecar, source, state, notices })
+                Some(together::ConfigFile { file, sidecar, source, state, notices })
             })
             .collect();
-        self.findings.extend(cross_file::check(&members));
+        self.findings.extend(together::check(&members));
         self.findings.sort_by_key(|f| (f.file, f.span.start));
     }
 
