--- a/crates/decide/nickelshed-budget/src/lib.rs
+++ b/crates/decide/nickelshed-budget/src/lib.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 /// Fraction of the memory limit that messages may use. The rest is for connections, the journal's file (which
-/// counts as memory of the process) and the copies of a body that exist while it is written.
+/// counts as memory) and the copies of a body that exist while it is written.
 const MESSAGE_MEMORY_FRACTION: f64 = 0.2;
 /// Memory that a message uses besides its body, over all tables.
 const MESSAGE_OVERHEAD_BYTES: usize = 1_536;
--- a/crates/tools/nickelshed-config/src/check.rs
+++ b/crates/tools/nickelshed-config/src/check.rs
@@ -12,7 +12,8 @@
 
 /// Largest message body that is accepted, in bytes.
 const MAX_BODY_BYTES: u64 = 64 << 10;
-/// Longest name that these checks accept, in bytes. The journal stores no longer name of an endpoint.
+/// Longest name that these checks accept, in bytes; also the longest name of an endpoint that the journal
+/// stores.
 const MAX_NAME_BYTES: usize = 64;
 /// Largest rate, value or price. Bounded because the policy multiplies them.
 const MAX_NUMBER: f64 = 1e9;
--- a/crates/tools/nickelshed-config/src/units.rs
+++ b/crates/tools/nickelshed-config/src/units.rs
@@ -111,8 +111,7 @@
 
 impl fmt::Display for Percent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Ten decimals are more than a file has, and they hide the rounding error of the division by a
-        // hundred.
+        // Nobody writes ten decimals, and rounding to ten hides the error of the division by a hundred.
         let text = format!("{:.10}", self.0 * 100.0);
         write!(f, "{}%", text.trim_end_matches('0').trim_end_matches('.'))
     }
