--- a/crates/serve/nickelshed-journal/benches/legacy_journal.rs
+++ b/crates/serve/nickelshed-journal/benches/legacy_journal.rs
@@ -7,7 +7,7 @@
 //! before it would exceed half of the disk limit, so that the old and the new file together stay below the
 //! limit.
 use bytes::Bytes;
-use nickelshed_budget::{Budget, Share};
+use nickelshed_budget::{Budget, MemoryReservation};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -39,7 +39,7 @@
     pub body: Bytes,
     /// The memory budget used by the body.
     #[serde(skip)]
-    pub memory_share: Option<Share>,
+    pub memory_share: Option<MemoryReservation>,
 }
 
 impl AcceptedMessage {
@@ -154,7 +154,7 @@
     if let Record::Accepted(message) = &mut record {
         let message = Rc::get_mut(message)?;
         message.body = Bytes::copy_from_slice(body);
-        message.memory_share = Some(budget.owe(body.len()));
+        message.memory_share = Some(budget.reserve_recovered(body.len()));
     }
     Some((record, RECORD_HEADER_BYTES + length))
 }
--- a/crates/serve/nickelshed-journal/src/journal/open.rs
+++ b/crates/serve/nickelshed-journal/src/journal/open.rs
@@ -173,7 +173,7 @@
         for live in journal.table.live_mut() {
             // Succeeds, as the table holds the only reference so far.
             if let Some(message) = Rc::get_mut(&mut live.message) {
-                message.memory_share = Some(budget.owe(message.body.len()));
+                message.memory_share = Some(budget.reserve_recovered(message.body.len()));
             }
         }
         // Writes of the previous process survived its end, but may not yet survive the loss of the machine.
--- a/crates/serve/nickelshed-journal/src/outage_snapshot.rs
+++ b/crates/serve/nickelshed-journal/src/outage_snapshot.rs
@@ -16,7 +16,7 @@
 impl Layout {
     /// `disk_limit_bytes`: the limit of the folder's size.
     pub fn for_disk_limit(disk_limit_bytes: u64) -> Layout {
-        Layout { slot_bytes: nickelshed_budget::note_place(disk_limit_bytes) as usize }
+        Layout { slot_bytes: nickelshed_budget::outage_list_bytes(disk_limit_bytes) as usize }
     }
 
     /// Maximum size of the file.
--- a/crates/serve/nickelshed-journal/src/record.rs
+++ b/crates/serve/nickelshed-journal/src/record.rs
@@ -1,6 +1,6 @@
 //! The records that are written of a message: its acceptance, its attempts, and its ending.
 use bytes::Bytes;
-use nickelshed_budget::Share;
+use nickelshed_budget::MemoryReservation;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
@@ -28,7 +28,7 @@
     pub deadline_ms: i64,
     pub body: Bytes,
     /// The memory budget used by the body, released when the message is dropped.
-    pub memory_share: Option<Share>,
+    pub memory_share: Option<MemoryReservation>,
 }
 
 impl AcceptedMessage {
--- a/crates/serve/nickelshed-journal/tests/space.rs
+++ b/crates/serve/nickelshed-journal/tests/space.rs
@@ -208,7 +208,7 @@
         for (body_bytes, max_attempts) in [(0usize, 1u32), (200, 8), (1_024, 8), (1_024, 64), (16_384, 8)] {
             for durability in [Durability::Process, Durability::Machine] {
                 let is_synced = durability == Durability::Machine;
-                let computed = nickelshed_budget::messages_on_disk(
+                let computed = nickelshed_budget::max_messages_on_disk(
                     disk_limit_bytes,
                     body_bytes as u64,
                     max_attempts,
--- a/crates/serve/nickelshed/src/config/mod.rs
+++ b/crates/serve/nickelshed/src/config/mod.rs
@@ -10,7 +10,7 @@
 use nickelshed_config::sidecar::Durability;
 use nickelshed_config::Operator;
 use nickelshed_policy::api::Settings;
-use nickelshed_settings::Around;
+use nickelshed_settings::DeploymentContext;
 use serde::Deserialize;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -68,7 +68,7 @@
     pub durability: Durability,
     pub initial_list: EndpointList,
     pub settings: Settings,
-    pub context: Around,
+    pub context: DeploymentContext,
     /// None if the sender is not a member of a fleet.
     pub fleet: Option<crate::fleet::FleetConfig>,
 }
--- a/crates/serve/nickelshed/src/config/platform.rs
+++ b/crates/serve/nickelshed/src/config/platform.rs
@@ -86,7 +86,7 @@
             let name = file.name.as_deref()?;
             FleetConfig::from_platform(name, site, peers, seed, settings.sender_count, settings_digest)
         };
-        let fleet = file.platform_peers().filter(|_| context.notes).and_then(fleet_config);
+        let fleet = file.platform_peers().filter(|_| context.peer_datagrams).and_then(fleet_config);
         Ok(Config {
             fleet,
             application: None,
--- a/crates/serve/nickelshed/src/config/sidecar.rs
+++ b/crates/serve/nickelshed/src/config/sidecar.rs
@@ -1,7 +1,7 @@
 //! The sidecar's configuration: one TOML file, in which paths are relative to the folder of the file.
 use super::{Config, EndpointSource, Limits, ReloadableConfig, Sink};
 use crate::list::{EndpointList, Instance};
-use nickelshed_config::sidecar::{Sidecar, MAX_FILE};
+use nickelshed_config::sidecar::{Sidecar, MAX_FILE_BYTES};
 use nickelshed_config::{compile, url, Finding};
 use std::hash::{BuildHasher, Hasher};
 use std::io::Read;
@@ -12,17 +12,19 @@
 fn load(path: &Path) -> Result<Sidecar, String> {
     let mut bytes = Vec::new();
     // Limits the read, since the path may lead to a file of any size, or to a device.
-    let read = std::fs::File::open(path).and_then(|f| f.take(MAX_FILE as u64 + 1).read_to_end(&mut bytes));
+    let read =
+        std::fs::File::open(path).and_then(|f| f.take(MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes));
     read.map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-    nickelshed_config::load(&bytes).sound().map_err(|findings| {
+    nickelshed_config::load(&bytes).into_valid().map_err(|findings| {
         let text = String::from_utf8_lossy(&bytes);
-        let lines = findings.iter().filter(|f| f.is_error()).map(|f: &Finding| f.line(path.display(), &text));
+        let lines =
+            findings.iter().filter(|f| f.is_error()).map(|f: &Finding| f.to_log_line(path.display(), &text));
         lines.collect::<Vec<_>>().join("\n")
     })
 }
 
 fn list(sidecar: &Sidecar) -> EndpointList {
-    let instance = |listed: compile::Listed| Instance {
+    let instance = |listed: compile::ListedEndpoint| Instance {
         name: listed.name,
         address: listed.address,
         zone: listed.zone,
@@ -31,7 +33,7 @@
         lifecycle: if listed.draining { "Terminating" } else { "Ready" }.to_string(),
         weight: listed.rate,
     };
-    EndpointList::full(compile::listed(sidecar).into_iter().map(instance).collect())
+    EndpointList::full(compile::listed_endpoints(sidecar).into_iter().map(instance).collect())
 }
 
 /// Returns the part of the file that takes effect without a restart: the endpoints, or the address of
--- a/crates/serve/nickelshed/src/core.rs
+++ b/crates/serve/nickelshed/src/core.rs
@@ -17,7 +17,7 @@
 };
 use nickelshed_policy::api::*;
 use nickelshed_policy::rules::Sender;
-use nickelshed_settings::Around;
+use nickelshed_settings::DeploymentContext;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
@@ -65,7 +65,7 @@
     host: H,
     policy: Sender,
     settings: Settings,
-    context: Around,
+    context: DeploymentContext,
     journal: Journal<S>,
     /// Queue of the sync thread; None if records need not be synced.
     sync_jobs: Option<std::sync::mpsc::Sender<SyncTask<S::File>>>,
--- a/crates/serve/nickelshed/src/discovery/schedule.rs
+++ b/crates/serve/nickelshed/src/discovery/schedule.rs
@@ -16,7 +16,7 @@
 //! many senders and rejects this one: with that many, retries within six seconds are what keeps it
 //! overloaded, and no sender would get an update at all. For the same reason a sender that has a cached list
 //! does not ask right at startup, when all the others may be starting too.
-use nickelshed_settings::Lister;
+use nickelshed_settings::DiscoveryMode;
 use std::time::Duration;
 
 /// The time that each sender adds to a polling cycle, in which the whole fleet asks a shared discovery once.
@@ -59,7 +59,7 @@
 /// The timing of one sender's requests, from the results of its last ones.
 #[derive(Debug)]
 pub struct RequestSchedule {
-    mode: Lister,
+    mode: DiscoveryMode,
     /// The time in which the whole fleet asks discovery once; zero for an agent.
     polling_cycle: Duration,
     /// Consecutive failures.
@@ -68,11 +68,11 @@
 }
 
 impl RequestSchedule {
-    pub fn new(mode: Lister, senders: usize, seed: u64) -> RequestSchedule {
+    pub fn new(mode: DiscoveryMode, senders: usize, seed: u64) -> RequestSchedule {
         let others = u32::try_from(senders.saturating_sub(1)).unwrap_or(u32::MAX);
         let polling_cycle = match mode {
-            Lister::Agent => Duration::ZERO,
-            Lister::Shared => CYCLE_TIME_PER_SENDER.saturating_mul(others).min(MAX_POLLING_CYCLE),
+            DiscoveryMode::Agent => Duration::ZERO,
+            DiscoveryMode::Shared => CYCLE_TIME_PER_SENDER.saturating_mul(others).min(MAX_POLLING_CYCLE),
         };
         RequestSchedule { mode, polling_cycle, failures: 0, random: fastrand::Rng::with_seed(seed) }
     }
@@ -88,9 +88,9 @@
     /// two seconds later.
     pub fn answer_timeout(&self, is_watch: bool) -> Duration {
         match self.mode {
-            Lister::Agent if is_watch && self.failures > 0 => RETRY_ANSWER_TIMEOUT_AGENT,
-            Lister::Shared if is_watch && self.failures > 0 => RETRY_ANSWER_TIMEOUT_SHARED,
-            Lister::Shared if !is_watch => ANSWER_TIMEOUT_SHARED,
+            DiscoveryMode::Agent if is_watch && self.failures > 0 => RETRY_ANSWER_TIMEOUT_AGENT,
+            DiscoveryMode::Shared if is_watch && self.failures > 0 => RETRY_ANSWER_TIMEOUT_SHARED,
+            DiscoveryMode::Shared if !is_watch => ANSWER_TIMEOUT_SHARED,
             _ => ANSWER_TIMEOUT_AGENT,
         }
     }
@@ -100,8 +100,8 @@
     /// watch, which continues normally once it is answered.
     pub fn watch_wait(&self) -> Duration {
         match self.mode {
-            Lister::Agent if self.failures > 0 => Duration::ZERO,
-            Lister::Shared if self.failures > 0 => RETRY_WATCH_WAIT_SHARED,
+            DiscoveryMode::Agent if self.failures > 0 => Duration::ZERO,
+            DiscoveryMode::Shared if self.failures > 0 => RETRY_WATCH_WAIT_SHARED,
             _ => WATCH_WAIT,
         }
     }
@@ -124,8 +124,8 @@
     /// watch, whose answer includes what changed in between.
     pub fn premature_return(&mut self) -> Duration {
         match self.mode {
-            Lister::Agent => MIN_BACKOFF_CEILING,
-            Lister::Shared => {
+            DiscoveryMode::Agent => MIN_BACKOFF_CEILING,
+            DiscoveryMode::Shared => {
                 MIN_BACKOFF_CEILING + self.polling_cycle.min(MAX_PREMATURE_PAUSE).mul_f64(self.random.f64())
             }
         }
@@ -140,11 +140,11 @@
         let doubled = self.polling_cycle.max(MIN_BACKOFF_CEILING).saturating_mul(1 << self.failures.min(16));
         let is_overloaded = failure == Failure::Rejected && self.polling_cycle > MAX_BACKOFF_SHARED;
         let ceiling = match self.mode {
-            Lister::Agent => doubled.min(MAX_BACKOFF_AGENT),
-            Lister::Shared if is_overloaded => {
+            DiscoveryMode::Agent => doubled.min(MAX_BACKOFF_AGENT),
+            DiscoveryMode::Shared if is_overloaded => {
                 (OVERLOADED_CYCLES * self.polling_cycle).min(MAX_BACKOFF_OVERLOADED)
             }
-            Lister::Shared => doubled.min(MAX_BACKOFF_SHARED),
+            DiscoveryMode::Shared => doubled.min(MAX_BACKOFF_SHARED),
         };
         self.failures = self.failures.saturating_add(1);
         // Never zero: a request that fails immediately would otherwise be repeated as fast as the process
--- a/crates/serve/nickelshed/src/discovery/schedule/tests.rs
+++ b/crates/serve/nickelshed/src/discovery/schedule/tests.rs
@@ -35,7 +35,7 @@
 
 fn simulate_fleet_start(senders: u64, seed: u64) -> (Option<u64>, u32) {
     let schedules =
-        (0..senders).map(|s| RequestSchedule::new(Lister::Shared, senders as usize, seed * 1_000 + s));
+        (0..senders).map(|s| RequestSchedule::new(DiscoveryMode::Shared, senders as usize, seed * 1_000 + s));
     let schedules: Vec<_> = schedules.map(std::cell::RefCell::new).collect();
     let micros = |d: Duration| d.as_micros() as u64;
     let schedule = |s: u64| schedules[s as usize].borrow_mut();
@@ -67,7 +67,8 @@
 #[test]
 fn fleet_gets_its_answers_after_discovery_recovers() {
     for senders in [2, 30, 60, 100, 350] {
-        let schedules = (0..senders).map(|s| RequestSchedule::new(Lister::Shared, senders as usize, s));
+        let schedules =
+            (0..senders).map(|s| RequestSchedule::new(DiscoveryMode::Shared, senders as usize, s));
         let schedules: Vec<_> = schedules.map(std::cell::RefCell::new).collect();
         let pause = |s: u64, failure| schedules[s as usize].borrow_mut().failed(failure).as_micros() as u64;
         let first_retry = |s| {
@@ -102,7 +103,7 @@
 
 #[test]
 fn request_lost_during_recovery_is_repeated_in_time_in_both_modes() {
-    for mode in [Lister::Agent, Lister::Shared] {
+    for mode in [DiscoveryMode::Agent, DiscoveryMode::Shared] {
         for senders in [1, 2, 30, 350, 100_000] {
             for seed in 0..100 {
                 let mut schedule = RequestSchedule::new(mode, senders, seed);
@@ -118,7 +119,8 @@
                 // A rejected request is repeated in time too, unless very many senders share discovery.
                 let pause = schedule.failed(Failure::Rejected);
                 assert!(
-                    senders > 50 && mode == Lister::Shared || pause + CONNECT_AND_ANSWER < MAX_UPDATE_DELAY
+                    senders > 50 && mode == DiscoveryMode::Shared
+                        || pause + CONNECT_AND_ANSWER < MAX_UPDATE_DELAY
                 );
             }
         }
@@ -128,13 +130,13 @@
 #[test]
 fn pauses_are_spread_below_a_ceiling_that_doubles_up_to_a_maximum() {
     let ceilings = |senders: usize, failure: Failure, expected: &[u64]| {
-        let mut schedule = RequestSchedule::new(Lister::Shared, senders, 1);
+        let mut schedule = RequestSchedule::new(DiscoveryMode::Shared, senders, 1);
         for ceiling in expected {
             let ceiling = MIN_BACKOFF_CEILING / 2 + Duration::from_millis(*ceiling);
             let pauses: Vec<Duration> = (0..400)
                 .map(|seed| {
                     let failures = schedule.failures;
-                    RequestSchedule { failures, ..RequestSchedule::new(Lister::Shared, senders, seed) }
+                    RequestSchedule { failures, ..RequestSchedule::new(DiscoveryMode::Shared, senders, seed) }
                         .failed(failure)
                 })
                 .collect();
@@ -159,13 +161,13 @@
 #[test]
 fn pauses_are_bounded_for_any_number_of_senders() {
     for senders in [0, 1, 2, 100_000, usize::MAX] {
-        let mut schedule = RequestSchedule::new(Lister::Shared, senders, 7);
+        let mut schedule = RequestSchedule::new(DiscoveryMode::Shared, senders, 7);
         assert!(schedule.initial_delay() <= MAX_POLLING_CYCLE);
         let pauses: Vec<Duration> = (0..100).map(|_| schedule.failed(Failure::Rejected)).collect();
         assert!(pauses.iter().all(|pause| *pause >= MIN_BACKOFF_CEILING / 2
             && *pause <= MAX_BACKOFF_OVERLOADED + MIN_BACKOFF_CEILING));
     }
-    let mut alone = RequestSchedule::new(Lister::Shared, 1, 7);
+    let mut alone = RequestSchedule::new(DiscoveryMode::Shared, 1, 7);
     assert_eq!(alone.initial_delay(), Duration::ZERO, "a single sender does not wait");
 }
 
@@ -177,7 +179,7 @@
 #[test]
 fn agent_is_asked_at_once_and_retried_in_time_for_any_number_of_senders() {
     for senders in [0, 1, 2, 100, 300, 100_000, usize::MAX] {
-        let mut schedule = RequestSchedule::new(Lister::Agent, senders, 7);
+        let mut schedule = RequestSchedule::new(DiscoveryMode::Agent, senders, 7);
         assert_eq!(schedule.initial_delay(), Duration::ZERO);
         for _ in 0..1_000 {
             let pause = schedule.failed(Failure::Unavailable);
@@ -198,7 +200,7 @@
 #[test]
 fn unavailable_agent_is_retried_often_enough_to_get_its_updates_on_recovery() {
     for seed in 0..200 {
-        let mut schedule = RequestSchedule::new(Lister::Agent, 300, seed);
+        let mut schedule = RequestSchedule::new(DiscoveryMode::Agent, 300, seed);
         assert_eq!(schedule.watch_wait(), WATCH_WAIT);
         schedule.watch_lost();
         for _ in 0..50 {
@@ -214,7 +216,7 @@
             (WATCH_WAIT, ANSWER_TIMEOUT_AGENT)
         );
     }
-    let mut shared = RequestSchedule::new(Lister::Shared, 300, 7);
+    let mut shared = RequestSchedule::new(DiscoveryMode::Shared, 300, 7);
     shared.failed(Failure::Unavailable);
     assert_eq!(
         shared.watch_wait(),
@@ -226,12 +228,12 @@
 #[test]
 fn watch_that_returns_prematurely_without_changes_is_not_repeated_at_once() {
     for senders in [0, 1, 30, 300, usize::MAX] {
-        let agent_pause = RequestSchedule::new(Lister::Agent, senders, 7).premature_return();
+        let agent_pause = RequestSchedule::new(DiscoveryMode::Agent, senders, 7).premature_return();
         assert!(
             agent_pause >= MIN_BACKOFF_CEILING && agent_pause < Duration::from_millis(200),
             "the pause belongs to the same watch: {agent_pause:?}"
         );
-        let mut shared = RequestSchedule::new(Lister::Shared, senders, 7);
+        let mut shared = RequestSchedule::new(DiscoveryMode::Shared, senders, 7);
         let pauses: Vec<Duration> = (0..400).map(|_| shared.premature_return()).collect();
         assert!(pauses.iter().all(
             |pause| *pause >= MIN_BACKOFF_CEILING && *pause <= MIN_BACKOFF_CEILING + MAX_PREMATURE_PAUSE
@@ -246,7 +248,7 @@
 
 #[test]
 fn timed_out_watch_is_replaced_in_time_in_both_modes() {
-    for mode in [Lister::Agent, Lister::Shared] {
+    for mode in [DiscoveryMode::Agent, DiscoveryMode::Shared] {
         for seed in 0..200 {
             let mut schedule = RequestSchedule::new(mode, 300, seed);
             schedule.succeeded();
@@ -258,7 +260,7 @@
         }
     }
     // Discovery is down: it is asked by all senders within the ceiling, but not all at the same time.
-    let mut schedule = RequestSchedule::new(Lister::Shared, 300, 7);
+    let mut schedule = RequestSchedule::new(DiscoveryMode::Shared, 300, 7);
     schedule.watch_lost();
     assert_eq!(schedule.answer_timeout(true), RETRY_ANSWER_TIMEOUT_SHARED);
     let pauses: Vec<Duration> = (0..20).map(|_| schedule.watch_lost()).collect();
--- a/crates/serve/nickelshed/src/fleet.rs
+++ b/crates/serve/nickelshed/src/fleet.rs
@@ -8,7 +8,7 @@
 use nickelshed_fleet::{
     Authenticator, Config, Fleet, Input as FleetInput, MemberInfo, Ns, Output, MAX_DATAGRAM_BYTES,
 };
-use nickelshed_host::{Datagrams, Host};
+use nickelshed_host::{DatagramSocket, Host};
 use peer_addresses::PeerAddresses;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -88,7 +88,7 @@
         Ok(FleetConfig {
             member_info: MemberInfo {
                 name: membership.member.clone().unwrap_or_else(|| application.to_string()),
-                address: membership.reached_at(),
+                address: membership.advertised_address(),
                 site: membership.site.clone(),
                 version: version(),
                 settings: settings_digest,
@@ -167,7 +167,7 @@
     headroom: Rc<Headroom>,
     mut end: oneshot::Receiver<()>,
 ) {
-    let socket = match host.datagrams(fleet_config.listen).await {
+    let socket = match host.bind_datagrams(fleet_config.listen).await {
         Ok(socket) => socket,
         // Without the fleet the sender uses its share by the settings, so it can still deliver.
         Err(error) => {
@@ -239,7 +239,7 @@
     }
 }
 
-impl<D: Datagrams> FleetMember<D> {
+impl<D: DatagramSocket> FleetMember<D> {
     fn now(&self) -> Ns {
         self.started_at.elapsed().as_nanos() as Ns
     }
--- a/crates/serve/nickelshed/src/lib.rs
+++ b/crates/serve/nickelshed/src/lib.rs
@@ -18,9 +18,9 @@
 
 use crate::config::{Config, EndpointSource, ReloadableConfig};
 use crate::inbox::Input;
-use nickelshed_budget::{Budget, Sockets};
+use nickelshed_budget::{Budget, SocketAllocation};
 use nickelshed_config::sidecar::Durability;
-use nickelshed_host::{Host, Machine};
+use nickelshed_host::{Host, SystemHost};
 use nickelshed_journal::{FileHandle, Journal, Options, Storage, SyncTask};
 use nickelshed_policy::api::Class;
 use std::future::Future;
@@ -91,7 +91,7 @@
     let runtime = runtime.map_err(|e| format!("cannot start the async runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
         let signals = Signals::of_process()?;
-        serve(source, Machine, signals, storage).await
+        serve(source, SystemHost, signals, storage).await
     })
 }
 
@@ -230,7 +230,7 @@
     };
     let (notice_tx, notice_rx) = mpsc::unbounded_channel();
     let settings = &config.settings;
-    let sockets = Sockets::divide(config.limits.sockets, settings.slots);
+    let sockets = SocketAllocation::divide(config.limits.sockets, settings.slots);
     let pool = Rc::new(connections::Pool::new(
         host.clone(),
         settings.dial_timeout,
@@ -247,7 +247,7 @@
     };
     spawn_local(reload(source.clone(), signals.reloads, address_tx, core_tx.clone()));
     let mut schedule =
-        discovery::RequestSchedule::new(config.context.lister, settings.sender_count, config.seed);
+        discovery::RequestSchedule::new(config.context.discovery_mode, settings.sender_count, config.seed);
     let cached_list = (!config.initial_list.instances.is_empty()).then(|| discovery::CachedList {
         generation: config.initial_list.generation,
         poll_after: schedule.initial_delay(),
@@ -311,7 +311,7 @@
         classes,
         budget,
         max_served: sockets.clients,
-        max_rejected: sockets.turned_away,
+        max_rejected: sockets.rejected_clients,
         open_connections: Default::default(),
         clients: Default::default(),
     });
--- a/crates/serve/nickelshed/src/server.rs
+++ b/crates/serve/nickelshed/src/server.rs
@@ -14,7 +14,7 @@
 use nickelshed_host::{Host, Listener, Stream};
 use nickelshed_journal::{AcceptedMessage, MAX_BODY_BYTES};
 use nickelshed_policy::api::Effect;
-use nickelshed_settings::Around;
+use nickelshed_settings::DeploymentContext;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -49,7 +49,7 @@
 pub struct Server<H: Host> {
     pub host: H,
     pub core: mpsc::Sender<Input>,
-    pub context: Around,
+    pub context: DeploymentContext,
     pub classes: Vec<Class>,
     pub budget: Budget,
     /// Limit of the connections that are served.
@@ -258,7 +258,9 @@
             Err(why) => return error_and_close(StatusCode::BAD_REQUEST, why),
         };
         // Reserves memory for the body until the message is finished or rejected.
-        let Some(share) = self.budget.claim(length as usize) else { return close_after(unavailable(None)) };
+        let Some(share) = self.budget.try_reserve(length as usize) else {
+            return close_after(unavailable(None));
+        };
         message.memory_share = Some(share);
         let deadline = Instant::now() + time_left;
         message.accepted_at_ms = self.host.wall_ms();
--- a/crates/serve/nickelshed/src/socket.rs
+++ b/crates/serve/nickelshed/src/socket.rs
@@ -75,14 +75,14 @@
     /// Whether unread data or the end of the stream is waiting. Asks the operating system, because the
     /// runtime may not know yet.
     pub fn has_unread_data(&self) -> bool {
-        self.stream.has_news()
+        self.stream.has_readable_data()
     }
 
     /// Shuts down the sending side, then reads and discards data until the other side closes, up to
     /// `max_bytes`. Closing with unread data would reset the connection, and an answer on its way could be
     /// lost.
     pub async fn close(&self, max_bytes: usize) {
-        if self.stream.end_sending().is_err() {
+        if self.stream.shutdown_write().is_err() {
             return;
         }
         let mut buffer = [0; 4096];
@@ -156,6 +156,6 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(self.0.stream.end_sending())
+        Poll::Ready(self.0.stream.shutdown_write())
     }
 }
--- a/crates/tools/nickelshed-config/src/diff.rs
+++ b/crates/tools/nickelshed-config/src/diff.rs
@@ -1,4 +1,4 @@
-//! What a change of a configuration means, in words.
+//! Describes the differences between two configurations in words.
 use crate::compile;
 use crate::sidecar::Sidecar;
 use serde_json::{Map, Value as Json};
@@ -6,80 +6,84 @@
 
 /// When a change takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum When {
-    /// On SIGHUP, while the sidecar runs.
-    Hangup,
+pub enum TakesEffect {
+    /// On SIGHUP, while the sidecar is running.
+    OnReload,
     /// At the next start.
-    Start,
+    AfterRestart,
 }
 
+/// A difference, described in one sentence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    pub words: String,
-    pub when: When,
+    pub description: String,
+    pub takes_effect: TakesEffect,
 }
 
-/// Keys that have a sentence of their own, by section and key.
-const SENTENCES: &[(&str, &str, &str)] = &[
-    ("class", "wanted_within", "{name} is wanted within {new}, was {old}"),
+/// Descriptions of changed keys, as (section, key, template). Other keys get a generic sentence.
+const KEY_TEMPLATES: &[(&str, &str, &str)] = &[
+    ("class", "wanted_within", "{name} has a target latency of {new}, was {old}"),
     ("class", "abandoned_after", "{name} is abandoned at {new}, was {old}"),
-    ("class", "effect", "a repeat of {name} is {new}, was {old}"),
+    ("class", "effect", "the effect of a repeat of {name} is {new}, was {old}"),
     ("class", "repeat_window", "repeats of {name} are dropped for {new}, was {old}"),
-    ("class", "worth", "{name} is worth {new}, was {old}"),
+    ("class", "worth", "the value of {name} is {new}, was {old}"),
     ("tenant", "share", "{name} has a share of {new}, was {old}"),
-    ("destination", "rate", "{name} takes {new} calls a second, was {old}"),
-    ("destination", "number", "{name} is called by the number {new}, was {old}"),
-    ("", "listen", "messages are handed in at {new}, was {old}"),
-    ("", "application", "the application is called {new}, was {old}"),
+    ("destination", "rate", "{name} accepts {new} calls per second, was {old}"),
+    ("destination", "number", "{name} has the number {new}, was {old}"),
+    ("", "listen", "messages are submitted at {new}, was {old}"),
+    ("", "application", "the application is named {new}, was {old}"),
     (
         "",
         "state",
-        "what was taken on is kept in {new}, was {old}; what the old folder holds must be delivered first",
+        "accepted messages are kept in {new}, was {old}; the messages in the old folder must be delivered first",
     ),
-    ("limits", "slots", "{new} calls go out at once at most, was {old}"),
-    ("limits", "held", "{new} messages are held at once at most, was {old}"),
-    ("limits", "attempts", "a message is tried {new} times at most, was {old}"),
-    ("journal", "durability", "a 202 outlasts the end of the {new}, was of the {old}"),
+    ("limits", "slots", "at most {new} calls are in flight at once, was {old}"),
+    ("limits", "held", "at most {new} messages are open at once, was {old}"),
+    ("limits", "attempts", "a message is attempted at most {new} times, was {old}"),
+    ("journal", "durability", "an accepted message survives a failure of the {new}, was of the {old}"),
     ("notices", "http", "notices are posted to {new}, was {old}"),
     ("notices", "file", "notices are written to {new}, was {old}"),
 ];
 
-/// What adding or removing an item of a list means.
-const ITEMS: &[(&str, &str, &str)] = &[
+/// Descriptions of an added and of a removed item of a list, as (section, added, removed).
+const ITEM_TEMPLATES: &[(&str, &str, &str)] = &[
     (
         "class",
         "the class {name} is new",
-        "the class {name} is gone: messages under it are answered 404, and those held are ended",
+        "the class {name} is removed: submissions under it are answered 404, and its open messages are ended",
     ),
-    ("tenant", "the tenant {name} is new", "the tenant {name} is gone: its messages are answered 400"),
-    ("kind", "the kind {name} is new", "the kind {name} is gone"),
-    ("zone", "the zone {name} is new", "the zone {name} is gone"),
+    ("tenant", "the tenant {name} is new", "the tenant {name} is removed: its messages are answered 400"),
+    ("kind", "the kind {name} is new", "the kind {name} is removed"),
+    ("zone", "the zone {name} is new", "the zone {name} is removed"),
 ];
 
-/// Every difference from `old` to `new`; none if both mean the same.
+/// Returns every difference from `old` to `new`; none if both are equivalent.
 pub fn diff(old: &Sidecar, new: &Sidecar) -> Vec<Change> {
     let mut changes = endpoints(old, new);
-    let start = |words: String| Change { words, when: When::Start };
-    let (before, after) = (json(old), json(new));
-    let keys: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
+    let after_restart = |description: String| Change { description, takes_effect: TakesEffect::AfterRestart };
+    let (old_map, new_map) = (json(old), json(new));
+    let keys: BTreeSet<&String> = old_map.keys().chain(new_map.keys()).collect();
     for key in keys {
-        let (b, a) = (before.get(key).unwrap_or(&Json::Null), after.get(key).unwrap_or(&Json::Null));
-        match (b, a) {
-            _ if b == a => {}
-            (Json::Object(b), Json::Object(a)) => {
-                changes.extend(fields(key, "", b, a).into_iter().map(start))
+        let (old_value, new_value) =
+            (old_map.get(key).unwrap_or(&Json::Null), new_map.get(key).unwrap_or(&Json::Null));
+        match (old_value, new_value) {
+            _ if old_value == new_value => {}
+            (Json::Object(old_value), Json::Object(new_value)) => {
+                changes.extend(fields(key, "", old_value, new_value).into_iter().map(after_restart))
             }
-            _ if is_list(b) || is_list(a) => changes.extend(items(key, b, a).into_iter().map(start)),
-            _ => changes.push(start(sentence("", "", key, b, a))),
+            _ if is_list(old_value) || is_list(new_value) => {
+                changes.extend(items(key, old_value, new_value).into_iter().map(after_restart))
+            }
+            _ => changes.push(after_restart(sentence("", "", key, old_value, new_value))),
         }
     }
-    // Where discovery is may change while the sidecar runs, but not whether there is one.
+    // The address of discovery may change on SIGHUP, but adding or removing discovery needs a restart.
     for change in &mut changes {
-        if old.discovery.is_some() && new.discovery.is_some() && change.words.starts_with("discovery") {
-            change.when = When::Hangup;
+        if old.discovery.is_some() && new.discovery.is_some() && change.description.starts_with("discovery") {
+            change.takes_effect = TakesEffect::OnReload;
         }
     }
-    changes.sort_by_key(|c| c.when);
+    changes.sort_by_key(|c| c.takes_effect);
     changes
 }
 
@@ -96,13 +100,13 @@
 
 fn fields(section: &str, name: &str, old: &Map<String, Json>, new: &Map<String, Json>) -> Vec<String> {
     let keys: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
-    // Endpoints have words of their own.
-    let keys = keys.into_iter().filter(|k| *k != "endpoints" && *k != "name");
-    let pair =
-        |k: &String| (old.get(k).cloned().unwrap_or_default(), new.get(k).cloned().unwrap_or_default());
-    keys.filter_map(|k| {
-        let (b, a) = pair(k);
-        (b != a).then(|| sentence(section, name, k, &b, &a))
+    // Endpoints are described by `endpoints`.
+    let keys = keys.into_iter().filter(|key| *key != "endpoints" && *key != "name");
+    let old_and_new =
+        |key: &String| (old.get(key).cloned().unwrap_or_default(), new.get(key).cloned().unwrap_or_default());
+    keys.filter_map(|key| {
+        let (old_value, new_value) = old_and_new(key);
+        (old_value != new_value).then(|| sentence(section, name, key, &old_value, &new_value))
     })
     .collect()
 }
@@ -111,97 +115,107 @@
     let by_name = |list: &Json| -> BTreeMap<String, Map<String, Json>> {
         let items = list.as_array().into_iter().flatten().filter_map(Json::as_object);
         items
-            .map(|i| (i.get("name").and_then(Json::as_str).unwrap_or_default().to_string(), i.clone()))
+            .map(|item| {
+                (item.get("name").and_then(Json::as_str).unwrap_or_default().to_string(), item.clone())
+            })
             .collect()
     };
     let (old, new) = (by_name(old), by_name(new));
-    let words = ITEMS.iter().find(|(s, ..)| *s == section);
-    let mut out = Vec::new();
+    let templates = ITEM_TEMPLATES.iter().find(|(s, ..)| *s == section);
+    let mut changes = Vec::new();
     for name in old.keys().chain(new.keys()).collect::<BTreeSet<_>>() {
         match (old.get(name), new.get(name)) {
-            (Some(b), Some(a)) => out.extend(fields(section, name, b, a)),
-            (None, Some(_)) => out.extend(words.map(|(_, added, _)| added.replace("{name}", name))),
-            (Some(_), None) => out.extend(words.map(|(.., removed)| removed.replace("{name}", name))),
+            (Some(old_item), Some(new_item)) => changes.extend(fields(section, name, old_item, new_item)),
+            (None, Some(_)) => changes.extend(templates.map(|(_, added, _)| added.replace("{name}", name))),
+            (Some(_), None) => changes.extend(templates.map(|(.., removed)| removed.replace("{name}", name))),
             (None, None) => {}
         }
     }
-    out
+    changes
 }
 
 fn sentence(section: &str, name: &str, key: &str, old: &Json, new: &Json) -> String {
-    let own = SENTENCES.iter().find(|(s, k, _)| *s == section && *k == key);
-    let of = match (section, name) {
+    let own_template = KEY_TEMPLATES.iter().find(|(s, k, _)| *s == section && *k == key);
+    let subject = match (section, name) {
         ("", _) => key.to_string(),
         (_, "") => format!("{section}.{key}"),
         _ => format!("{key} of the {section} {name}"),
     };
-    let template = own.map_or(format!("{of} is {{new}}, was {{old}}"), |(.., t)| t.to_string());
-    template.replace("{name}", name).replace("{new}", &shown(new)).replace("{old}", &shown(old))
+    let template = own_template.map_or(format!("{subject} is {{new}}, was {{old}}"), |(.., t)| t.to_string());
+    template.replace("{name}", name).replace("{new}", &format_value(new)).replace("{old}", &format_value(old))
 }
 
-/// A value as a person says it.
-fn shown(value: &Json) -> String {
+/// Formats a value for a sentence.
+fn format_value(value: &Json) -> String {
     match value {
         Json::Null => "not set".to_string(),
-        Json::String(text) => spaced(text),
+        Json::String(text) => space_units(text),
         other => other.to_string(),
     }
 }
 
-/// `9s 500ms` as `9 s 500 ms`; anything that is no figure with a unit stays.
-fn spaced(text: &str) -> String {
-    let word = |w: &str| -> Option<String> {
-        let unit = w.find(|c: char| !c.is_ascii_digit()).filter(|at| *at > 0)?;
-        let (number, unit) = w.split_at(unit);
+/// Formats `9s 500ms` as `9 s 500 ms`; returns any text that is not a list of numbers with units unchanged.
+fn space_units(text: &str) -> String {
+    let with_space = |part: &str| -> Option<String> {
+        let unit = part.find(|c: char| !c.is_ascii_digit()).filter(|at| *at > 0)?;
+        let (number, unit) = part.split_at(unit);
         unit.chars().all(|c| c.is_ascii_alphabetic()).then(|| format!("{number} {unit}"))
     };
-    let words: Option<Vec<String>> = text.split(' ').map(word).collect();
-    words.map_or(text.to_string(), |w| w.join(" "))
+    let parts: Option<Vec<String>> = text.split(' ').map(with_space).collect();
+    parts.map_or(text.to_string(), |spaced| spaced.join(" "))
 }
 
-/// Endpoints by destination: what is told to a running sidecar by SIGHUP.
+/// Changes of destinations and endpoints, which a running sidecar applies on SIGHUP.
 fn endpoints(old: &Sidecar, new: &Sidecar) -> Vec<Change> {
-    let change = |words: String| Change { words, when: When::Hangup };
+    let on_reload = |description: String| Change { description, takes_effect: TakesEffect::OnReload };
     let mut changes = Vec::new();
     let names =
         |s: &Sidecar| s.destinations.iter().map(|d| (d.number, d.name.clone())).collect::<BTreeMap<_, _>>();
-    let (was, is) = (names(old), names(new));
-    for (number, name) in &is {
-        if !was.contains_key(number) {
-            changes.push(change(format!("the destination {name} is new, with the number {number}")));
+    let (old_names, new_names) = (names(old), names(new));
+    for (number, name) in &new_names {
+        if !old_names.contains_key(number) {
+            changes.push(on_reload(format!("the destination {name} is new, with the number {number}")));
         }
     }
-    for (number, name) in &was {
-        match is.get(number) {
-            None => changes
-                .push(change(format!("the destination {name} is gone: what is held for it is handed back"))),
+    for (number, name) in &old_names {
+        match new_names.get(number) {
+            None => changes.push(on_reload(format!(
+                "the destination {name} is removed: its open messages are returned"
+            ))),
             Some(now) if now != name => {
-                changes.push(change(format!("the destination {number} is called {now}, was {name}")))
+                changes.push(on_reload(format!("the destination {number} is named {now}, was {name}")))
             }
             Some(_) => {}
         }
     }
-    let listed =
-        |s: &Sidecar| compile::listed(s).into_iter().map(|l| (l.name.clone(), l)).collect::<BTreeMap<_, _>>();
-    let (before, after) = (listed(old), listed(new));
-    for (name, l) in &after {
-        let dest = &is[&l.dest];
-        match before.get(name) {
-            None => changes.push(change(format!("{dest} gets the endpoint {}", l.address))),
-            Some(b) if b.draining != l.draining => {
-                let words = if l.draining { "drains: it gets nothing new" } else { "no longer drains" };
-                changes.push(change(format!("the endpoint {} of {dest} {words}", l.address)));
+    let by_name = |s: &Sidecar| {
+        compile::listed_endpoints(s)
+            .into_iter()
+            .map(|endpoint| (endpoint.name.clone(), endpoint))
+            .collect::<BTreeMap<_, _>>()
+    };
+    let (old_endpoints, new_endpoints) = (by_name(old), by_name(new));
+    for (name, endpoint) in &new_endpoints {
+        let dest = &new_names[&endpoint.dest];
+        match old_endpoints.get(name) {
+            None => changes.push(on_reload(format!("{dest} gets the endpoint {}", endpoint.address))),
+            Some(old_endpoint) if old_endpoint.draining != endpoint.draining => {
+                let state =
+                    if endpoint.draining { "drains: it gets no new calls" } else { "no longer drains" };
+                changes.push(on_reload(format!("the endpoint {} of {dest} {state}", endpoint.address)));
             }
-            Some(b) if b != l => changes
-                .push(change(format!("the endpoint {} of {dest} has another kind, zone or rate", l.address))),
+            Some(old_endpoint) if old_endpoint != endpoint => changes.push(on_reload(format!(
+                "the endpoint {} of {dest} has a different kind, zone or rate",
+                endpoint.address
+            ))),
             Some(_) => {}
         }
     }
-    for (name, l) in &before {
-        if !after.contains_key(name) && is.contains_key(&l.dest) {
-            changes.push(change(format!(
-                "{} loses the endpoint {}: nothing new goes there",
-                was[&l.dest], l.address
+    for (name, endpoint) in &old_endpoints {
+        if !new_endpoints.contains_key(name) && new_names.contains_key(&endpoint.dest) {
+            changes.push(on_reload(format!(
+                "{} loses the endpoint {}: it gets no new calls",
+                old_names[&endpoint.dest], endpoint.address
             )));
         }
     }
--- a/crates/tools/nickelshed-config/src/operator.rs
+++ b/crates/tools/nickelshed-config/src/operator.rs
@@ -1,11 +1,12 @@
-//! What an operator decides beside the platform's configuration: `nickelshed --operator deploy/operator.toml`.
+//! The operator's own settings, in addition to the platform's configuration:
+//! `nickelshed --operator deploy/operator.toml`.
 use crate::sidecar::Journal;
-use crate::source::{self, Read};
+use crate::source::{self, ReadResult};
 use crate::Finding;
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-/// Everything in it has a default.
+/// The operator's settings; every key has a default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
@@ -14,10 +15,10 @@
 
 impl Operator {
     /// # Errors
-    /// All that is wrong with the file.
+    /// Every finding about the file.
     pub fn load(bytes: &[u8]) -> Result<Operator, Vec<Finding>> {
         let text = source::text(bytes).map_err(|f| vec![*f])?;
-        let Read { value, findings, .. } = source::read(text);
+        let ReadResult { value, findings, .. } = source::read(text);
         value.filter(|_| findings.is_empty()).ok_or(findings)
     }
 }
@@ -28,17 +29,17 @@
     use crate::sidecar::Durability;
 
     #[test]
-    fn the_example_is_the_default_and_a_misspelt_key_is_named() {
+    fn example_equals_default_and_misspelt_keys_get_suggestions() {
         let example = Operator::load(include_bytes!("../../../../deploy/operator.toml")).unwrap();
         assert_eq!(example, Operator::default());
         let machine = Operator::load(b"[journal]\ndurability = \"machine\"").unwrap();
         assert_eq!(machine.journal.durability, Durability::Machine);
-        for (wrong, help) in [
+        for (text, help) in [
             ("[journal]\ndurabilty = \"machine\"", "Did you mean `durability`?"),
             ("[journal]\ndurability = \"machin\"", "Did you mean `machine`?"),
             ("[jornal]", "Did you mean `journal`?"),
         ] {
-            assert_eq!(Operator::load(wrong.as_bytes()).unwrap_err()[0].help, help);
+            assert_eq!(Operator::load(text.as_bytes()).unwrap_err()[0].help, help);
         }
     }
 }
--- a/crates/tools/nickelshed-config/src/source.rs
+++ b/crates/tools/nickelshed-config/src/source.rs
@@ -1,8 +1,9 @@
-//! A file's text read into its types, with every mistake of form and its place. Never panics, whatever the bytes.
+//! Reads the text of a file into its type and reports every mistake of syntax or type with its position.
+//! Never panics, whatever the bytes are.
 use crate::code::Code;
-use crate::finding::{Finding, Place};
-use crate::shape::{object, Shape};
-use crate::sidecar::MAX_FILE;
+use crate::finding::{Finding, Span};
+use crate::schema::{object_schema, TypeSchema};
+use crate::sidecar::MAX_FILE_BYTES;
 use schemars::JsonSchema;
 use serde::de::DeserializeOwned;
 use serde_json::Value as Json;
@@ -11,166 +12,172 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// Mistakes of form that are told of one file at most: past them more help nobody.
-const MOST: usize = 40;
-/// Tables and lists within one another at most; the types need four.
-const DEEPEST: usize = 32;
+/// Maximum number of mistakes of syntax or type that are reported for one file. More would not help.
+const MAX_FINDINGS: usize = 40;
+/// Maximum nesting of tables and lists; the types need four levels.
+const MAX_DEPTH: usize = 32;
 
-/// Where everything stands in a file that is TOML.
+/// The positions of all values in a TOML file.
 pub struct Source {
     root: Node,
 }
 
 struct Node {
-    place: Place,
-    inner: Inner,
+    span: Span,
+    kind: NodeKind,
 }
 
-enum Inner {
+enum NodeKind {
     Table(HashMap<String, Node>),
     Array(Vec<Node>),
     Leaf,
 }
 
 impl Node {
-    fn new(place: Place, value: &DeValue) -> Node {
+    fn new(span: Span, value: &DeValue) -> Node {
         let node = |v: &Spanned<DeValue>| Node::new(v.span(), v.get_ref());
-        let inner = match value {
-            DeValue::Table(table) => Inner::Table(keyed(table)),
-            DeValue::Array(items) => Inner::Array(items.iter().map(node).collect()),
-            _ => Inner::Leaf,
+        let kind = match value {
+            DeValue::Table(table) => NodeKind::Table(child_nodes(table)),
+            DeValue::Array(items) => NodeKind::Array(items.iter().map(node).collect()),
+            _ => NodeKind::Leaf,
         };
-        Node { place, inner }
+        Node { span, kind }
     }
 }
 
-fn keyed(table: &DeTable) -> HashMap<String, Node> {
-    let each = table.iter().map(|(k, v)| (k.get_ref().to_string(), Node::new(v.span(), v.get_ref())));
-    each.collect()
+fn child_nodes(table: &DeTable) -> HashMap<String, Node> {
+    let nodes = table.iter().map(|(k, v)| (k.get_ref().to_string(), Node::new(v.span(), v.get_ref())));
+    nodes.collect()
 }
 
-/// What reading a file gave.
-pub struct Read<T> {
-    /// None if it is no TOML.
+/// The result of reading a file.
+pub struct ReadResult<T> {
+    /// `None` if the file is not valid TOML.
     pub source: Option<Source>,
-    /// What was read, keys that are not known left out. None if there is any other mistake.
+    /// The value, without unknown keys. `None` if there is any other mistake.
     pub value: Option<T>,
     pub findings: Vec<Finding>,
 }
 
-impl<T> Read<T> {
-    fn failed(finding: Finding) -> Read<T> {
-        Read { source: None, value: None, findings: vec![finding] }
+impl<T> ReadResult<T> {
+    fn failed(finding: Finding) -> ReadResult<T> {
+        ReadResult { source: None, value: None, findings: vec![finding] }
     }
 }
 
-/// Bytes of a file as text.
+/// Returns the bytes of a file as text.
 ///
 /// # Errors
-/// If they are too many or no UTF-8.
+/// If there are too many bytes or they are not UTF-8.
 pub fn text(bytes: &[u8]) -> Result<&str, Box<Finding>> {
-    if bytes.len() > MAX_FILE {
-        let what = format!("the file has {} bytes, more than the {MAX_FILE} that are read", bytes.len());
-        return Err(Box::new(Finding::new(Code::TooLarge, 0..0, what, Code::TooLarge.about().mend)));
+    if bytes.len() > MAX_FILE_BYTES {
+        let message = format!("the file has {} bytes, but the maximum is {MAX_FILE_BYTES}", bytes.len());
+        return Err(Box::new(Finding::new(Code::TooLarge, 0..0, message, Code::TooLarge.info().fix)));
     }
     std::str::from_utf8(bytes).map_err(|e| {
-        let what = format!("byte {} of the file is no UTF-8", e.valid_up_to() + 1);
-        Box::new(Finding::new(Code::NotText, 0..0, what, Code::NotText.about().mend))
+        let message = format!("byte {} of the file is not UTF-8", e.valid_up_to() + 1);
+        Box::new(Finding::new(Code::NotText, 0..0, message, Code::NotText.info().fix))
     })
 }
 
-/// Reads a text into a type. Every unknown key is told with the nearest known one, and as many other mistakes as
-/// can be told apart.
-pub fn read<T: DeserializeOwned + JsonSchema>(text: &str) -> Read<T> {
-    read_shaped(text, &Shape::of::<T>())
+/// Reads a text into a type. Reports every unknown key with the most similar known one, and as many other
+/// mistakes as can be distinguished.
+pub fn read<T: DeserializeOwned + JsonSchema>(text: &str) -> ReadResult<T> {
+    read_with_schema(text, &TypeSchema::of::<T>())
 }
 
-/// As [`read`], with the type's shape made beforehand: for many files.
-pub fn read_shaped<T: DeserializeOwned>(text: &str, shape: &Shape) -> Read<T> {
-    if let Some(at) = too_deep(text) {
-        let what = format!("tables or lists lie more than {DEEPEST} deep within one another");
-        return Read::failed(Finding::new(
+/// Like [`read`], with a prepared schema of the type, for reading many files.
+pub fn read_with_schema<T: DeserializeOwned>(text: &str, type_schema: &TypeSchema) -> ReadResult<T> {
+    if let Some(offset) = find_excessive_nesting(text) {
+        let message = format!("tables or lists are nested more than {MAX_DEPTH} levels deep");
+        return ReadResult::failed(Finding::new(
             Code::Syntax,
-            at..at + 1,
-            what,
-            "Nothing here needs more than four",
+            offset..offset + 1,
+            message,
+            "No key needs more than four levels",
         ));
     }
     let (tree, errors) = DeTable::parse_recoverable(text);
-    let findings: Vec<Finding> = errors.iter().take(MOST).map(|e| syntax(e, text)).collect();
+    let findings: Vec<Finding> = errors.iter().take(MAX_FINDINGS).map(|e| syntax_finding(e, text)).collect();
     if !findings.is_empty() {
-        return Read { source: None, value: None, findings };
+        return ReadResult { source: None, value: None, findings };
     }
-    let root = Node { place: tree.span(), inner: Inner::Table(keyed(tree.get_ref())) };
-    let schema = shape.json();
+    let root = Node { span: tree.span(), kind: NodeKind::Table(child_nodes(tree.get_ref())) };
+    let schema = type_schema.json();
     let mut findings = Vec::new();
-    let mut known = tree;
-    drop_unknown(known.get_mut(), schema, schema, "", &mut findings);
-    let value = read_known(known, text, &mut findings);
-    findings.sort_by_key(|f| f.place.start);
-    findings.truncate(MOST);
-    Read { source: Some(Source { root }), value, findings }
+    let mut known_tree = tree;
+    remove_unknown_keys(known_tree.get_mut(), schema, schema, "", &mut findings);
+    let value = deserialize_with_all_findings(known_tree, text, &mut findings);
+    findings.sort_by_key(|f| f.span.start);
+    findings.truncate(MAX_FINDINGS);
+    ReadResult { source: Some(Source { root }), value, findings }
 }
 
-fn syntax(error: &toml::de::Error, text: &str) -> Finding {
-    let place = error.span().unwrap_or(0..text.len().min(1));
-    let what = format!("the file is no TOML here: {}", error.message());
-    Finding::new(Code::Syntax, place, what, Code::Syntax.about().mend)
+fn syntax_finding(error: &toml::de::Error, text: &str) -> Finding {
+    let span = error.span().unwrap_or(0..text.len().min(1));
+    let message = format!("invalid TOML: {}", error.message());
+    Finding::new(Code::Syntax, span, message, Code::Syntax.info().fix)
 }
 
-/// Where brackets nest too deep for anything that is meant, strings and comments left out as far as a glance tells.
-/// The parser has a bound of its own; this one is ours to keep.
-fn too_deep(text: &str) -> Option<usize> {
+/// Returns the offset at which brackets are nested more than `MAX_DEPTH` levels deep. Skips strings and
+/// comments, but only within a line. The parser has its own limit, but this check does not depend on it.
+fn find_excessive_nesting(text: &str) -> Option<usize> {
     let mut depth = 0usize;
     let mut quote = None;
-    for (at, byte) in text.bytes().enumerate() {
+    for (offset, byte) in text.bytes().enumerate() {
         match (quote, byte) {
             (_, b'\n') => quote = None,
             (Some(b'#'), _) => {}
-            (Some(q), b) if q == b => quote = None,
+            (Some(open_quote), current) if open_quote == current => quote = None,
             (Some(_), _) => {}
             (None, b'"' | b'\'' | b'#') => quote = Some(byte),
             (None, b'[' | b'{') => depth += 1,
             (None, b']' | b'}') => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > DEEPEST {
-            return Some(at);
+        if depth > MAX_DEPTH {
+            return Some(offset);
         }
     }
     None
 }
 
-/// Takes what no type knows out of a table, and tells of it.
-fn drop_unknown(table: &mut DeTable, schema: &Json, root: &Json, at: &str, findings: &mut Vec<Finding>) {
-    let Some(properties) = object(schema, root).and_then(|o| o.get("properties")?.as_object()) else {
+/// Removes unknown keys from a table and reports them.
+fn remove_unknown_keys(
+    table: &mut DeTable,
+    schema: &Json,
+    root: &Json,
+    path: &str,
+    findings: &mut Vec<Finding>,
+) {
+    let Some(properties) = object_schema(schema, root).and_then(|o| o.get("properties")?.as_object()) else {
         return;
     };
     let mut unknown = Vec::new();
     for (key, value) in table.iter_mut() {
         let name: &str = key.get_ref();
-        let Some(inner) = properties.get(name) else {
-            let place = if at.is_empty() { "at the top of the file".into() } else { format!("in `{at}`") };
-            let what = format!("there is no key `{name}` {place}");
-            let help = match nearest(name, properties.keys().map(String::as_str)) {
+        let Some(key_schema) = properties.get(name) else {
+            let location = if path.is_empty() { "at the top level".into() } else { format!("in `{path}`") };
+            let message = format!("there is no key `{name}` {location}");
+            let help = match closest_name(name, properties.keys().map(String::as_str)) {
                 Some(known) => format!("Did you mean `{known}`?"),
                 None => {
                     let known: Vec<&str> = properties.keys().map(String::as_str).collect();
-                    format!("Known there: {}", known.join(", "))
+                    format!("Known keys: {}", known.join(", "))
                 }
             };
-            findings.push(Finding::new(Code::UnknownKey, key.span(), what, help));
+            findings.push(Finding::new(Code::UnknownKey, key.span(), message, help));
             unknown.push(key.clone());
             continue;
         };
-        let at = if at.is_empty() { name.to_string() } else { format!("{at}.{name}") };
+        let path = if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
         match value.get_mut() {
-            DeValue::Table(table) => drop_unknown(table, inner, root, &at, findings),
+            DeValue::Table(table) => remove_unknown_keys(table, key_schema, root, &path, findings),
             DeValue::Array(items) => {
-                let Some(inner) = inner.get("items") else { continue };
+                let Some(item_schema) = key_schema.get("items") else { continue };
                 for item in items.iter_mut() {
                     if let DeValue::Table(table) = item.get_mut() {
-                        drop_unknown(table, inner, root, &at, findings);
+                        remove_unknown_keys(table, item_schema, root, &path, findings);
                     }
                 }
             }
@@ -182,139 +189,148 @@
     }
 }
 
-/// The name that was most likely meant.
-pub fn nearest<'n>(name: &str, known: impl Iterator<Item = &'n str>) -> Option<&'n str> {
+/// Returns the known name most similar to `name`, if it is similar enough to be a misspelling.
+pub fn closest_name<'n>(name: &str, known: impl Iterator<Item = &'n str>) -> Option<&'n str> {
     let name = name.to_lowercase();
-    let near = |k: &'n str| (strsim::damerau_levenshtein(&name, &k.to_lowercase()), k);
-    let (distance, best) = known.map(near).min()?;
-    (distance <= 1 + name.chars().count() / 3 && distance < best.chars().count()).then_some(best)
+    let distance_to =
+        |candidate: &'n str| (strsim::damerau_levenshtein(&name, &candidate.to_lowercase()), candidate);
+    let (distance, closest) = known.map(distance_to).min()?;
+    (distance <= 1 + name.chars().count() / 3 && distance < closest.chars().count()).then_some(closest)
 }
 
-/// After a mistake the value is left out and the rest is tried, so that all mistakes are told at once. A table that
-/// lacks something then is left out in turn.
-fn read_known<T: DeserializeOwned>(
+/// Deserializes a table and reports all mistakes at once: after a mistake it removes the value and tries
+/// again. A key that is reported missing only because its value was removed is not a finding; its table is
+/// then removed in turn.
+fn deserialize_with_all_findings<T: DeserializeOwned>(
     mut tree: Spanned<DeTable>,
     text: &str,
     findings: &mut Vec<Finding>,
 ) -> Option<T> {
-    let before = findings.len();
+    let findings_before = findings.len();
     let root = tree.span();
-    let mut above_left_out: HashSet<Place> = HashSet::new();
+    let mut containers_of_removed: HashSet<Span> = HashSet::new();
     loop {
         let error = match T::deserialize(toml::Deserializer::from(tree.clone())) {
-            Ok(value) => return Some(value).filter(|_| findings.len() == before),
+            Ok(value) => return Some(value).filter(|_| findings.len() == findings_before),
             Err(error) => error,
         };
-        let place = error.span().unwrap_or(root.clone());
-        let message = error.message();
-        let missing = message.starts_with("missing field");
-        let by_us = missing && above_left_out.contains(&place);
-        if !by_us {
-            findings.push(value_finding(message, place.clone(), text, missing.then_some(place == root)));
+        let span = error.span().unwrap_or(root.clone());
+        let error_text = error.message();
+        let is_missing_key = error_text.starts_with("missing field");
+        let caused_by_removal = is_missing_key && containers_of_removed.contains(&span);
+        if !caused_by_removal {
+            findings.push(value_finding(
+                error_text,
+                span.clone(),
+                text,
+                is_missing_key.then_some(span == root),
+            ));
         }
-        let above = remove(tree.get_mut(), &place).filter(|_| findings.len() < MOST)?;
-        above_left_out.extend(above);
+        let containers = remove_value(tree.get_mut(), &span).filter(|_| findings.len() < MAX_FINDINGS)?;
+        containers_of_removed.extend(containers);
     }
 }
 
-/// `missing`: it is a key that is not there, of the file itself or of a section.
-fn value_finding(message: &str, place: Place, text: &str, missing: Option<bool>) -> Finding {
-    let quoted = |m: &str| m.split('`').nth(1).unwrap_or_default().to_string();
-    if let Some(of_file) = missing {
-        let key = quoted(message);
-        let section = text[place.clone()].lines().next().unwrap_or_default();
-        let (of, place) = match of_file || section.is_empty() {
+/// Builds the finding for an error of the deserializer. `missing_at_top_level` is set if the error is a
+/// missing key: true if the key belongs at the top level of the file, false if it belongs in a section.
+fn value_finding(error_text: &str, span: Span, text: &str, missing_at_top_level: Option<bool>) -> Finding {
+    let quoted = |message: &str| message.split('`').nth(1).unwrap_or_default().to_string();
+    if let Some(at_top_level) = missing_at_top_level {
+        let key = quoted(error_text);
+        let section = text[span.clone()].lines().next().unwrap_or_default();
+        let (subject, span) = match at_top_level || section.is_empty() {
             true => ("the file".to_string(), 0..0),
-            false => (format!("`{section}`"), place),
+            false => (format!("`{section}`"), span),
         };
-        let what = format!("{of} has no `{key}`, which it must have");
-        return Finding::new(Code::MissingKey, place, what, format!("Add `{key}`"));
+        let message = format!("{subject} lacks the required key `{key}`");
+        return Finding::new(Code::MissingKey, span, message, format!("Add `{key}`"));
     }
-    if let Some(rest) = message.strip_prefix("unknown variant ") {
-        let mut words = rest.split('`').skip(1).step_by(2);
-        let wrong = words.next().unwrap_or_default();
-        let known: Vec<&str> = words.collect();
-        let what = format!("`{wrong}` is none of {}", known.join(", "));
-        let help = match nearest(wrong, known.iter().copied()) {
-            Some(near) => format!("Did you mean `{near}`?"),
-            None => "Write one of them".to_string(),
+    if let Some(variants_text) = error_text.strip_prefix("unknown variant ") {
+        let mut quoted_names = variants_text.split('`').skip(1).step_by(2);
+        let unknown = quoted_names.next().unwrap_or_default();
+        let variants: Vec<&str> = quoted_names.collect();
+        let message = format!("`{unknown}` is not one of {}", variants.join(", "));
+        let help = match closest_name(unknown, variants.iter().copied()) {
+            Some(closest) => format!("Did you mean `{closest}`?"),
+            None => "Write one of these values".to_string(),
         };
-        return Finding::new(Code::WrongValue, place, what, help);
+        return Finding::new(Code::WrongValue, span, message, help);
     }
-    let help = match message {
-        m if m.contains("IP") || m.contains("socket address") => {
-            "Write an IP address and a port, as in `127.0.0.1:7400`; names are not looked up"
+    let help = match error_text {
+        message if message.contains("IP") || message.contains("socket address") => {
+            "Write an IP address and a port, such as `127.0.0.1:7400`; host names are not resolved"
         }
-        _ => Code::WrongValue.about().mend,
+        _ => Code::WrongValue.info().fix,
     };
-    Finding::new(Code::WrongValue, place, message.to_string(), help)
+    Finding::new(Code::WrongValue, span, error_text.to_string(), help)
 }
 
-/// Takes the value out that stands at this place. Where the values stand that it lay in, innermost first, or None if
-/// there is no such value.
-fn remove(table: &mut DeTable, place: &Range<usize>) -> Option<Vec<Place>> {
-    let key = table.iter().find(|(k, v)| v.span() == *place || k.span() == *place).map(|(k, _)| k.clone());
+/// Removes the value at this position. Returns the positions of the values that contained it, innermost
+/// first, or `None` if there is no such value.
+fn remove_value(table: &mut DeTable, span: &Range<usize>) -> Option<Vec<Span>> {
+    let key = table.iter().find(|(k, v)| v.span() == *span || k.span() == *span).map(|(k, _)| k.clone());
     if let Some(key) = key {
         return table.remove(&key).map(|_| Vec::new());
     }
-    table.iter_mut().find_map(|(_, value)| remove_inside(value, place))
+    table.iter_mut().find_map(|(_, value)| remove_nested_value(value, span))
 }
 
-fn remove_inside(value: &mut Spanned<DeValue>, place: &Range<usize>) -> Option<Vec<Place>> {
-    let here = value.span();
-    let mut above = match value.get_mut() {
-        DeValue::Table(table) => remove(table, place)?,
-        DeValue::Array(items) => match items.iter().position(|i| i.span() == *place) {
-            Some(at) => {
-                let kept = items.iter().enumerate().filter(|(i, _)| *i != at).map(|(_, v)| v.clone());
-                *items = kept.collect();
+fn remove_nested_value(value: &mut Spanned<DeValue>, span: &Range<usize>) -> Option<Vec<Span>> {
+    let value_span = value.span();
+    let mut containers = match value.get_mut() {
+        DeValue::Table(table) => remove_value(table, span)?,
+        DeValue::Array(items) => match items.iter().position(|i| i.span() == *span) {
+            Some(index) => {
+                let remaining = items.iter().enumerate().filter(|(i, _)| *i != index).map(|(_, v)| v.clone());
+                *items = remaining.collect();
                 Vec::new()
             }
-            None => items.iter_mut().find_map(|i| remove_inside(i, place))?,
+            None => items.iter_mut().find_map(|i| remove_nested_value(i, span))?,
         },
         _ => return None,
     };
-    above.push(here);
-    Some(above)
+    containers.push(value_span);
+    Some(containers)
 }
 
-/// One step of a path into a file.
+/// One step of the path to a value in a file: a key of a table, or an index of a list.
 #[derive(Clone, Copy, Debug)]
-pub enum Step<'a> {
+pub enum PathStep<'a> {
     Key(&'a str),
-    Item(usize),
+    Index(usize),
 }
 
-impl<'a> From<&'a str> for Step<'a> {
-    fn from(key: &'a str) -> Step<'a> {
-        Step::Key(key)
+impl<'a> From<&'a str> for PathStep<'a> {
+    fn from(key: &'a str) -> PathStep<'a> {
+        PathStep::Key(key)
     }
 }
 
-impl From<usize> for Step<'_> {
-    fn from(item: usize) -> Self {
-        Step::Item(item)
+impl From<usize> for PathStep<'_> {
+    fn from(index: usize) -> Self {
+        PathStep::Index(index)
     }
 }
 
 impl Source {
-    /// Where the value at a path stands; if it is not written down, where its section does, or else the file's start.
-    pub fn place(&self, path: &[Step]) -> Place {
+    /// Returns the position of the value at a path. If the file does not contain it, returns the position of
+    /// the nearest enclosing section, or else the start of the file.
+    pub fn span(&self, path: &[PathStep]) -> Span {
         let mut node = &self.root;
         for step in path {
-            let inner = match (step, &node.inner) {
-                (Step::Key(key), Inner::Table(table)) => table.get(*key),
-                (Step::Item(at), Inner::Array(items)) => items.get(*at),
+            let child = match (step, &node.kind) {
+                (PathStep::Key(key), NodeKind::Table(table)) => table.get(*key),
+                (PathStep::Index(index), NodeKind::Array(items)) => items.get(*index),
                 _ => None,
             };
-            match inner {
-                Some(inner) => node = inner,
+            match child {
+                Some(child) => node = child,
                 None => break,
             }
         }
         if std::ptr::eq(node, &self.root) {
             return 0..0;
         }
-        node.place.clone()
+        node.span.clone()
     }
 }
--- a/crates/tools/nickelshed-config/src/url.rs
+++ b/crates/tools/nickelshed-config/src/url.rs
@@ -1,23 +1,25 @@
-//! The one form of URL that notices are posted to.
+//! Parses the form of URL that notices can be posted to: plain HTTP, an IP address and a port.
 use std::net::SocketAddr;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Url {
     pub address: SocketAddr,
-    /// Begins with a slash.
+    /// Starts with a slash; may include a query.
     pub path: String,
 }
 
 /// # Errors
-/// Says, as the end of a sentence, what is wrong.
+/// A description of the mistake that continues a sentence whose subject is the URL.
 pub fn parse(text: &str) -> Result<Url, String> {
-    let rest = text.strip_prefix("http://").ok_or("does not begin with `http://`")?;
+    let rest = text.strip_prefix("http://").ok_or("does not start with `http://`")?;
     let (address, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
-    let address =
-        address.parse().map_err(|_| format!("has `{address}` where an IP address and a port belong"))?;
+    let address = address
+        .parse()
+        .map_err(|_| format!("has `{address}` where an IP address and a port are expected"))?;
     let path = if path.is_empty() { "/" } else { path };
-    if let Some(wrong) = path.chars().find(|c| !c.is_ascii_graphic() || matches!(c, '#' | '"' | '<' | '>')) {
-        return Err(format!("has {wrong:?} in its path"));
+    if let Some(invalid) = path.chars().find(|c| !c.is_ascii_graphic() || matches!(c, '#' | '"' | '<' | '>'))
+    {
+        return Err(format!("has {invalid:?} in its path"));
     }
     Ok(Url { address, path: path.to_string() })
 }
@@ -27,11 +29,11 @@
     use super::*;
 
     #[test]
-    fn only_plain_http_to_an_address() {
+    fn accepts_only_plain_http_to_an_address() {
         let url = parse("http://127.0.0.1:7500/reports?x=1").unwrap();
         assert_eq!((url.address, url.path.as_str()), (([127, 0, 0, 1], 7500).into(), "/reports?x=1"));
         assert_eq!(parse("http://[::1]:80").unwrap().path, "/");
-        for wrong in [
+        for invalid in [
             "",
             "127.0.0.1:80",
             "https://127.0.0.1:80/",
@@ -39,7 +41,7 @@
             "http://127.0.0.1/",
             "http://127.0.0.1:80/a b",
         ] {
-            assert!(parse(wrong).is_err(), "{wrong}");
+            assert!(parse(invalid).is_err(), "{invalid}");
         }
     }
 }
