--- a/crates/serve/nickelshed/src/config/settings_digest/tests.rs
+++ b/crates/serve/nickelshed/src/config/settings_digest/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn the_digest_of_the_example_is_that_of_the_first_release() {
     let example = include_str!("../../../../../../deploy/sidecar.toml");
-    let sidecar = load(example.as_bytes()).sound().expect("the example is valid");
+    let sidecar = load(example.as_bytes()).into_valid().expect("the example is valid");
     let (settings, _) = compile::settings(&sidecar);
     assert_eq!(settings_digest(&settings), 0x8edc_86a9);
 }
@@ -13,7 +13,7 @@
 #[test]
 fn each_setting_of_a_class_counts() {
     let example = include_str!("../../../../../../deploy/sidecar.toml");
-    let sidecar = load(example.as_bytes()).sound().expect("the example is valid");
+    let sidecar = load(example.as_bytes()).into_valid().expect("the example is valid");
     let (settings, _) = compile::settings(&sidecar);
     let digest = settings_digest(&settings);
     let mut changed = settings.clone();
--- a/crates/serve/nickelshed/src/server.rs
+++ b/crates/serve/nickelshed/src/server.rs
@@ -249,8 +249,8 @@
         if head.method != Method::POST {
             return method_not_allowed("POST");
         }
-        let length = body.size_hint().lower();
-        if length > MAX_BODY_BYTES as u64 {
+        let size = body.size_hint().lower();
+        if size > MAX_BODY_BYTES as u64 {
             return error_and_close(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB");
         }
         let (mut message, time_left) = match self.parse_headers(&head.headers, class) {
@@ -258,7 +258,7 @@
             Err(why) => return error_and_close(StatusCode::BAD_REQUEST, why),
         };
         // Reserves memory for the body until the message is finished or rejected.
-        let Some(share) = self.budget.try_reserve(length as usize) else {
+        let Some(share) = self.budget.try_reserve(size as usize) else {
             return close_after(unavailable(None));
         };
         message.memory_share = Some(share);
