--- a/crates/serve/nickelshed/src/server.rs
+++ b/crates/serve/nickelshed/src/server.rs
@@ -187,7 +187,7 @@
                 // Clients that open a new connection for each message would otherwise fill all slots with
                 // idle connections that are too young to be closed.
                 if self.clients.borrow().len() > self.max_served * 3 / 4 {
-                    response = close_after(response);
+                    response = and_close(response);
                 }
                 client.is_busy.set(false);
                 client.has_sent_request.set(true);
@@ -258,9 +258,7 @@
             Err(why) => return error_and_close(StatusCode::BAD_REQUEST, why),
         };
         // Reserves memory for the body until the message is finished or rejected.
-        let Some(share) = self.budget.try_reserve(size as usize) else {
-            return close_after(unavailable(None));
-        };
+        let Some(share) = self.budget.try_reserve(size as usize) else { return and_close(unavailable(None)) };
         message.memory_share = Some(share);
         let deadline = Instant::now() + time_left;
         message.accepted_at_ms = self.host.wall_ms();
@@ -369,10 +367,10 @@
 /// An error response that closes the connection, because the request body was not read or its length cannot
 /// be trusted.
 fn error_and_close(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
-    close_after(text_response(status, text))
+    and_close(text_response(status, text))
 }
 
-fn close_after(mut response: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
+fn and_close(mut response: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
@@ -394,7 +392,7 @@
 
 /// Answers any request on a connection beyond the limit with a 503.
 async fn reject_connection<S: Stream>(socket: Rc<Socket<S>>) {
-    let service = service_fn(|_| async { Ok::<_, Infallible>(close_after(unavailable(None))) });
+    let service = service_fn(|_| async { Ok::<_, Infallible>(and_close(unavailable(None))) });
     let connection = http_builder().serve_connection(TokioIo::new(SocketIo(socket.clone())), service);
     let _ = timeout(REJECT_TIMEOUT, connection).await;
     let _ = timeout(REJECT_TIMEOUT, socket.close(CLOSE_MAX_BYTES)).await;
