--- a/crates/proof/nickelshed-lab/src/crossings.rs
+++ b/crates/proof/nickelshed-lab/src/crossings.rs
@@ -2,7 +2,7 @@
 //! between two lines comes at one of these places, as nothing else of the process is seen or reached from outside.
 use crate::everywhere::{clean, everywhere};
 use crate::life::Mark;
-use crate::{Day, Manner};
+use crate::{Day, RunOptions};
 use nickelshed_model::Scenario;
 
 /// What happens there.
@@ -102,7 +102,7 @@
 ) -> Result<Crossed, String> {
     let whole = clean(scenario, seed, "happening")?;
     let places = places(&whole, every, first);
-    let manner = |crossing| Manner { crossing: Some(crossing), ..Manner::default() };
+    let manner = |crossing| RunOptions { fault_point: Some(crossing), ..RunOptions::default() };
     let finds = everywhere(scenario, seed, &places, manner, jobs);
     Ok(Crossed { steps: whole.done.iter().map(|done| done.steps).sum(), played: places.len(), finds })
 }
--- a/crates/proof/nickelshed-lab/src/everywhere.rs
+++ b/crates/proof/nickelshed-lab/src/everywhere.rs
@@ -1,5 +1,5 @@
 //! Many days on all threads, and one day at each of many points: what is wrong at which of them.
-use crate::{faults, play_so, Day, Manner};
+use crate::{faults, play_so, Day, RunOptions};
 use nickelshed_model::Scenario;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -29,7 +29,7 @@
 /// # Errors
 /// If the scenario can't be played, or is not clean without a `what`.
 pub(crate) fn clean(scenario: &Scenario, seed: u64, what: &str) -> Result<Day, String> {
-    let whole = play_so(scenario, seed, Manner::default())?;
+    let whole = play_so(scenario, seed, RunOptions::default())?;
     match faults(&whole).into_values().next() {
         Some(words) => Err(format!("the day is not clean without a {what}: {words}")),
         None => Ok(whole),
@@ -42,7 +42,7 @@
     scenario: &Scenario,
     seed: u64,
     points: &[P],
-    manner: impl Fn(P) -> Manner + Sync,
+    manner: impl Fn(P) -> RunOptions + Sync,
     jobs: usize,
 ) -> Vec<(P, String)> {
     let words = each(points, jobs, |point| match play_so(scenario, seed, manner(*point)) {
--- a/crates/proof/nickelshed-lab/src/kills.rs
+++ b/crates/proof/nickelshed-lab/src/kills.rs
@@ -1,6 +1,6 @@
 //! A day killed everywhere: in each operation on the disk, and at each byte that a sender sends.
 use crate::everywhere::{clean, everywhere};
-use crate::{Cut, Day, Kill, Manner};
+use crate::{Cut, Day, Kill, RunOptions};
 use nickelshed_model::Scenario;
 
 /// Which of the points are played: each so-manieth.
@@ -27,10 +27,10 @@
         // Nothing, half, and all of a write has been done, by turns.
         let parts = [0, 128, 256];
         out.extend(
-            operations.enumerate().map(|(i, at)| Kill { sender, cut: Cut::Operation(at, parts[i % 3]) }),
+            operations.enumerate().map(|(i, at)| Kill { sender, point: Cut::Operation(at, parts[i % 3]) }),
         );
         let bytes = (1..=done.bytes).step_by(every.bytes.max(1) as usize);
-        out.extend(bytes.map(|at| Kill { sender, cut: Cut::Byte(at) }));
+        out.extend(bytes.map(|at| Kill { sender, point: Cut::Byte(at) }));
     }
     out
 }
@@ -42,8 +42,8 @@
 pub fn kills(scenario: &Scenario, seed: u64, every: Every, jobs: usize) -> Result<Killed, String> {
     let whole = clean(scenario, seed, "kill")?;
     let points = points(&whole, every);
-    let manner = |kill| Manner { kill: Some(kill), ..Manner::default() };
+    let manner = |kill| RunOptions { kill: Some(kill), ..RunOptions::default() };
     let finds = everywhere(scenario, seed, &points, manner, jobs);
-    let operations = points.iter().filter(|k| matches!(k.cut, Cut::Operation(..))).count() as u64;
+    let operations = points.iter().filter(|k| matches!(k.point, Cut::Operation(..))).count() as u64;
     Ok(Killed { operations, bytes: points.len() as u64 - operations, finds })
 }
--- a/crates/proof/nickelshed-lab/src/lie.rs
+++ b/crates/proof/nickelshed-lab/src/lie.rs
@@ -3,7 +3,7 @@
 use nickelshed_judge::Rule;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lie {
+pub enum Mutation {
     /// Its folder is empty at each start, as if nothing had been written down.
     ForgetsJournal,
     /// Its list says that what drains or is gone is ready, as if it did not follow it.
@@ -26,29 +26,29 @@
     LeavesCallsOpen,
 }
 
-impl Lie {
-    pub const ALL: [Lie; 10] = [
-        Lie::ForgetsJournal,
-        Lie::IgnoresDrains,
-        Lie::IgnoresWaits,
-        Lie::KnowsNoCold,
-        Lie::ForgetsWindow,
-        Lie::RepeatsUnsafe,
-        Lie::SendsNoNotices,
-        Lie::ForgetsOutages,
-        Lie::TrustsAllWithRepeats,
-        Lie::LeavesCallsOpen,
+impl Mutation {
+    pub const ALL: [Mutation; 10] = [
+        Mutation::ForgetsJournal,
+        Mutation::IgnoresDrains,
+        Mutation::IgnoresWaits,
+        Mutation::KnowsNoCold,
+        Mutation::ForgetsWindow,
+        Mutation::RepeatsUnsafe,
+        Mutation::SendsNoNotices,
+        Mutation::ForgetsOutages,
+        Mutation::TrustsAllWithRepeats,
+        Mutation::LeavesCallsOpen,
     ];
 
     /// The rule that the guard keeps.
-    pub fn breaks(self) -> Rule {
+    pub fn violated_rule(self) -> Rule {
         match self {
-            Lie::ForgetsJournal | Lie::SendsNoNotices => Rule::Lost,
-            Lie::IgnoresDrains => Rule::Drain,
-            Lie::IgnoresWaits => Rule::Wait,
-            Lie::KnowsNoCold | Lie::ForgetsOutages => Rule::Pushed,
-            Lie::ForgetsWindow | Lie::RepeatsUnsafe | Lie::TrustsAllWithRepeats => Rule::Twice,
-            Lie::LeavesCallsOpen => Rule::AtOnce,
+            Mutation::ForgetsJournal | Mutation::SendsNoNotices => Rule::Lost,
+            Mutation::IgnoresDrains => Rule::Drain,
+            Mutation::IgnoresWaits => Rule::Wait,
+            Mutation::KnowsNoCold | Mutation::ForgetsOutages => Rule::Pushed,
+            Mutation::ForgetsWindow | Mutation::RepeatsUnsafe | Mutation::TrustsAllWithRepeats => Rule::Twice,
+            Mutation::LeavesCallsOpen => Rule::AtOnce,
         }
     }
 }
--- a/crates/proof/nickelshed-lab/src/main.rs
+++ b/crates/proof/nickelshed-lab/src/main.rs
@@ -3,7 +3,7 @@
 use nickelshed_judge::{Account, State};
 use nickelshed_lab::{
     accounted, crossings, difference, each, explore, files, kills, memory, play, play_so, Crossing, Day,
-    Draw, Every, Explored, Manner,
+    Draw, Every, Explored, RunOptions,
 };
 use nickelshed_model::{draw, draw_large, Scenario};
 use std::fmt::Write as _;
@@ -307,7 +307,7 @@
         killed.bytes,
         from.elapsed().as_secs_f64()
     ));
-    Ok(name_finds(&killed.finds, |kill| format!("sender {}, {:?}", kill.sender, kill.cut)))
+    Ok(name_finds(&killed.finds, |kill| format!("sender {}, {:?}", kill.sender, kill.point)))
 }
 
 fn cross_everywhere(
@@ -338,7 +338,7 @@
     let scenario = files::read(path)?;
     let seed = seed.or(scenario.seed).unwrap_or(1);
     let simulated = play(&scenario, seed)?;
-    let real = play_so(&scenario, seed, Manner { over_sockets: true, ..Manner::default() })?;
+    let real = play_so(&scenario, seed, RunOptions { uses_real_sockets: true, ..RunOptions::default() })?;
     let row = |name: &str, figure: &dyn Fn(&Day) -> f64| {
         let (a, b) = (figure(&simulated), figure(&real));
         format!("{name:>24} {a:>12.4} {b:>12.4} {:>+12.4}\n", b - a)
--- a/crates/proof/nickelshed-lab/src/manner.rs
+++ b/crates/proof/nickelshed-lab/src/manner.rs
@@ -1,22 +1,22 @@
 //! How a day is played, beside its scenario and its seed.
 use crate::crossings::Crossing;
-use crate::lie::Lie;
+use crate::lie::Mutation;
 use crate::life::Cut;
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Manner {
+pub struct RunOptions {
     /// What its senders are lied to about.
-    pub lie: Option<Lie>,
+    pub mutation: Option<Mutation>,
     /// A process that ends in the middle of something, and is started again.
     pub kill: Option<Kill>,
     /// Something that happens at a place of one sender.
-    pub crossing: Option<Crossing>,
+    pub fault_point: Option<Crossing>,
     /// Over real loopback sockets, in real time.
-    pub over_sockets: bool,
+    pub uses_real_sockets: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Kill {
     pub sender: usize,
-    pub cut: Cut,
+    pub point: Cut,
 }
--- a/crates/proof/nickelshed-lab/src/net.rs
+++ b/crates/proof/nickelshed-lab/src/net.rs
@@ -15,103 +15,103 @@
 use tokio::time::{sleep, sleep_until, Instant, Sleep};
 
 /// Bytes that are under way in one direction at most.
-const WINDOW: usize = 64 << 10;
+const WINDOW_BYTES: usize = 64 << 10;
 /// Unix time at the start of every day, in milliseconds.
-const EPOCH: i64 = 1_700_000_000_000;
+const WALL_CLOCK_START_MS: i64 = 1_700_000_000_000;
 
 #[derive(Default)]
-struct Queue {
-    waiting: RefCell<VecDeque<SimStream>>,
+struct AcceptQueue {
+    pending: RefCell<VecDeque<SimStream>>,
     waker: RefCell<Option<Waker>>,
-    closed: Cell<bool>,
+    is_closed: Cell<bool>,
 }
 
 struct Inner {
-    start: Instant,
-    listeners: RefCell<BTreeMap<SocketAddr, Rc<Queue>>>,
+    started_at: Instant,
+    listeners: RefCell<BTreeMap<SocketAddr, Rc<AcceptQueue>>>,
     /// One way to or from an endpoint; all others are on one machine.
     latency: Duration,
     /// So much the wall clocks have jumped, in milliseconds.
-    jumped: Cell<i64>,
+    wall_clock_offset_ms: Cell<i64>,
     /// Connections of senders that were refused: when, whose, and where to.
-    refused: RefCell<Vec<(Instant, usize, SocketAddr)>>,
-    severed: RefCell<Option<Severed>>,
-    ports: RefCell<BTreeMap<SocketAddr, Rc<Port>>>,
+    refused_connections: RefCell<Vec<(Instant, usize, SocketAddr)>>,
+    partition: RefCell<Option<Partition>>,
+    datagram_queues: RefCell<BTreeMap<SocketAddr, Rc<DatagramQueue>>>,
     /// Datagrams that were sent to somebody.
-    noted: Cell<u64>,
+    datagrams_sent: Cell<u64>,
 }
 
 /// Between which senders and addresses nothing arrives, and until when.
-pub struct Severed {
+pub struct Partition {
     pub until: Instant,
-    pub between: Box<dyn Fn(usize, SocketAddr) -> bool>,
+    pub separates: Box<dyn Fn(usize, SocketAddr) -> bool>,
 }
 
 /// Whose connection it is, and where to.
 #[derive(Clone)]
-struct Way {
-    net: Net,
+struct Flow {
+    network: SimNetwork,
     sender: usize,
     to: SocketAddr,
 }
 
-impl Way {
+impl Flow {
     /// When it is whole again, if nothing passes now.
-    fn severed(&self) -> Option<Instant> {
-        self.net.severed(self.sender, self.to)
+    fn partitioned_until(&self) -> Option<Instant> {
+        self.network.partitioned_until(self.sender, self.to)
     }
 }
 
 /// All machines of a day.
 #[derive(Clone)]
-pub struct Net(Rc<Inner>);
+pub struct SimNetwork(Rc<Inner>);
 
-impl Net {
-    pub fn new(latency: Duration) -> Net {
-        Net(Rc::new(Inner {
-            start: Instant::now(),
+impl SimNetwork {
+    pub fn new(latency: Duration) -> SimNetwork {
+        SimNetwork(Rc::new(Inner {
+            started_at: Instant::now(),
             listeners: RefCell::default(),
             latency,
-            jumped: Cell::new(0),
-            refused: RefCell::default(),
-            severed: RefCell::default(),
-            ports: RefCell::default(),
-            noted: Cell::new(0),
+            wall_clock_offset_ms: Cell::new(0),
+            refused_connections: RefCell::default(),
+            partition: RefCell::default(),
+            datagram_queues: RefCell::default(),
+            datagrams_sent: Cell::new(0),
         }))
     }
 
     /// Datagrams that were sent to somebody.
-    pub fn noted(&self) -> u64 {
-        self.0.noted.get()
+    pub fn datagrams_sent(&self) -> u64 {
+        self.0.datagrams_sent.get()
     }
 
     /// From now on nothing arrives there. What was under way has come.
-    pub fn sever(&self, severed: Severed) {
-        self.0.severed.replace(Some(severed));
+    pub fn set_partition(&self, severed: Partition) {
+        self.0.partition.replace(Some(severed));
     }
 
-    fn severed(&self, sender: usize, to: SocketAddr) -> Option<Instant> {
-        let severed = self.0.severed.borrow();
-        let cut = severed.as_ref().filter(|s| s.until > Instant::now() && (s.between)(sender, to))?;
+    fn partitioned_until(&self, sender: usize, to: SocketAddr) -> Option<Instant> {
+        let severed = self.0.partition.borrow();
+        let cut = severed.as_ref().filter(|s| s.until > Instant::now() && (s.separates)(sender, to))?;
         Some(cut.until)
     }
 
-    pub fn start(&self) -> Instant {
-        self.0.start
+    pub fn started_at(&self) -> Instant {
+        self.0.started_at
     }
 
     /// So much the wall clocks have jumped, in milliseconds.
-    pub fn jumped(&self) -> i64 {
-        self.0.jumped.get()
+    pub fn wall_clock_offset_ms(&self) -> i64 {
+        self.0.wall_clock_offset_ms.get()
     }
 
-    pub fn jump(&self, ms: i64) {
-        self.0.jumped.set(self.0.jumped.get() + ms);
+    pub fn advance_wall_clocks(&self, ms: i64) {
+        self.0.wall_clock_offset_ms.set(self.0.wall_clock_offset_ms.get() + ms);
     }
 
     /// One of the machines; a sender's, if it has a life.
     pub fn host(&self, life: Option<Rc<Life>>) -> SimHost {
-        SimHost { net: self.clone(), life, leaks: false }
+        SimHost { network: self.clone(), process_state: life, leaks_connections: false }
     }
 
     /// One way to or from an endpoint.
@@ -119,20 +119,20 @@
         self.0.latency
     }
 
-    pub fn note_refused(&self, sender: usize, to: SocketAddr) {
-        self.0.refused.borrow_mut().push((Instant::now(), sender, to));
+    pub fn record_refused_connection(&self, sender: usize, to: SocketAddr) {
+        self.0.refused_connections.borrow_mut().push((Instant::now(), sender, to));
     }
 
     /// Connections of senders that were refused: when, whose, and where to.
-    pub fn refused(&self) -> Vec<(Instant, usize, SocketAddr)> {
-        self.0.refused.borrow().clone()
+    pub fn refused_connections(&self) -> Vec<(Instant, usize, SocketAddr)> {
+        self.0.refused_connections.borrow().clone()
     }
 
     /// Nobody listens there any more; what waited to be accepted is closed.
-    pub fn close(&self, at: SocketAddr) {
+    pub fn close_listener(&self, at: SocketAddr) {
         if let Some(queue) = self.0.listeners.borrow_mut().remove(&at) {
-            queue.closed.set(true);
-            queue.waiting.borrow_mut().clear();
+            queue.is_closed.set(true);
+            queue.pending.borrow_mut().clear();
             wake(&queue.waker);
         }
     }
@@ -146,19 +146,19 @@
 
 #[derive(Clone)]
 pub struct SimHost {
-    net: Net,
-    life: Option<Rc<Life>>,
+    network: SimNetwork,
+    process_state: Option<Rc<Life>>,
     /// Its connections to endpoints stay open when they are closed here.
-    leaks: bool,
+    leaks_connections: bool,
 }
 
 /// Endpoints lie in 127.2.0.0/16; the way there has latency.
-pub fn is_far(ip: IpAddr) -> bool {
+pub fn is_endpoint_address(ip: IpAddr) -> bool {
     matches!(ip, IpAddr::V4(v4) if v4.octets()[1] == 2)
 }
 
 /// Does something as a step of a process; None if that has ended, also just before. What is nobody's has no steps.
-fn at_step<T>(life: Option<&Rc<Life>>, act: impl FnOnce() -> T) -> Option<T> {
+fn as_step<T>(life: Option<&Rc<Life>>, act: impl FnOnce() -> T) -> Option<T> {
     let Some(life) = life else { return Some(act()) };
     let step = life.step()?;
     let done = act();
@@ -167,36 +167,36 @@
 }
 
 impl SimHost {
-    pub fn leaking(self) -> SimHost {
-        SimHost { leaks: true, ..self }
+    pub fn leaking_connections(self) -> SimHost {
+        SimHost { leaks_connections: true, ..self }
     }
 
-    async fn make(&self, to: SocketAddr) -> io::Result<SimStream> {
-        let far = is_far(to.ip());
-        let latency = if far { self.net.0.latency } else { Duration::ZERO };
+    async fn open_connection(&self, to: SocketAddr) -> io::Result<SimStream> {
+        let far = is_endpoint_address(to.ip());
+        let latency = if far { self.network.0.latency } else { Duration::ZERO };
         if latency > Duration::ZERO {
             sleep(latency).await;
         }
-        let sender = self.life.as_ref().map(|life| life.sender).filter(|_| far);
-        let way = sender.map(|sender| Way { net: self.net.clone(), sender, to });
-        if let Some(until) = way.as_ref().and_then(Way::severed) {
+        let sender = self.process_state.as_ref().map(|life| life.sender).filter(|_| far);
+        let way = sender.map(|sender| Flow { network: self.network.clone(), sender, to });
+        if let Some(until) = way.as_ref().and_then(Flow::partitioned_until) {
             sleep_until(until).await;
         }
-        let queue = self.net.0.listeners.borrow().get(&to).cloned();
+        let queue = self.network.0.listeners.borrow().get(&to).cloned();
         let made = queue.map(|queue| {
             let (mut here, mut there) = SimStream::pair(latency);
-            (here.way, there.way) = (way.clone(), way);
-            here.leaks = self.leaks && is_far(to.ip());
-            here.life.clone_from(&self.life);
-            queue.waiting.borrow_mut().push_back(there);
+            (here.flow, there.flow) = (way.clone(), way);
+            here.is_leaked = self.leaks_connections && is_endpoint_address(to.ip());
+            here.process_state.clone_from(&self.process_state);
+            queue.pending.borrow_mut().push_back(there);
             wake(&queue.waker);
             here
         });
         if latency > Duration::ZERO {
             sleep(latency).await;
         }
-        if let (None, Some(life)) = (&made, &self.life) {
-            self.net.note_refused(life.sender, to);
+        if let (None, Some(life)) = (&made, &self.process_state) {
+            self.network.record_refused_connection(life.sender, to);
         }
         made.ok_or(ErrorKind::ConnectionRefused.into())
     }
@@ -208,89 +208,103 @@
     type Datagrams = SimDatagrams;
 
     async fn connect(&self, to: SocketAddr) -> io::Result<SimStream> {
-        let Some(life) = &self.life else { return self.make(to).await };
+        let Some(life) = &self.process_state else { return self.open_connection(to).await };
         // None: its process has ended.
         let Some(step) = life.step() else { return std::future::pending().await };
-        let made = self.make(to).await;
+        let made = self.open_connection(to).await;
         life.stepped(step);
         made
     }
 
     async fn listen(&self, at: SocketAddr) -> io::Result<SimListener> {
-        let mut listeners = self.net.0.listeners.borrow_mut();
+        let mut listeners = self.network.0.listeners.borrow_mut();
         if listeners.contains_key(&at) {
             return Err(ErrorKind::AddrInUse.into());
         }
-        let queue = Rc::<Queue>::default();
+        let queue = Rc::<AcceptQueue>::default();
         listeners.insert(at, queue.clone());
-        Ok(SimListener { net: self.net.clone(), life: self.life.clone(), at, queue })
+        Ok(SimListener {
+            network: self.network.clone(),
+            process_state: self.process_state.clone(),
+            address: at,
+            queue,
+        })
     }
 
     async fn datagrams(&self, at: SocketAddr) -> io::Result<SimDatagrams> {
-        let mut ports = self.net.0.ports.borrow_mut();
+        let mut ports = self.network.0.datagram_queues.borrow_mut();
         if ports.contains_key(&at) {
             return Err(ErrorKind::AddrInUse.into());
         }
-        let port = Rc::<Port>::default();
+        let port = Rc::<DatagramQueue>::default();
         ports.insert(at, port.clone());
-        Ok(SimDatagrams { net: self.net.clone(), life: self.life.clone(), at, port })
+        Ok(SimDatagrams {
+            network: self.network.clone(),
+            process_state: self.process_state.clone(),
+            address: at,
+            queue: port,
+        })
     }
 
     fn monotonic(&self) -> Instant {
-        self.life.as_ref().map_or_else(Instant::now, |life| life.leaves())
+        self.process_state.as_ref().map_or_else(Instant::now, |life| life.leaves())
     }
 
     fn wall_ms(&self) -> i64 {
-        EPOCH + self.net.0.jumped.get() + self.net.0.start.elapsed().as_millis() as i64
+        WALL_CLOCK_START_MS
+            + self.network.0.wall_clock_offset_ms.get()
+            + self.network.0.started_at.elapsed().as_millis() as i64
     }
 }
 
 /// Datagrams that wait at a socket at most; more are lost.
-const WAITING: usize = 256;
+const DATAGRAM_QUEUE_MAX: usize = 256;
 
 #[derive(Default)]
-struct Port {
-    waiting: RefCell<VecDeque<(Instant, SocketAddr, Vec<u8>)>>,
-    news: Notify,
+struct DatagramQueue {
+    pending: RefCell<VecDeque<(Instant, SocketAddr, Vec<u8>)>>,
+    arrival: Notify,
 }
 
 pub struct SimDatagrams {
-    net: Net,
-    life: Option<Rc<Life>>,
-    at: SocketAddr,
-    port: Rc<Port>,
+    network: SimNetwork,
+    process_state: Option<Rc<Life>>,
+    address: SocketAddr,
+    queue: Rc<DatagramQueue>,
 }
 
 impl Datagrams for SimDatagrams {
     fn send(&self, bytes: &[u8], to: SocketAddr) {
-        if let Some(life) = &self.life {
+        if let Some(life) = &self.process_state {
             // One that has ended sends nothing, and what is cut off in the middle of it never leaves.
-            if life.send(bytes.len()) < bytes.len() || self.net.severed(life.sender, to).is_some() {
+            if life.send(bytes.len()) < bytes.len()
+                || self.network.partitioned_until(life.sender, to).is_some()
+            {
                 return;
             }
         }
-        let Some(port) = self.net.0.ports.borrow().get(&to).cloned() else { return };
-        let mut waiting = port.waiting.borrow_mut();
-        if waiting.len() < WAITING {
-            let sent = self.life.as_ref().map_or_else(Instant::now, |life| life.leaves());
-            waiting.push_back((sent + self.net.0.latency, self.at, bytes.to_vec()));
-            self.net.0.noted.set(self.net.0.noted.get() + 1);
-            port.news.notify_one();
+        let Some(port) = self.network.0.datagram_queues.borrow().get(&to).cloned() else { return };
+        let mut waiting = port.pending.borrow_mut();
+        if waiting.len() < DATAGRAM_QUEUE_MAX {
+            let sent = self.process_state.as_ref().map_or_else(Instant::now, |life| life.leaves());
+            waiting.push_back((sent + self.network.0.latency, self.address, bytes.to_vec()));
+            self.network.0.datagrams_sent.set(self.network.0.datagrams_sent.get() + 1);
+            port.arrival.notify_one();
         }
     }
 
     async fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         loop {
-            let next = self.port.waiting.borrow().front().map(|(arrives, ..)| *arrives);
+            let next = self.queue.pending.borrow().front().map(|(arrives, ..)| *arrives);
             match next {
                 Some(at) if at <= Instant::now() => {
-                    let Some((_, from, bytes)) = self.port.waiting.borrow_mut().pop_front() else { continue };
-                    let length = bytes.len().min(buffer.len());
-                    buffer[..length].copy_from_slice(&bytes[..length]);
+                    let Some((_, from, data)) = self.queue.pending.borrow_mut().pop_front() else { continue };
+                    let length = data.len().min(buffer.len());
+                    buffer[..length].copy_from_slice(&data[..length]);
                     return Ok((length, from));
                 }
                 Some(at) => sleep_until(at).await,
-                None => self.port.news.notified().await,
+                None => self.queue.arrival.notified().await,
             }
         }
     }
@@ -298,18 +312,18 @@
 
 impl Drop for SimDatagrams {
     fn drop(&mut self) {
-        let mut ports = self.net.0.ports.borrow_mut();
-        if ports.get(&self.at).is_some_and(|port| Rc::ptr_eq(port, &self.port)) {
-            ports.remove(&self.at);
+        let mut ports = self.network.0.datagram_queues.borrow_mut();
+        if ports.get(&self.address).is_some_and(|port| Rc::ptr_eq(port, &self.queue)) {
+            ports.remove(&self.address);
         }
     }
 }
 
 pub struct SimListener {
-    net: Net,
-    life: Option<Rc<Life>>,
-    at: SocketAddr,
-    queue: Rc<Queue>,
+    network: SimNetwork,
+    process_state: Option<Rc<Life>>,
+    address: SocketAddr,
+    queue: Rc<AcceptQueue>,
 }
 
 impl Listener for SimListener {
@@ -317,15 +331,15 @@
 
     async fn accept(&self) -> io::Result<SimStream> {
         poll_fn(|cx| {
-            if !self.queue.waiting.borrow().is_empty() {
-                let take = || self.queue.waiting.borrow_mut().pop_front();
-                let Some(taken) = at_step(self.life.as_ref(), take) else { return Poll::Pending };
-                if let Some(mut stream) = taken {
-                    stream.life.clone_from(&self.life);
+            if !self.queue.pending.borrow().is_empty() {
+                let pop = || self.queue.pending.borrow_mut().pop_front();
+                let Some(next) = as_step(self.process_state.as_ref(), pop) else { return Poll::Pending };
+                if let Some(mut stream) = next {
+                    stream.process_state.clone_from(&self.process_state);
                     return Poll::Ready(Ok(stream));
                 }
             }
-            if self.queue.closed.get() {
+            if self.queue.is_closed.get() {
                 return Poll::Ready(Err(ErrorKind::NotConnected.into()));
             }
             self.queue.waker.replace(Some(cx.waker().clone()));
@@ -337,49 +351,50 @@
 
 impl Drop for SimListener {
     fn drop(&mut self) {
-        let ours = self.net.0.listeners.borrow().get(&self.at).is_some_and(|q| Rc::ptr_eq(q, &self.queue));
+        let ours =
+            self.network.0.listeners.borrow().get(&self.address).is_some_and(|q| Rc::ptr_eq(q, &self.queue));
         if ours {
-            self.net.close(self.at);
+            self.network.close_listener(self.address);
         }
     }
 }
 
 struct Segment {
-    sent: Instant,
-    arrives: Instant,
+    sent_at: Instant,
+    arrives_at: Instant,
     bytes: Vec<u8>,
-    read: usize,
+    bytes_read: usize,
 }
 
 /// One direction of a connection.
 #[derive(Default)]
 struct Pipe {
     segments: VecDeque<Segment>,
-    under_way: usize,
+    bytes_in_flight: usize,
     /// The end of the sending: when it was made, and when it arrives.
-    ended: Option<(Instant, Instant)>,
-    reset: Option<Instant>,
+    end_of_stream: Option<(Instant, Instant)>,
+    reset_at: Option<Instant>,
     /// Nobody reads any more.
-    gone: bool,
-    reader: Option<Waker>,
-    writer: Option<Waker>,
-    alarm: Option<Pin<Box<Sleep>>>,
+    reader_closed: bool,
+    reader_waker: Option<Waker>,
+    writer_waker: Option<Waker>,
+    timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl Pipe {
-    fn news(&self) -> Option<Instant> {
-        let first = self.segments.front().map(|s| s.arrives).or(self.ended.map(|(_, at)| at));
-        [first, self.reset].into_iter().flatten().min()
+    fn next_event_at(&self) -> Option<Instant> {
+        let first = self.segments.front().map(|s| s.arrives_at).or(self.end_of_stream.map(|(_, at)| at));
+        [first, self.reset_at].into_iter().flatten().min()
     }
 
     fn wake_reader(&mut self) {
-        if let Some(waker) = self.reader.take() {
+        if let Some(waker) = self.reader_waker.take() {
             waker.wake();
         }
     }
 
     fn wake_writer(&mut self) {
-        if let Some(waker) = self.writer.take() {
+        if let Some(waker) = self.writer_waker.take() {
             waker.wake();
         }
     }
@@ -390,12 +405,12 @@
     output: Rc<RefCell<Pipe>>,
     latency: Duration,
     /// When the bytes that were read last were written.
-    sent: Cell<Instant>,
+    last_sent_at: Cell<Instant>,
     /// Of the process that has this end, if that is a sender's.
-    life: Option<Rc<Life>>,
-    leaks: bool,
+    process_state: Option<Rc<Life>>,
+    is_leaked: bool,
     /// None where nothing can come between.
-    way: Option<Way>,
+    flow: Option<Flow>,
 }
 
 impl SimStream {
@@ -405,39 +420,40 @@
             input: input.clone(),
             output: output.clone(),
             latency,
-            sent: Cell::new(Instant::now()),
-            life: None,
-            leaks: false,
-            way: None,
+            last_sent_at: Cell::new(Instant::now()),
+            process_state: None,
+            is_leaked: false,
+            flow: None,
         };
         (stream(&a, &b), stream(&b, &a))
     }
 
-    /// When what is sent now leaves the machine.
+    /// When what is sent now departure_time the machine.
     fn leaves(&self) -> Instant {
-        self.life.as_ref().map_or_else(Instant::now, |life| life.leaves())
+        self.process_state.as_ref().map_or_else(Instant::now, |life| life.leaves())
     }
 
     /// When what is sent then arrives.
-    fn arrives(&self, sent: Instant) -> Instant {
-        self.way.as_ref().and_then(Way::severed).map_or(sent, |until| until.max(sent)) + self.latency
+    fn arrival_time(&self, sent: Instant) -> Instant {
+        self.flow.as_ref().and_then(Flow::partitioned_until).map_or(sent, |until| until.max(sent))
+            + self.latency
     }
 
     /// Whether nothing passes now.
-    pub fn is_severed(&self) -> bool {
-        self.way.as_ref().is_some_and(|way| way.severed().is_some())
+    pub fn is_partitioned(&self) -> bool {
+        self.flow.as_ref().is_some_and(|way| way.partitioned_until().is_some())
     }
 
     /// When the other side wrote what was read last, or ended its sending if that has come.
-    pub fn sent(&self) -> Instant {
-        self.sent.get()
+    pub fn last_sent_at(&self) -> Instant {
+        self.last_sent_at.get()
     }
 
     /// When the other side ended its sending, whether or not that has come: what only the judge may know.
-    pub fn other_ended(&self) -> Option<Instant> {
+    pub fn peer_ended_at(&self) -> Option<Instant> {
         let pipe = self.input.borrow();
-        let reset = pipe.reset.map(|at| at - self.latency);
-        [pipe.ended.map(|(sent, _)| sent), reset].into_iter().flatten().min()
+        let reset = pipe.reset_at.map(|at| at - self.latency);
+        [pipe.end_of_stream.map(|(sent, _)| sent), reset].into_iter().flatten().min()
     }
 
     pub async fn read(&self, buffer: &mut [u8]) -> io::Result<usize> {
@@ -456,7 +472,7 @@
     pub fn reset(&self) {
         let mut output = self.output.borrow_mut();
         output.segments.clear();
-        output.reset.get_or_insert(self.arrives(Instant::now()));
+        output.reset_at.get_or_insert(self.arrival_time(Instant::now()));
         output.wake_reader();
     }
 }
@@ -467,33 +483,35 @@
         let pipe = &mut *pipe;
         loop {
             let now = Instant::now();
-            if pipe.reset.is_some_and(|at| at <= now) {
-                self.sent.set(now - self.latency);
+            if pipe.reset_at.is_some_and(|at| at <= now) {
+                self.last_sent_at.set(now - self.latency);
                 return Poll::Ready(Err(ErrorKind::ConnectionReset.into()));
             }
-            if let Some(segment) = pipe.segments.front_mut().filter(|s| s.arrives <= now) {
-                let n = buffer.len().min(segment.bytes.len() - segment.read);
-                buffer[..n].copy_from_slice(&segment.bytes[segment.read..segment.read + n]);
-                segment.read += n;
-                self.sent.set(segment.sent);
-                if segment.read == segment.bytes.len() {
+            if let Some(segment) = pipe.segments.front_mut().filter(|s| s.arrives_at <= now) {
+                let n = buffer.len().min(segment.bytes.len() - segment.bytes_read);
+                buffer[..n].copy_from_slice(&segment.bytes[segment.bytes_read..segment.bytes_read + n]);
+                segment.bytes_read += n;
+                self.last_sent_at.set(segment.sent_at);
+                if segment.bytes_read == segment.bytes.len() {
                     pipe.segments.pop_front();
                 }
-                pipe.under_way -= n;
+                pipe.bytes_in_flight -= n;
                 pipe.wake_writer();
                 return Poll::Ready(Ok(n));
             }
-            if let Some((sent, _)) = pipe.ended.filter(|(_, at)| pipe.segments.is_empty() && *at <= now) {
-                self.sent.set(sent);
+            if let Some((sent, _)) =
+                pipe.end_of_stream.filter(|(_, at)| pipe.segments.is_empty() && *at <= now)
+            {
+                self.last_sent_at.set(sent);
                 return Poll::Ready(Ok(0));
             }
-            pipe.reader = Some(cx.waker().clone());
-            let Some(at) = pipe.news() else { return Poll::Pending };
-            if pipe.alarm.as_ref().is_none_or(|alarm| alarm.deadline() != at) {
-                pipe.alarm = Some(Box::pin(sleep_until(at)));
+            pipe.reader_waker = Some(cx.waker().clone());
+            let Some(at) = pipe.next_event_at() else { return Poll::Pending };
+            if pipe.timer.as_ref().is_none_or(|alarm| alarm.deadline() != at) {
+                pipe.timer = Some(Box::pin(sleep_until(at)));
             }
-            match pipe.alarm.as_mut().map(|alarm| alarm.as_mut().poll(cx)) {
-                Some(Poll::Ready(())) => pipe.alarm = None,
+            match pipe.timer.as_mut().map(|alarm| alarm.as_mut().poll(cx)) {
+                Some(Poll::Ready(())) => pipe.timer = None,
                 _ => return Poll::Pending,
             }
         }
@@ -501,32 +519,32 @@
 
     fn write_now(&self, cx: &mut Context<'_>, parts: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
         let now = Instant::now();
-        if self.input.borrow().reset.is_some_and(|at| at <= now) {
+        if self.input.borrow().reset_at.is_some_and(|at| at <= now) {
             return Poll::Ready(Err(ErrorKind::ConnectionReset.into()));
         }
         let mut pipe = self.output.borrow_mut();
-        if pipe.ended.is_some() {
+        if pipe.end_of_stream.is_some() {
             return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
         }
-        if pipe.gone {
+        if pipe.reader_closed {
             // What comes there is answered by a reset.
-            let back = self.arrives(now) + self.latency;
+            let back = self.arrival_time(now) + self.latency;
             drop(pipe);
             let mut input = self.input.borrow_mut();
-            input.reset.get_or_insert(back);
+            input.reset_at.get_or_insert(back);
             input.wake_reader();
             return Poll::Ready(Ok(parts.iter().map(|p| p.len()).sum()));
         }
-        let room = WINDOW - pipe.under_way.min(WINDOW);
+        let room = WINDOW_BYTES - pipe.bytes_in_flight.min(WINDOW_BYTES);
         if room == 0 {
-            pipe.writer = Some(cx.waker().clone());
+            pipe.writer_waker = Some(cx.waker().clone());
             return Poll::Pending;
         }
         let mut bytes: Vec<u8> = Vec::new();
         for part in parts {
             bytes.extend_from_slice(&part[..part.len().min(room - bytes.len())]);
         }
-        let n = self.life.as_ref().map_or(bytes.len(), |life| life.send(bytes.len()));
+        let n = self.process_state.as_ref().map_or(bytes.len(), |life| life.send(bytes.len()));
         if n == 0 && !bytes.is_empty() {
             // Its process has ended.
             return Poll::Pending;
@@ -534,8 +552,13 @@
         bytes.truncate(n);
         if n > 0 {
             let sent = self.leaves();
-            pipe.under_way += n;
-            pipe.segments.push_back(Segment { sent, arrives: self.arrives(sent), bytes, read: 0 });
+            pipe.bytes_in_flight += n;
+            pipe.segments.push_back(Segment {
+                sent_at: sent,
+                arrives_at: self.arrival_time(sent),
+                bytes,
+                bytes_read: 0,
+            });
             pipe.wake_reader();
         }
         Poll::Ready(Ok(n))
@@ -545,22 +568,22 @@
 impl Stream for SimStream {
     fn poll_read(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         // Waiting for bytes is no step.
-        let life = self.life.as_ref().filter(|_| self.has_news());
-        at_step(life, || self.read_now(cx, buffer)).unwrap_or(Poll::Pending)
+        let life = self.process_state.as_ref().filter(|_| self.has_news());
+        as_step(life, || self.read_now(cx, buffer)).unwrap_or(Poll::Pending)
     }
 
     fn poll_write(&self, cx: &mut Context<'_>, parts: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
-        at_step(self.life.as_ref(), || self.write_now(cx, parts)).unwrap_or(Poll::Pending)
+        as_step(self.process_state.as_ref(), || self.write_now(cx, parts)).unwrap_or(Poll::Pending)
     }
 
     fn has_news(&self) -> bool {
-        self.input.borrow().news().is_some_and(|at| at <= Instant::now())
+        self.input.borrow().next_event_at().is_some_and(|at| at <= Instant::now())
     }
 
     fn end_sending(&self) -> io::Result<()> {
         let mut pipe = self.output.borrow_mut();
         let sent = self.leaves();
-        pipe.ended.get_or_insert((sent, self.arrives(sent)));
+        pipe.end_of_stream.get_or_insert((sent, self.arrival_time(sent)));
         pipe.wake_reader();
         Ok(())
     }
@@ -568,12 +591,12 @@
 
 impl Drop for SimStream {
     fn drop(&mut self) {
-        if self.leaks {
+        if self.is_leaked {
             return;
         }
         let unread = self.has_news() && !self.input.borrow().segments.is_empty();
         let mut input = self.input.borrow_mut();
-        input.gone = true;
+        input.reader_closed = true;
         input.wake_writer();
         drop(input);
         if unread {
--- a/crates/proof/nickelshed-lab/src/play.rs
+++ b/crates/proof/nickelshed-lab/src/play.rs
@@ -1,13 +1,16 @@
 //! One day: senders as processes, the stand-ins around them, the troubles at their times, and the judge at the end.
 use crate::crossings::{Crossing, Happening};
-use crate::lie::Lie;
+use crate::lie::Mutation;
 use crate::life::Done;
-use crate::manner::Manner;
-use crate::net::Severed;
-use crate::process::{machine, Control, Process};
+use crate::manner::RunOptions;
+use crate::net::Partition;
+use crate::process::{run_machine, ProcessControl, ProcessHandle};
 use crate::rude;
-use crate::stands::{agent, agent_address, listen, notes_address, open_endpoint, sender_address, Clients};
-use crate::world::{Place, World};
+use crate::stands::{
+    discovery_address, listen, membership_address, open_endpoint, run_discovery_agent, sender_address,
+    Clients,
+};
+use crate::world::{ListedEndpoint, Simulation};
 use nickelshed::EnvironmentVariables;
 use nickelshed_config::sidecar::{Effect, Scope};
 use nickelshed_config::units::{Percent, Period};
@@ -79,20 +82,20 @@
 }
 
 /// What a sender is told of a day's deployment, in the platform's form.
-fn settings(s: &Scenario, lie: Option<Lie>, sender: usize) -> Value {
+fn settings(s: &Scenario, lie: Option<Mutation>, sender: usize) -> Value {
     let ns = |p: nickelshed_config::units::Period| p.ns();
     let figures = Figures::default();
-    let multiple = if lie == Some(Lie::KnowsNoCold) { 1_000.0 } else { figures.fall_multiple };
-    let window = if lie == Some(Lie::ForgetsWindow) { 3_600_000_000_000 } else { ns(s.repeat_window) };
+    let multiple = if lie == Some(Mutation::KnowsNoCold) { 1_000.0 } else { figures.fall_multiple };
+    let window = if lie == Some(Mutation::ForgetsWindow) { 3_600_000_000_000 } else { ns(s.repeat_window) };
     let scope = match s.repeats_known_by {
-        _ if lie == Some(Lie::TrustsAllWithRepeats) => "all",
+        _ if lie == Some(Mutation::TrustsAllWithRepeats) => "all",
         Scope::Destination => "all",
         Scope::Zone => "zone",
         Scope::Endpoint => "endpoint",
     };
     let class = |c: &Mix| {
         let effect = match c.effect {
-            _ if lie == Some(Lie::RepeatsUnsafe) => "safe",
+            _ if lie == Some(Mutation::RepeatsUnsafe) => "safe",
             Effect::Safe => "safe",
             Effect::Keyed => "keyed",
             Effect::Unsafe => "unsafe",
@@ -112,14 +115,14 @@
         "Services": s.mix().iter().map(class).collect::<Vec<_>>()})
 }
 
-fn config(scenario: &Scenario, lie: Option<Lie>, sender: usize, home: u16, seed: u64) -> String {
+fn config(scenario: &Scenario, lie: Option<Mutation>, sender: usize, home: u16, seed: u64) -> String {
     // Each has all of them in one order; without leave the list is not looked at.
     let peers: Vec<String> = (0..scenario.senders as usize)
         .filter(|_| scenario.notes)
-        .map(|s| notes_address(s).to_string())
+        .map(|s| membership_address(s).to_string())
         .collect();
-    json!({"name": format!("n{sender}"), "peers": peers, "peer_listen": notes_address(sender).to_string(), "seed": format!("{:x}", seed ^ (sender as u64) << 32),
-        "discovery": agent_address(sender, home).to_string(),
+    json!({"name": format!("n{sender}"), "peers": peers, "peer_listen": membership_address(sender).to_string(), "seed": format!("{:x}", seed ^ (sender as u64) << 32),
+        "discovery": discovery_address(sender, home).to_string(),
         "limits": {"memory_mb": 64, "sockets": 1_024, "disk_mb": scenario.disk as f64 / 1e6},
         // At each start of a process it is what its machine had last.
         "known": {"generation": 0, "reset": true, "instances": []},
@@ -128,38 +131,38 @@
 }
 
 /// The destinations that a trouble meets: those with most traffic first.
-fn met(world: &World, trouble: &Trouble) -> Vec<u64> {
+fn met(world: &Simulation, trouble: &Trouble) -> Vec<u64> {
     (1..=u64::from(trouble.of(world.scenario.destinations))).collect()
 }
 
-async fn outage(world: Rc<World>, trouble: Trouble) {
+async fn outage(world: Rc<Simulation>, trouble: Trouble) {
     let kind = trouble.kind;
     for dest in met(&world, &trouble) {
         let place = &world.destinations[&dest];
         place.system.borrow_mut().begin(kind, trouble.size, trouble.to());
         if kind.is_outage() {
             let routes = place.system.borrow().routes();
-            routes.into_iter().for_each(|route| world.note(What::OutageBegan { dest, route }));
+            routes.into_iter().for_each(|route| world.record(What::OutageBegan { dest, route }));
         }
         if kind == Kind::Refused {
             for (_, p) in standing(&world, dest) {
-                world.net.close(p.address);
+                world.network.close_listener(p.address);
             }
-            place.resets.notify_waiters();
+            place.reset_signal.notify_waiters();
         }
     }
-    sleep_until(world.instant(trouble.to())).await;
+    sleep_until(world.to_instant(trouble.to())).await;
     for dest in met(&world, &trouble) {
         let place = &world.destinations[&dest];
         place.system.borrow_mut().end(world.now(), kind);
         if kind.is_outage() {
             let system = place.system.borrow();
             for route in system.routes() {
-                world.note(What::OutageEnded { dest, route, capacity: system.capacity(route) });
+                world.record(What::OutageEnded { dest, route, capacity: system.capacity(route) });
             }
             drop(system);
             // What hung on its connections is gone with what it was.
-            place.resets.notify_waiters();
+            place.reset_signal.notify_waiters();
         }
         if kind == Kind::Refused {
             for (number, p) in standing(&world, dest) {
@@ -170,64 +173,64 @@
 }
 
 /// The endpoints of a destination that are listed as ready.
-fn standing(world: &World, dest: u64) -> Vec<(usize, Place)> {
-    let mut last: BTreeMap<usize, Place> = BTreeMap::new();
-    for (number, place) in world.list.borrow().iter().filter(|(_, p)| p.dest == dest) {
+fn standing(world: &Simulation, dest: u64) -> Vec<(usize, ListedEndpoint)> {
+    let mut last: BTreeMap<usize, ListedEndpoint> = BTreeMap::new();
+    for (number, place) in world.listings.borrow().iter().filter(|(_, p)| p.dest == dest) {
         last.insert(*number, place.clone());
     }
     last.into_iter().filter(|(_, p)| p.lifecycle == "Ready").collect()
 }
 
 /// Tells all agents of changes, as late as discovery is.
-fn tell_late(world: &Rc<World>, changes: Vec<usize>) {
+fn tell_late(world: &Rc<Simulation>, changes: Vec<usize>) {
     let world = world.clone();
     spawn_local(async move {
         sleep(world.scenario.discovery_late.0).await;
-        world.tell(&changes);
+        world.publish(&changes);
     });
 }
 
-async fn drain(world: Rc<World>, trouble: Trouble) {
+async fn drain(world: Rc<Simulation>, trouble: Trouble) {
     for dest in met(&world, &trouble) {
         let Some((number, place)) = standing(&world, dest).into_iter().next() else { continue };
-        let old = world.list(number, Place { lifecycle: "Terminating", ..place.clone() });
+        let old = world.add_listing(number, ListedEndpoint { lifecycle: "Terminating", ..place.clone() });
         // Where only the same endpoint knows a repeat, nobody could tell the new one from it before the list does.
         let takes = trouble.kind == Kind::Replace && world.scenario.repeats_known_by != Scope::Endpoint;
         let (new, at) = open_endpoint(&world, dest, takes.then_some(&place)).await;
-        let new = world.list(new, at);
+        let new = world.add_listing(new, at);
         tell_late(&world, vec![old, new]);
-        let (world, gone) = (world.clone(), Place { lifecycle: "Gone", ..place.clone() });
+        let (world, gone) = (world.clone(), ListedEndpoint { lifecycle: "Gone", ..place.clone() });
         spawn_local(async move {
             sleep(Duration::from_secs(3)).await;
             world.destinations[&dest].system.borrow_mut().remove(number);
             if !takes {
-                world.net.close(gone.address);
+                world.network.close_listener(gone.address);
             }
-            let gone = world.list(number, gone);
+            let gone = world.add_listing(number, gone);
             tell_late(&world, vec![gone]);
         });
     }
 }
 
-async fn reload(world: Rc<World>, processes: Rc<Vec<Process>>, seed: u64) {
+async fn reload(world: Rc<Simulation>, processes: Rc<Vec<ProcessHandle>>, seed: u64) {
     for (sender, process) in processes.iter().enumerate() {
-        let home = world.agents[sender].home.get() + 1;
-        world.agents[sender].home.set(home);
-        world.agents[sender].moved.set(Some(world.now()));
-        spawn_local(agent(world.clone(), sender, home));
-        process.told.borrow_mut().config = config(&world.scenario, world.lie, sender, home, seed);
-        let _ = process.control.send(Control::Hangup);
-        world.agents[sender].news.notify_waiters();
+        let home = world.agents[sender].port_offset.get() + 1;
+        world.agents[sender].port_offset.set(home);
+        world.agents[sender].moved_at.set(Some(world.now()));
+        spawn_local(run_discovery_agent(world.clone(), sender, home));
+        process.environment.borrow_mut().config = config(&world.scenario, world.mutation, sender, home, seed);
+        let _ = process.control.send(ProcessControl::Hangup);
+        world.agents[sender].changed.notify_waiters();
         let world = world.clone();
         spawn_local(async move {
             sleep(OLD_AGENT).await;
-            world.net.close(agent_address(sender, home - 1));
+            world.network.close_listener(discovery_address(sender, home - 1));
         });
     }
 }
 
 /// A trouble that begins now.
-fn now(world: &World, kind: Kind, lasts: u64) -> Trouble {
+fn now(world: &Simulation, kind: Kind, lasts: u64) -> Trouble {
     Trouble {
         kind,
         at: Period::ms(world.now() / 1_000),
@@ -239,26 +242,30 @@
 }
 
 /// Has happen what a day is crossed by, once the place is reached.
-async fn cross(world: Rc<World>, processes: Rc<Vec<Process>>, crossing: Crossing, seed: u64) {
-    world.lives[crossing.sender].crossed().await;
+async fn cross(world: Rc<Simulation>, processes: Rc<Vec<ProcessHandle>>, crossing: Crossing, seed: u64) {
+    world.process_states[crossing.sender].crossed().await;
     let control = &processes[crossing.sender].control;
     let (kind, lasts) = match crossing.happening {
         // The process has ended already.
         Happening::Kill => return,
         Happening::Terminate => {
-            let _ = control.send(Control::Terminate);
+            let _ = control.send(ProcessControl::Terminate);
             sleep(TO_KILL).await;
-            let _ = control.send(Control::Kill);
+            let _ = control.send(ProcessControl::Kill);
             return;
         }
         Happening::Pause => {
-            let _ = control.send(Control::Pause(STANDS_STILL));
+            let _ = control.send(ProcessControl::Pause(STANDS_STILL));
             return;
         }
-        Happening::ClientsLeave => return world.leave.notify_waiters(),
-        Happening::Resets => return world.destinations.values().for_each(|d| d.resets.notify_waiters()),
-        Happening::IdleCloses => return world.destinations.values().for_each(|d| d.closes.notify_waiters()),
-        Happening::EndsNew => return world.ends_new.set(world.now() + 1_000_000),
+        Happening::ClientsLeave => return world.client_disconnect_signal.notify_waiters(),
+        Happening::Resets => {
+            return world.destinations.values().for_each(|d| d.reset_signal.notify_waiters())
+        }
+        Happening::IdleCloses => {
+            return world.destinations.values().for_each(|d| d.idle_close_signal.notify_waiters())
+        }
+        Happening::EndsNew => return world.new_connections_closed_until.set(world.now() + 1_000_000),
         Happening::Hangup => (Kind::Reload, 0),
         Happening::Mute => (Kind::Mute, 4_000),
         Happening::Drain => (Kind::Drain, 0),
@@ -269,64 +276,64 @@
     trouble(world, processes, happens, seed).await;
 }
 
-async fn trouble(world: Rc<World>, processes: Rc<Vec<Process>>, trouble: Trouble, seed: u64) {
-    sleep_until(world.instant(trouble.from())).await;
+async fn trouble(world: Rc<Simulation>, processes: Rc<Vec<ProcessHandle>>, trouble: Trouble, seed: u64) {
+    sleep_until(world.to_instant(trouble.from())).await;
     let met = |sender: &usize| trouble.meets(*sender, processes.len());
-    let tell = |control: Control| {
+    let tell = |control: ProcessControl| {
         (0..processes.len()).filter(met).for_each(|s| _ = processes[s].control.send(control));
     };
     match trouble.kind {
         kind if kind.is_of_systems() => outage(world, trouble).await,
         Kind::Drain | Kind::Replace => drain(world, trouble).await,
         Kind::Restart => {
-            tell(Control::Terminate);
+            tell(ProcessControl::Terminate);
             sleep(TO_KILL).await;
-            tell(Control::Kill);
+            tell(ProcessControl::Kill);
         }
-        Kind::Kill => tell(Control::Kill),
+        Kind::Kill => tell(ProcessControl::Kill),
         Kind::Roll => roll(&processes, &trouble).await,
         Kind::Cut => {
-            let until = world.instant(trouble.to());
+            let until = world.to_instant(trouble.to());
             let rooms = world.clone();
-            let between = Box::new(move |sender, to| rooms.are_apart(sender, to));
-            world.net.sever(Severed { until, between });
+            let between = Box::new(move |sender, to| rooms.is_partitioned_by_site(sender, to));
+            world.network.set_partition(Partition { until, separates: between });
         }
-        Kind::Impatient => world.impatient.set(trouble.to()),
-        Kind::Pause => tell(Control::Pause(trouble.lasts.0)),
+        Kind::Impatient => world.clients_impatient_until.set(trouble.to()),
+        Kind::Pause => tell(ProcessControl::Pause(trouble.lasts.0)),
         Kind::Reload => reload(world, processes, seed).await,
         Kind::Mute => {
-            (0..processes.len()).filter(met).for_each(|s| world.agents[s].mute.set(true));
-            sleep_until(world.instant(trouble.to())).await;
-            world.unmute();
+            (0..processes.len()).filter(met).for_each(|s| world.agents[s].is_muted.set(true));
+            sleep_until(world.to_instant(trouble.to())).await;
+            world.unmute_agents();
         }
-        Kind::Jump => world.net.jump((trouble.size * 1e3) as i64),
+        Kind::Jump => world.network.advance_wall_clocks((trouble.size * 1e3) as i64),
         Kind::Stall => {
-            let until = world.instant(trouble.to());
-            (0..processes.len()).filter(met).for_each(|s| world.lives[s].stall(until));
+            let until = world.to_instant(trouble.to());
+            (0..processes.len()).filter(met).for_each(|s| world.process_states[s].stall(until));
         }
-        Kind::Rude => rude::visit(world, trouble, seed).await,
+        Kind::Rude => rude::send_malformed_requests(world, trouble, seed).await,
         // What is left is in the traffic already.
         _ => {}
     }
 }
 
 /// Restarts those that it meets a tenth at a time, every second tenth without a warning.
-async fn roll(processes: &[Process], trouble: &Trouble) {
-    let met: Vec<&Process> =
+async fn roll(processes: &[ProcessHandle], trouble: &Trouble) {
+    let met: Vec<&ProcessHandle> =
         (0..processes.len()).filter(|s| trouble.meets(*s, processes.len())).map(|s| &processes[s]).collect();
-    let mut going: Vec<&Process> = Vec::new();
+    let mut going: Vec<&ProcessHandle> = Vec::new();
     for (number, tenth) in met.chunks(met.len().div_ceil(10).max(1)).enumerate() {
-        going.drain(..).for_each(|p| _ = p.control.send(Control::Kill));
+        going.drain(..).for_each(|p| _ = p.control.send(ProcessControl::Kill));
         let gently = number % 2 == 0;
-        tenth
-            .iter()
-            .for_each(|p| _ = p.control.send(if gently { Control::Terminate } else { Control::Kill }));
+        tenth.iter().for_each(|p| {
+            _ = p.control.send(if gently { ProcessControl::Terminate } else { ProcessControl::Kill })
+        });
         if gently {
             going.extend(tenth);
         }
         sleep((trouble.lasts.0 / 10).max(TO_KILL)).await;
     }
-    going.iter().for_each(|p| _ = p.control.send(Control::Kill));
+    going.iter().for_each(|p| _ = p.control.send(ProcessControl::Kill));
 }
 
 /// Two outages of a destination that overlap would be one of an unknown kind: only the first is played. So it is with two
@@ -388,24 +395,24 @@
     got / f64::max(asked, 1e-9)
 }
 
-async fn day(scenario: Scenario, seed: u64, manner: Manner) -> Day {
-    let lie = manner.lie;
-    let world = World::new(&scenario, seed, manner);
+async fn day(scenario: Scenario, seed: u64, manner: RunOptions) -> Day {
+    let lie = manner.mutation;
+    let world = Simulation::new(&scenario, seed, manner);
     let mut first = Vec::new();
     for dest in 1..=u64::from(scenario.destinations) {
         for _ in 0..scenario.endpoints {
             let (number, place) = open_endpoint(&world, dest, None).await;
-            first.push(world.list(number, place));
+            first.push(world.add_listing(number, place));
         }
     }
-    world.tell(&first);
-    world.agents.iter().for_each(|agent| agent.told.set(first.len()));
-    if let Some(crossing) = manner.crossing {
-        world.lives[crossing.sender].place(crossing.mark());
+    world.publish(&first);
+    world.agents.iter().for_each(|agent| agent.sent_version.set(first.len()));
+    if let Some(crossing) = manner.fault_point {
+        world.process_states[crossing.sender].place(crossing.mark());
     }
     let mut processes = Vec::new();
     for sender in 0..scenario.senders as usize {
-        spawn_local(agent(world.clone(), sender, 0));
+        spawn_local(run_discovery_agent(world.clone(), sender, 0));
         let told = Rc::new(RefCell::new(EnvironmentVariables {
             listen: Some(sender_address(sender).to_string()),
             discovery: None,
@@ -415,15 +422,15 @@
         }));
         let (control, told_process) = mpsc::unbounded_channel();
         let up = Rc::new(Cell::new(false));
-        spawn_local(machine(world.clone(), sender, told.clone(), up.clone(), told_process));
-        processes.push(Process { control, told, up });
+        spawn_local(run_machine(world.clone(), sender, told.clone(), up.clone(), told_process));
+        processes.push(ProcessHandle { control, environment: told, is_ready: up });
     }
     let processes = Rc::new(processes);
     let ready = Instant::now() + Duration::from_secs(5);
-    while !processes.iter().all(|p| p.up.get()) && Instant::now() < ready {
+    while !processes.iter().all(|p| p.is_ready.get()) && Instant::now() < ready {
         sleep(Duration::from_millis(1)).await;
     }
-    if let Some(crossing) = manner.crossing {
+    if let Some(crossing) = manner.fault_point {
         spawn_local(cross(world.clone(), processes.clone(), crossing, seed));
     }
     for t in played(&scenario) {
@@ -431,19 +438,24 @@
     }
     let kept = RefCell::new((0..scenario.senders).map(|_| Vec::new()).collect());
     let classes = scenario.mix();
-    let clients = Rc::new(Clients { world: world.clone(), host: world.net.host(None), kept, classes });
+    let clients = Rc::new(Clients {
+        simulation: world.clone(),
+        host: world.network.host(None),
+        idle_connections: kept,
+        classes,
+    });
     for arrival in arrivals(&scenario, seed) {
-        sleep_until(world.instant(arrival.at)).await;
-        spawn_local(clients.clone().hand_in(arrival));
+        sleep_until(world.to_instant(arrival.at)).await;
+        spawn_local(clients.clone().submit(arrival));
     }
-    sleep_until(world.instant(scenario.length.0.as_micros() as Us)).await;
+    sleep_until(world.to_instant(scenario.length.0.as_micros() as Us)).await;
     sleep(scenario.longest() + AFTERWARDS).await;
     let addresses: BTreeMap<_, _> =
-        world.list.borrow().iter().map(|(number, p)| (p.address, (*number, p.dest))).collect();
-    for (at, sender, to) in world.net.refused() {
+        world.listings.borrow().iter().map(|(number, p)| (p.address, (*number, p.dest))).collect();
+    for (at, sender, to) in world.network.refused_connections() {
         if let Some(&(number, dest)) = addresses.get(&to) {
             let route = world.destinations[&dest].system.borrow().route_of(number);
-            world.note_at(world.us(at), What::Unreached { sender, dest, route });
+            world.record_at(world.to_us(at), What::Unreached { sender, dest, route });
         }
     }
     let mut events = world.events.borrow().clone();
@@ -461,9 +473,9 @@
         broken: judge(&events, figures),
         reckoning: reckon(&events, &worths(&scenario)),
         crashes,
-        length: world.net.start().elapsed(),
-        done: world.lives.iter().map(|life| life.done()).collect(),
-        notes: world.net.noted(),
+        length: world.network.started_at().elapsed(),
+        done: world.process_states.iter().map(|life| life.done()).collect(),
+        notes: world.network.datagrams_sent(),
         events,
     }
 }
@@ -473,18 +485,18 @@
 /// # Errors
 /// If the scenario can't be played.
 pub fn play(scenario: &Scenario, seed: u64) -> Result<Day, String> {
-    play_so(scenario, seed, Manner::default())
+    play_so(scenario, seed, RunOptions::default())
 }
 
 /// As [`play`], in a manner of its own. Over sockets a day takes as long as it is, and no two are the same.
 ///
 /// # Errors
 /// If the scenario can't be played.
-pub fn play_so(scenario: &Scenario, seed: u64, manner: Manner) -> Result<Day, String> {
+pub fn play_so(scenario: &Scenario, seed: u64, manner: RunOptions) -> Result<Day, String> {
     scenario.sound()?;
     watch_panics();
     let mut runtime = tokio::runtime::Builder::new_current_thread();
-    let runtime = match manner.over_sockets {
+    let runtime = match manner.uses_real_sockets {
         true => runtime.enable_all().build(),
         false => runtime.enable_time().start_paused(true).build(),
     };
--- a/crates/proof/nickelshed-lab/src/process.rs
+++ b/crates/proof/nickelshed-lab/src/process.rs
@@ -1,8 +1,8 @@
 //! One sender's machine over a day: its process is started, told, ended in the middle of something, and started again.
 use crate::folder::Folder;
-use crate::lie::Lie;
+use crate::lie::Mutation;
 use crate::stands::sender_address;
-use crate::world::World;
+use crate::world::Simulation;
 use nickelshed::{serve, ConfigSource, EnvironmentVariables, Operator, Signals};
 use nickelshed_host::Host;
 use nickelshed_journal::Storage;
@@ -19,13 +19,13 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 /// Where a sender keeps who is out.
-const OUTAGES: &str = "outages";
+const OUTAGES_FILE: &str = "outages";
 /// From a kill to the next start.
-const TO_START: Duration = Duration::from_millis(600);
+const RESTART_DELAY: Duration = Duration::from_millis(600);
 
 /// What a sender's process is told from outside.
 #[derive(Clone, Copy, Debug)]
-pub enum Control {
+pub enum ProcessControl {
     Terminate,
     Kill,
     Pause(Duration),
@@ -33,29 +33,29 @@
 }
 
 /// A sender's process, as the day's troubles reach it.
-pub struct Process {
-    pub control: mpsc::UnboundedSender<Control>,
-    pub told: Rc<RefCell<EnvironmentVariables>>,
-    pub up: Rc<Cell<bool>>,
+pub struct ProcessHandle {
+    pub control: mpsc::UnboundedSender<ProcessControl>,
+    pub environment: Rc<RefCell<EnvironmentVariables>>,
+    pub is_ready: Rc<Cell<bool>>,
 }
 
 /// One sender's machine over the whole day: its process is started, told, killed and started again.
-pub async fn machine(
-    world: Rc<World>,
+pub async fn run_machine(
+    world: Rc<Simulation>,
     sender: usize,
     told: Rc<RefCell<EnvironmentVariables>>,
     up: Rc<Cell<bool>>,
-    mut control: mpsc::UnboundedReceiver<Control>,
+    mut control: mpsc::UnboundedReceiver<ProcessControl>,
 ) {
     let mut disk = Disk::new();
-    let life = world.lives[sender].clone();
+    let life = world.process_states[sender].clone();
     loop {
         disk.restart();
         life.begin();
-        match world.lie {
-            Some(Lie::ForgetsJournal) => disk = Disk::new(),
+        match world.mutation {
+            Some(Mutation::ForgetsJournal) => disk = Disk::new(),
             // It may not be there yet.
-            Some(Lie::ForgetsOutages) => _ = disk.remove(OUTAGES),
+            Some(Mutation::ForgetsOutages) => _ = disk.remove(OUTAGES_FILE),
             _ => {}
         }
         let (end, ended) = oneshot::channel::<()>();
@@ -69,9 +69,10 @@
             }),
             reloads: hangups,
         };
-        know(&told, world.known(sender));
-        let host = world.net.host(Some(life.clone()));
-        let host = if world.lie == Some(Lie::LeavesCallsOpen) { host.leaking() } else { host };
+        write_known_list(&told, world.known_list(sender));
+        let host = world.network.host(Some(life.clone()));
+        let host =
+            if world.mutation == Some(Mutation::LeavesCallsOpen) { host.leaking_connections() } else { host };
         let (form, folder) = (
             ConfigSource::InMemory(Operator::default(), told.clone()),
             Folder::new(disk.clone(), life.clone()),
@@ -81,16 +82,16 @@
             let tasks = LocalSet::new();
             tasks.run_until(serve(&form, host, signals, |_| folder)).await
         });
-        let health = spawn_local(healthy(world.clone(), sender, up.clone()));
+        let health = spawn_local(wait_until_ready(world.clone(), sender, up.clone()));
         let result = loop {
             if life.is_dead() {
-                world.note(What::Going { sender });
+                world.record(What::Going { sender });
                 break None;
             }
             if let Some(until) = life.still() {
                 // Not even a kill reaches a process in the middle of an operation on its disk.
                 let time = until.saturating_duration_since(Instant::now()).as_micros() as Us;
-                world.note(What::Stopped { sender, time });
+                world.record(What::Stopped { sender, time });
                 sleep_until(until).await;
             }
             tokio::select! {
@@ -98,23 +99,23 @@
                 () = life.befallen() => {}
                 told = control.recv() => match told {
                     None => return,
-                    Some(Control::Terminate) => {
-                        world.note(What::Going { sender });
+                    Some(ProcessControl::Terminate) => {
+                        world.record(What::Going { sender });
                         up.set(false);
                         if let Some(end) = end.take() {
                             let _ = end.send(());
                         }
                     }
-                    Some(Control::Kill) => {
-                        world.note(What::Going { sender });
+                    Some(ProcessControl::Kill) => {
+                        world.record(What::Going { sender });
                         break None;
                     }
                     // Nothing of it is polled meanwhile.
-                    Some(Control::Pause(time)) => {
-                        world.note(What::Stopped { sender, time: time.as_micros() as Us });
+                    Some(ProcessControl::Pause(time)) => {
+                        world.record(What::Stopped { sender, time: time.as_micros() as Us });
                         sleep(time).await;
                     }
-                    Some(Control::Hangup) => _ = hangup.try_send(()),
+                    Some(ProcessControl::Hangup) => _ = hangup.try_send(()),
                 },
                 // What one in the middle of its end says counts for nothing.
                 result = &mut process, if !life.is_dead() => {
@@ -125,7 +126,7 @@
             }
         };
         drop(process);
-        world.note(What::Ended { sender });
+        world.record(What::Ended { sender });
         health.abort();
         up.set(false);
         if let Some(Err(error)) = &result {
@@ -133,18 +134,18 @@
                 .crashes
                 .borrow_mut()
                 .push(format!("sender {sender} at {} ms: {error}", world.now() / 1_000));
-            world.note(What::Going { sender });
+            world.record(What::Going { sender });
         }
         if result.is_some() && end.take().is_none() {
             // It has ended as it was told; its machine kills what is left, and starts it again.
-            while !matches!(control.recv().await, Some(Control::Kill) | None) {}
+            while !matches!(control.recv().await, Some(ProcessControl::Kill) | None) {}
         }
-        sleep(TO_START).await;
+        sleep(RESTART_DELAY).await;
     }
 }
 
 /// Writes the list that a process knows at its start into its configuration.
-fn know(told: &RefCell<EnvironmentVariables>, known: Value) {
+fn write_known_list(told: &RefCell<EnvironmentVariables>, known: Value) {
     let config = &mut told.borrow_mut().config;
     let mut value: Value = serde_json::from_str(config).expect("a configuration is JSON");
     value["known"] = known;
@@ -152,15 +153,15 @@
 }
 
 /// Notes when a sender may be used.
-async fn healthy(world: Rc<World>, sender: usize, up: Rc<Cell<bool>>) {
-    let host = world.net.host(None);
+async fn wait_until_ready(world: Rc<Simulation>, sender: usize, up: Rc<Cell<bool>>) {
+    let host = world.network.host(None);
     loop {
         if let Ok(stream) = host.connect(sender_address(sender)).await {
-            let mut link = crate::http::Link::new(stream);
+            let mut link = crate::http::HttpConnection::new(stream);
             link.write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").await;
             if link.read().await.is_some_and(|a| a.status() == 200) {
                 up.set(true);
-                return world.note(What::Up { sender });
+                return world.record(What::Up { sender });
             }
         }
         sleep(Duration::from_millis(10)).await;
--- a/crates/proof/nickelshed-lab/src/rude.rs
+++ b/crates/proof/nickelshed-lab/src/rude.rs
@@ -1,7 +1,7 @@
 //! Clients that send what can't be read, half of it, or slowly. Nothing of it may be taken on, and nobody else may notice.
-use crate::http::Link;
+use crate::http::HttpConnection;
 use crate::stands::sender_address;
-use crate::world::World;
+use crate::world::Simulation;
 use nickelshed_host::{Host, Stream};
 use nickelshed_model::{stream, Random, Trouble};
 use rand::{Rng, RngExt};
@@ -11,11 +11,11 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// How long one that says nothing more stays.
-const STAY: Duration = Duration::from_secs(3);
-const EVERY: Duration = Duration::from_millis(100);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+const ARRIVAL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Requests that are none. `{class}` stands for a class that there is.
-const NONE: [&str; 16] = [
+const MALFORMED_REQUESTS: [&str; 16] = [
     "",
     "\r\n\r\n",
     "POST /{class} HTTP/1.1\r\nHost: x\r\nX-Trace-Id: r1",
@@ -35,26 +35,26 @@
 ];
 
 /// As long as the trouble lasts, `size` of them come to each sender every tenth of a second.
-pub async fn visit(world: Rc<World>, trouble: Trouble, seed: u64) {
+pub async fn send_malformed_requests(world: Rc<Simulation>, trouble: Trouble, seed: u64) {
     let mut random = stream(seed, 5);
-    let until = world.instant(trouble.to());
+    let until = world.to_instant(trouble.to());
     let class = world.scenario.mix().first().map_or(String::new(), |c| c.name.clone());
     while Instant::now() < until {
         for sender in 0..world.scenario.senders as usize {
             for _ in 0..trouble.size.round().max(1.0) as usize {
-                let text = request(&mut random, &class);
+                let text = random_request(&mut random, &class);
                 let ends = random.random::<bool>();
-                spawn_local(guest(world.clone(), sender, text, ends));
+                spawn_local(send_malformed_request(world.clone(), sender, text, ends));
             }
         }
-        sleep(EVERY).await;
+        sleep(ARRIVAL_INTERVAL).await;
     }
 }
 
 /// One of the forms, or bytes of chance.
-fn request(random: &mut Random, class: &str) -> Vec<u8> {
-    let form = random.random_range(0..=NONE.len());
-    match NONE.get(form) {
+fn random_request(random: &mut Random, class: &str) -> Vec<u8> {
+    let form = random.random_range(0..=MALFORMED_REQUESTS.len());
+    match MALFORMED_REQUESTS.get(form) {
         Some(text) => text.replace("{class}", class).into_bytes(),
         None => {
             let mut bytes = vec![0; random.random_range(1..2_000)];
@@ -64,13 +64,13 @@
     }
 }
 
-async fn guest(world: Rc<World>, sender: usize, text: Vec<u8>, ends: bool) {
-    let Ok(stream) = world.net.host(None).connect(sender_address(sender)).await else { return };
+async fn send_malformed_request(world: Rc<Simulation>, sender: usize, text: Vec<u8>, ends: bool) {
+    let Ok(stream) = world.network.host(None).connect(sender_address(sender)).await else { return };
     if stream.write_all(&text).await.is_err() || ends && stream.end_sending().is_err() {
         return;
     }
-    let mut link = Link::new(stream);
-    let answer = timeout(STAY, link.read()).await;
+    let mut link = HttpConnection::new(stream);
+    let answer = timeout(ANSWER_TIMEOUT, link.read()).await;
     if let Ok(Some(answer)) = answer {
         if matches!(answer.status(), 200 | 202) {
             let what = String::from_utf8_lossy(&text).into_owned();
--- a/crates/proof/nickelshed-lab/src/sockets.rs
+++ b/crates/proof/nickelshed-lab/src/sockets.rs
@@ -1,7 +1,7 @@
 //! Real loopback sockets under the names of the simulated machines: each address is a port that the kernel gave. The same
 //! stand-ins and the same sender run over them in real time.
 use crate::life::Life;
-use crate::net::{is_far, Net};
+use crate::net::{is_endpoint_address, SimNetwork};
 use nickelshed_host::{Host, Machine, Stream};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,21 +15,21 @@
 use tokio::time::{sleep, Instant};
 
 #[derive(Default)]
-struct Open {
-    at: Option<SocketAddr>,
-    closed: Cell<bool>,
+struct OpenListener {
+    bound_address: Option<SocketAddr>,
+    is_closed: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
 /// Who listens where.
 #[derive(Clone, Default)]
-pub struct Ports(Rc<RefCell<BTreeMap<SocketAddr, Rc<Open>>>>);
+pub struct ListenerRegistry(Rc<RefCell<BTreeMap<SocketAddr, Rc<OpenListener>>>>);
 
-impl Ports {
+impl ListenerRegistry {
     /// Nobody listens there any more.
-    pub fn close(&self, at: SocketAddr) {
+    pub fn close_listener(&self, at: SocketAddr) {
         if let Some(open) = self.0.borrow_mut().remove(&at) {
-            open.closed.set(true);
+            open.is_closed.set(true);
             if let Some(waker) = open.waker.borrow_mut().take() {
                 waker.wake();
             }
@@ -39,15 +39,15 @@
 
 #[derive(Clone)]
 pub struct SocketHost {
-    pub ports: Ports,
-    pub net: Net,
-    pub life: Option<Rc<Life>>,
+    pub listeners: ListenerRegistry,
+    pub network: SimNetwork,
+    pub process_state: Option<Rc<Life>>,
 }
 
 impl SocketHost {
     fn latency(&self, to: SocketAddr) -> Duration {
-        if is_far(to.ip()) {
-            self.net.latency()
+        if is_endpoint_address(to.ip()) {
+            self.network.latency()
         } else {
             Duration::ZERO
         }
@@ -55,33 +55,40 @@
 
     pub async fn connect(&self, to: SocketAddr) -> io::Result<SocketStream> {
         sleep(2 * self.latency(to)).await;
-        let at = self.ports.0.borrow().get(&to).and_then(|open| open.at);
+        let at = self.listeners.0.borrow().get(&to).and_then(|open| open.bound_address);
         let made = match at {
             Some(at) => Machine.connect(at).await,
             None => Err(ErrorKind::ConnectionRefused.into()),
         };
-        if let (Err(_), Some(life)) = (&made, &self.life) {
-            self.net.note_refused(life.sender, to);
+        if let (Err(_), Some(life)) = (&made, &self.process_state) {
+            self.network.record_refused_connection(life.sender, to);
         }
         // The way's time is taken at the endpoint's end.
         made.map(|tcp| SocketStream::new(tcp, Duration::ZERO))
     }
 
     pub async fn listen(&self, at: SocketAddr) -> io::Result<SocketListener> {
-        if self.ports.0.borrow().contains_key(&at) {
+        if self.listeners.0.borrow().contains_key(&at) {
             return Err(ErrorKind::AddrInUse.into());
         }
         let tcp = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
-        let open = Rc::new(Open { at: Some(tcp.local_addr()?), ..Open::default() });
-        self.ports.0.borrow_mut().insert(at, open.clone());
-        Ok(SocketListener { ports: self.ports.clone(), at, open, tcp, latency: self.latency(at) })
+        let open =
+            Rc::new(OpenListener { bound_address: Some(tcp.local_addr()?), ..OpenListener::default() });
+        self.listeners.0.borrow_mut().insert(at, open.clone());
+        Ok(SocketListener {
+            listeners: self.listeners.clone(),
+            address: at,
+            open,
+            tcp,
+            latency: self.latency(at),
+        })
     }
 }
 
 pub struct SocketListener {
-    ports: Ports,
-    at: SocketAddr,
-    open: Rc<Open>,
+    listeners: ListenerRegistry,
+    address: SocketAddr,
+    open: Rc<OpenListener>,
     tcp: TcpListener,
     latency: Duration,
 }
@@ -89,7 +96,7 @@
 impl SocketListener {
     pub async fn accept(&self) -> io::Result<SocketStream> {
         poll_fn(|cx| {
-            if self.open.closed.get() {
+            if self.open.is_closed.get() {
                 return Poll::Ready(Err(ErrorKind::NotConnected.into()));
             }
             self.open.waker.replace(Some(cx.waker().clone()));
@@ -104,9 +111,10 @@
 
 impl Drop for SocketListener {
     fn drop(&mut self) {
-        let ours = self.ports.0.borrow().get(&self.at).is_some_and(|open| Rc::ptr_eq(open, &self.open));
+        let ours =
+            self.listeners.0.borrow().get(&self.address).is_some_and(|open| Rc::ptr_eq(open, &self.open));
         if ours {
-            self.ports.close(self.at);
+            self.listeners.close_listener(self.address);
         }
     }
 }
@@ -115,31 +123,31 @@
     tcp: TcpStream,
     /// One way, where this is an endpoint's end.
     latency: Duration,
-    read_at: Cell<Instant>,
-    ended: Cell<Option<Instant>>,
+    last_read_at: Cell<Instant>,
+    peer_ended_at: Cell<Option<Instant>>,
 }
 
 impl SocketStream {
     fn new(tcp: TcpStream, latency: Duration) -> SocketStream {
-        SocketStream { tcp, latency, read_at: Cell::new(Instant::now()), ended: Cell::new(None) }
+        SocketStream { tcp, latency, last_read_at: Cell::new(Instant::now()), peer_ended_at: Cell::new(None) }
     }
 
     /// When what was read last came, near enough.
-    pub fn sent(&self) -> Instant {
-        self.read_at.get()
+    pub fn last_sent_at(&self) -> Instant {
+        self.last_read_at.get()
     }
 
     /// When the end of the other side was first seen.
-    pub fn other_ended(&self) -> Option<Instant> {
-        self.ended.get()
+    pub fn peer_ended_at(&self) -> Option<Instant> {
+        self.peer_ended_at.get()
     }
 
     pub async fn read(&self, buffer: &mut [u8]) -> io::Result<usize> {
         let read = poll_fn(|cx| self.tcp.poll_read(cx, buffer)).await;
-        self.read_at.set(Instant::now());
+        self.last_read_at.set(Instant::now());
         match &read {
             Ok(n) if *n > 0 => sleep(self.latency).await,
-            _ => _ = self.ended.get().is_none().then(|| self.ended.set(Some(Instant::now()))),
+            _ => _ = self.peer_ended_at.get().is_none().then(|| self.peer_ended_at.set(Some(Instant::now()))),
         }
         read
     }
--- a/crates/proof/nickelshed-lab/src/wire.rs
+++ b/crates/proof/nickelshed-lab/src/wire.rs
@@ -1,7 +1,7 @@
 //! The machines of a day as its senders and stand-ins see them: over the simulated network, or over real sockets.
 use crate::life::Life;
-use crate::net::{Net, Severed, SimDatagrams, SimHost, SimListener, SimStream};
-use crate::sockets::{Ports, SocketHost, SocketListener, SocketStream};
+use crate::net::{Partition, SimDatagrams, SimHost, SimListener, SimNetwork, SimStream};
+use crate::sockets::{ListenerRegistry, SocketHost, SocketListener, SocketStream};
 use nickelshed_host::{Host, Listener, Machine, Stream};
 use std::io::{self, IoSlice};
 use std::net::SocketAddr;
@@ -9,58 +9,62 @@
 use std::task::{Context, Poll};
 
 /// All machines of a day.
-pub struct Machines {
-    net: Net,
+pub struct Network {
+    network: SimNetwork,
     /// None in simulated time.
-    sockets: Option<Ports>,
+    real_listeners: Option<ListenerRegistry>,
 }
 
-impl Machines {
-    pub fn simulated(net: Net) -> Machines {
-        Machines { net, sockets: None }
+impl Network {
+    pub fn simulated(net: SimNetwork) -> Network {
+        Network { network: net, real_listeners: None }
     }
 
-    pub fn real(net: Net) -> Machines {
-        Machines { net, sockets: Some(Ports::default()) }
+    pub fn real(net: SimNetwork) -> Network {
+        Network { network: net, real_listeners: Some(ListenerRegistry::default()) }
     }
 
     /// One of them; a sender's, if it has a life.
     pub fn host(&self, life: Option<Rc<Life>>) -> LabHost {
-        match &self.sockets {
-            None => LabHost::Simulated(self.net.host(life)),
-            Some(ports) => LabHost::Real(SocketHost { ports: ports.clone(), net: self.net.clone(), life }),
+        match &self.real_listeners {
+            None => LabHost::Simulated(self.network.host(life)),
+            Some(ports) => LabHost::Real(SocketHost {
+                listeners: ports.clone(),
+                network: self.network.clone(),
+                process_state: life,
+            }),
         }
     }
 
     /// Moves all wall clocks, by milliseconds.
-    pub fn jump(&self, ms: i64) {
-        self.net.jump(ms);
+    pub fn advance_wall_clocks(&self, ms: i64) {
+        self.network.advance_wall_clocks(ms);
     }
 
     /// Datagrams between senders that were sent to somebody.
-    pub fn noted(&self) -> u64 {
-        self.net.noted()
+    pub fn datagrams_sent(&self) -> u64 {
+        self.network.datagrams_sent()
     }
 
     /// Has nothing arrive between some of them for a time. Only in simulated time: real sockets are left whole.
-    pub fn sever(&self, severed: Severed) {
-        self.net.sever(severed);
+    pub fn set_partition(&self, severed: Partition) {
+        self.network.set_partition(severed);
     }
 
     /// Connections of senders that were refused: when, whose, and where to.
-    pub fn refused(&self) -> Vec<(tokio::time::Instant, usize, SocketAddr)> {
-        self.net.refused()
+    pub fn refused_connections(&self) -> Vec<(tokio::time::Instant, usize, SocketAddr)> {
+        self.network.refused_connections()
     }
 
-    pub fn start(&self) -> tokio::time::Instant {
-        self.net.start()
+    pub fn started_at(&self) -> tokio::time::Instant {
+        self.network.started_at()
     }
 
     /// Nobody listens there any more.
-    pub fn close(&self, at: SocketAddr) {
-        match &self.sockets {
-            None => self.net.close(at),
-            Some(ports) => ports.close(at),
+    pub fn close_listener(&self, at: SocketAddr) {
+        match &self.real_listeners {
+            None => self.network.close_listener(at),
+            Some(ports) => ports.close_listener(at),
         }
     }
 }
@@ -73,23 +77,23 @@
 
 impl LabHost {
     /// Its connections to endpoints stay open when they are closed here.
-    pub fn leaking(self) -> LabHost {
+    pub fn leaking_connections(self) -> LabHost {
         match self {
-            LabHost::Simulated(host) => LabHost::Simulated(host.leaking()),
+            LabHost::Simulated(host) => LabHost::Simulated(host.leaking_connections()),
             real @ LabHost::Real(_) => real,
         }
     }
 }
 
 impl Host for LabHost {
-    type Stream = Wire;
+    type Stream = LabStream;
     type Listener = LabListener;
     type Datagrams = SimDatagrams;
 
-    async fn connect(&self, to: SocketAddr) -> io::Result<Wire> {
+    async fn connect(&self, to: SocketAddr) -> io::Result<LabStream> {
         match self {
-            LabHost::Simulated(host) => host.connect(to).await.map(Wire::Simulated),
-            LabHost::Real(host) => host.connect(to).await.map(Wire::Real),
+            LabHost::Simulated(host) => host.connect(to).await.map(LabStream::Simulated),
+            LabHost::Real(host) => host.connect(to).await.map(LabStream::Real),
         }
     }
 
@@ -118,7 +122,7 @@
     fn wall_ms(&self) -> i64 {
         match self {
             LabHost::Simulated(host) => host.wall_ms(),
-            LabHost::Real(host) => Machine.wall_ms() + host.net.jumped(),
+            LabHost::Real(host) => Machine.wall_ms() + host.network.wall_clock_offset_ms(),
         }
     }
 }
@@ -129,95 +133,95 @@
 }
 
 impl Listener for LabListener {
-    type Stream = Wire;
+    type Stream = LabStream;
 
-    async fn accept(&self) -> io::Result<Wire> {
+    async fn accept(&self) -> io::Result<LabStream> {
         match self {
-            LabListener::Simulated(listener) => listener.accept().await.map(Wire::Simulated),
-            LabListener::Real(listener) => listener.accept().await.map(Wire::Real),
+            LabListener::Simulated(listener) => listener.accept().await.map(LabStream::Simulated),
+            LabListener::Real(listener) => listener.accept().await.map(LabStream::Real),
         }
     }
 }
 
-pub enum Wire {
+pub enum LabStream {
     Simulated(SimStream),
     Real(SocketStream),
 }
 
-impl Wire {
+impl LabStream {
     /// When the other side wrote what was read last, or ended its sending if that has come.
-    pub fn sent(&self) -> tokio::time::Instant {
+    pub fn last_sent_at(&self) -> tokio::time::Instant {
         match self {
-            Wire::Simulated(stream) => stream.sent(),
-            Wire::Real(stream) => stream.sent(),
+            LabStream::Simulated(stream) => stream.last_sent_at(),
+            LabStream::Real(stream) => stream.last_sent_at(),
         }
     }
 
     /// When the other side ended its sending: in simulated time whether or not that has come.
-    pub fn other_ended(&self) -> Option<tokio::time::Instant> {
+    pub fn peer_ended_at(&self) -> Option<tokio::time::Instant> {
         match self {
-            Wire::Simulated(stream) => stream.other_ended(),
-            Wire::Real(stream) => stream.other_ended(),
+            LabStream::Simulated(stream) => stream.peer_ended_at(),
+            LabStream::Real(stream) => stream.peer_ended_at(),
         }
     }
 
     /// Whether nothing passes now.
-    pub fn is_severed(&self) -> bool {
+    pub fn is_partitioned(&self) -> bool {
         match self {
-            Wire::Simulated(stream) => stream.is_severed(),
-            Wire::Real(_) => false,
+            LabStream::Simulated(stream) => stream.is_partitioned(),
+            LabStream::Real(_) => false,
         }
     }
 
     pub async fn read(&self, buffer: &mut [u8]) -> io::Result<usize> {
         match self {
-            Wire::Simulated(stream) => stream.read(buffer).await,
-            Wire::Real(stream) => stream.read(buffer).await,
+            LabStream::Simulated(stream) => stream.read(buffer).await,
+            LabStream::Real(stream) => stream.read(buffer).await,
         }
     }
 
     pub async fn write_all(&self, bytes: &[u8]) -> io::Result<()> {
         match self {
-            Wire::Simulated(stream) => stream.write_all(bytes).await,
-            Wire::Real(stream) => stream.write_all(bytes).await,
+            LabStream::Simulated(stream) => stream.write_all(bytes).await,
+            LabStream::Real(stream) => stream.write_all(bytes).await,
         }
     }
 
     /// The other side sees a reset, once this end is dropped at the latest.
     pub fn reset(&self) {
         match self {
-            Wire::Simulated(stream) => stream.reset(),
-            Wire::Real(stream) => stream.reset(),
+            LabStream::Simulated(stream) => stream.reset(),
+            LabStream::Real(stream) => stream.reset(),
         }
     }
 }
 
-impl Stream for Wire {
+impl Stream for LabStream {
     fn poll_read(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         match self {
-            Wire::Simulated(stream) => stream.poll_read(cx, buffer),
-            Wire::Real(stream) => stream.poll_read(cx, buffer),
+            LabStream::Simulated(stream) => stream.poll_read(cx, buffer),
+            LabStream::Real(stream) => stream.poll_read(cx, buffer),
         }
     }
 
     fn poll_write(&self, cx: &mut Context<'_>, parts: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
         match self {
-            Wire::Simulated(stream) => stream.poll_write(cx, parts),
-            Wire::Real(stream) => stream.poll_write(cx, parts),
+            LabStream::Simulated(stream) => stream.poll_write(cx, parts),
+            LabStream::Real(stream) => stream.poll_write(cx, parts),
         }
     }
 
     fn has_news(&self) -> bool {
         match self {
-            Wire::Simulated(stream) => stream.has_news(),
-            Wire::Real(stream) => stream.has_news(),
+            LabStream::Simulated(stream) => stream.has_news(),
+            LabStream::Real(stream) => stream.has_news(),
         }
     }
 
     fn end_sending(&self) -> io::Result<()> {
         match self {
-            Wire::Simulated(stream) => stream.end_sending(),
-            Wire::Real(stream) => stream.end_sending(),
+            LabStream::Simulated(stream) => stream.end_sending(),
+            LabStream::Real(stream) => stream.end_sending(),
         }
     }
 }
--- a/crates/proof/nickelshed-lab/tests/days.rs
+++ b/crates/proof/nickelshed-lab/tests/days.rs
@@ -3,7 +3,8 @@
 use nickelshed_config::units::{Percent, Period};
 use nickelshed_judge::{Event, How, Rule, What};
 use nickelshed_lab::{
-    crossings, cut, faults, files, kills, play, play_so, Crossing, Day, Every, Fault, Happening, Lie, Manner,
+    crossings, cut, faults, files, kills, play, play_so, Crossing, Day, Every, Fault, Happening, Mutation,
+    RunOptions,
 };
 use nickelshed_model::{draw, Kind, Scenario, Trouble};
 use std::path::{Path, PathBuf};
@@ -170,7 +171,8 @@
         ..Scenario::default()
     };
     let simulated = play(&scenario, 1).unwrap();
-    let real = play_so(&scenario, 1, Manner { over_sockets: true, ..Manner::default() }).unwrap();
+    let real =
+        play_so(&scenario, 1, RunOptions { uses_real_sockets: true, ..RunOptions::default() }).unwrap();
     assert_eq!(real.crashes, [] as [String; 0]);
     assert_eq!(real.reckoning.messages, simulated.reckoning.messages);
     assert!(real.reckoning.in_time > 0);
@@ -214,11 +216,12 @@
 /// Each guard that is undone is caught, by random days alone. How long that took is in docs/operations/lab.md.
 #[test]
 fn every_guard_that_is_undone_is_caught() {
-    for lie in Lie::ALL {
+    for lie in Mutation::ALL {
         let mut hours = 0.0;
-        let breaks = |day: &Day| day.broken.iter().any(|b| b.rule == lie.breaks());
+        let breaks = |day: &Day| day.broken.iter().any(|b| b.rule == lie.violated_rule());
         let caught = (1..=150).find(|&seed| {
-            let day = play_so(&draw(seed), seed, Manner { lie: Some(lie), ..Manner::default() }).unwrap();
+            let day = play_so(&draw(seed), seed, RunOptions { mutation: Some(lie), ..RunOptions::default() })
+                .unwrap();
             hours += day.length.as_secs_f64() / 3_600.0;
             // And it is the lie: without it the same day is clean.
             breaks(&day) && !breaks(&play(&draw(seed), seed).unwrap())
@@ -270,7 +273,9 @@
 /// A happening that did not come would break no rule either.
 #[test]
 fn every_happening_of_a_crossing_is_seen_in_its_day() {
-    let day = |crossing| play_so(&crossings_day(), 1, Manner { crossing, ..Manner::default() }).unwrap();
+    let day = |crossing| {
+        play_so(&crossings_day(), 1, RunOptions { fault_point: crossing, ..RunOptions::default() }).unwrap()
+    };
     let whole = day(None);
     for happening in Happening::ALL {
         let places = whole
@@ -291,7 +296,7 @@
 fn endpoints_that_end_new_connections_are_not_called_on_and_on() {
     let brief = Scenario { rate: 2.0, length: Period::ms(2_000), troubles: Vec::new(), ..crossings_day() };
     let steps = |crossing| {
-        let day = play_so(&brief, 1, Manner { crossing, ..Manner::default() }).unwrap();
+        let day = play_so(&brief, 1, RunOptions { fault_point: crossing, ..RunOptions::default() }).unwrap();
         assert!(day.is_clean(), "{:?}", day.broken);
         day.done.iter().map(|done| done.steps).sum::<u64>()
     };
@@ -308,8 +313,12 @@
     for (sender, done) in whole.done.iter().enumerate() {
         for (step, after) in (0..done.steps).flat_map(|n| [(n, false), (n, true)]) {
             let crossing = Crossing { sender, step, after, happening: Happening::ClientsLeave };
-            let day = play_so(&crossings_day(), 1, Manner { crossing: Some(crossing), ..Manner::default() })
-                .unwrap();
+            let day = play_so(
+                &crossings_day(),
+                1,
+                RunOptions { fault_point: Some(crossing), ..RunOptions::default() },
+            )
+            .unwrap();
             let left: Vec<(&str, u64)> = day
                 .events
                 .iter()
