--- a/crates/proof/nickelshed-lab/src/http.rs
+++ b/crates/proof/nickelshed-lab/src/http.rs
@@ -1,16 +1,17 @@
-//! HTTP/1.1 as the stand-ins speak it: heads, and bodies with a length.
+//! The part of HTTP/1.1 that the fake servers and clients use: message heads, and bodies with a
+//! `Content-Length`.
 use crate::wire::LabStream;
 use tokio::time::Instant;
 
 const HEAD_BYTES_MAX: usize = 256 << 10;
 
-/// A request or an answer.
+/// A request or a response.
 pub struct HttpMessage {
-    /// The first line, in words.
+    /// The request line or status line, split at spaces.
     pub start_line: Vec<String>,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// When the other side wrote its first byte.
+    /// When the peer wrote the first byte.
     pub first_byte: Instant,
 }
 
@@ -24,7 +25,7 @@
     }
 }
 
-/// A connection with what was read too far.
+/// A connection, with the bytes that were read beyond the last message.
 pub struct HttpConnection {
     pub stream: LabStream,
     buffer: Vec<u8>,
@@ -35,11 +36,11 @@
         HttpConnection { stream, buffer: Vec::new() }
     }
 
-    /// None once the connection has ended, or can't be read.
+    /// Reads the next message. Returns None if the connection has ended or the bytes are not a valid message.
     pub async fn read(&mut self) -> Option<HttpMessage> {
         let mut first_byte = None;
         let mut chunk = [0; 4096];
-        let head = loop {
+        let head_end = loop {
             if let Some(at) = self.buffer.windows(4).position(|w| w == b"\r\n\r\n") {
                 break at;
             }
@@ -48,42 +49,45 @@
             }
             match self.stream.read(&mut chunk).await {
                 Ok(0) | Err(_) => return None,
-                Ok(n) => {
+                Ok(count) => {
                     first_byte.get_or_insert(self.stream.last_sent_at());
-                    self.buffer.extend_from_slice(&chunk[..n]);
+                    self.buffer.extend_from_slice(&chunk[..count]);
                 }
             }
         };
-        let text = String::from_utf8_lossy(&self.buffer[..head]).into_owned();
+        let text = String::from_utf8_lossy(&self.buffer[..head_end]).into_owned();
         let mut lines = text.split("\r\n");
-        let first = lines.next()?.split(' ').map(str::to_string).collect();
-        let pair = |l: &str| l.split_once(':').map(|(n, v)| (n.trim().to_string(), v.trim().to_string()));
-        let headers: Vec<(String, String)> = lines.filter_map(pair).collect();
-        let length = headers.iter().find(|(n, _)| n.eq_ignore_ascii_case("content-length"));
+        let start_line = lines.next()?.split(' ').map(str::to_string).collect();
+        let parse_header = |line: &str| {
+            line.split_once(':').map(|(name, value)| (name.trim().to_string(), value.trim().to_string()))
+        };
+        let headers: Vec<(String, String)> = lines.filter_map(parse_header).collect();
+        let length = headers.iter().find(|(name, _)| name.eq_ignore_ascii_case("content-length"));
         let length: usize = length.map_or(Some(0), |(_, v)| v.parse().ok())?;
-        let whole = head + 4 + length;
-        while self.buffer.len() < whole {
+        let message_end = head_end + 4 + length;
+        while self.buffer.len() < message_end {
             match self.stream.read(&mut chunk).await {
                 Ok(0) | Err(_) => return None,
-                Ok(n) => self.buffer.extend_from_slice(&chunk[..n]),
+                Ok(count) => self.buffer.extend_from_slice(&chunk[..count]),
             }
         }
-        let body = self.buffer[head + 4..whole].to_vec();
-        self.buffer.drain(..whole);
+        let body = self.buffer[head_end + 4..message_end].to_vec();
+        self.buffer.drain(..message_end);
         Some(HttpMessage {
-            start_line: first,
+            start_line,
             headers,
             body,
             first_byte: first_byte.unwrap_or_else(|| self.stream.last_sent_at()),
         })
     }
 
-    /// Comes back once the other side has ended the connection, or has sent what nobody asked for.
+    /// Returns once the peer has ended the connection or has sent unexpected bytes.
     pub async fn closed_by_peer(&self) {
         let mut byte = [0; 1];
         let _ = self.stream.read(&mut byte).await;
     }
 
+    /// Returns false if the connection has ended or was reset.
     pub async fn write(&self, text: &str) -> bool {
         self.stream.write_all(text.as_bytes()).await.is_ok()
     }
--- a/crates/proof/nickelshed-lab/src/lie.rs
+++ b/crates/proof/nickelshed-lab/src/lie.rs
@@ -1,28 +1,33 @@
-//! Senders that lack a guard, made of the real one by lying to it: what it is told differs from what the judge sees. They
-//! show that the days meet what each guard is for, and that the judge hears of it.
+//! Mutations: senders with one guard removed. The guard is disabled from outside, by giving the unchanged
+//! sender other inputs than the checker sees. Each mutation shows that random scenarios reach the situation
+//! that the guard is for, and that the checker detects the violation.
 use nickelshed_judge::Rule;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Its folder is empty at each start, as if nothing had been written down.
+    /// The sender's folder is empty at each start, as if it had written no journal.
     ForgetsJournal,
-    /// Its list says that what drains or is gone is ready, as if it did not follow it.
+    /// The endpoint list shows draining and removed endpoints as ready, as if the sender ignored drains.
     IgnoresDrains,
-    /// Waits are left out of answers, as if it did not read them.
+    /// Answers omit `Retry-After`, as if the sender did not read it.
     IgnoresWaits,
-    /// It is told that cold destinations stand a thousand times as much, as if it had no ramp.
+    /// The settings allow an overload of 1,000 times the capacity of a destination in slow start, as if the
+    /// sender had no slow start.
     KnowsNoCold,
-    /// It is told that keys are held for an hour, as if it did not count their time.
+    /// The settings say that destinations remember keys for an hour, as if the sender did not track how long
+    /// they do.
     ForgetsWindow,
-    /// It is told that messages may run twice which may not.
+    /// The settings declare all messages safe to repeat, including those that must not run twice.
     RepeatsUnsafe,
-    /// Nobody hears its notices, as if it did not send them.
+    /// Notices are discarded on receipt, as if the sender did not send them.
     SendsNoNotices,
-    /// What it kept of destinations that are out is gone at each start.
+    /// The sender's file of destination outages is deleted at each start.
     ForgetsOutages,
-    /// It is told that every endpoint of a destination knows a repeat, where only one or one room does.
+    /// The settings say that every endpoint of a destination recognizes a repeat, where only one endpoint or
+    /// one site does.
     TrustsAllWithRepeats,
-    /// Its connections to endpoints stay open when it closes them, as if it went on without closing.
+    /// Connections to endpoints stay open when the sender closes them, as if it continued without cancelling
+    /// the calls.
     LeavesCallsOpen,
 }
 
@@ -40,7 +45,7 @@
         Mutation::LeavesCallsOpen,
     ];
 
-    /// The rule that the guard keeps.
+    /// Returns the rule that is violated when the guard is missing.
     pub fn violated_rule(self) -> Rule {
         match self {
             Mutation::ForgetsJournal | Mutation::SendsNoNotices => Rule::Lost,
--- a/crates/proof/nickelshed-lab/src/manner.rs
+++ b/crates/proof/nickelshed-lab/src/manner.rs
@@ -1,17 +1,17 @@
-//! How a day is played, beside its scenario and its seed.
+//! Options of a run, in addition to its scenario and its seed.
 use crate::crossings::Crossing;
 use crate::lie::Mutation;
 use crate::life::Cut;
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunOptions {
-    /// What its senders are lied to about.
+    /// The guard that is removed from the senders, if any.
     pub mutation: Option<Mutation>,
-    /// A process that ends in the middle of something, and is started again.
+    /// The point at which one sender's process is killed, if any. The process is restarted afterwards.
     pub kill: Option<Kill>,
-    /// Something that happens at a place of one sender.
+    /// The fault that is injected at one step of one sender, if any.
     pub fault_point: Option<Crossing>,
-    /// Over real loopback sockets, in real time.
+    /// Whether the run uses real loopback sockets and real time instead of the simulated network and clock.
     pub uses_real_sockets: bool,
 }
 
--- a/crates/proof/nickelshed-lab/src/net.rs
+++ b/crates/proof/nickelshed-lab/src/net.rs
@@ -1,5 +1,6 @@
-//! A network in memory, in Tokio's paused time: connections with latency, windows, ends and resets. Everything happens in
-//! one thread and in one order, so the same day is the same bytes.
+//! Simulated network in Tokio's paused time: byte streams with latency, a send window, half-close and resets,
+//! and datagrams. All events happen on one thread in a fixed order, so the same scenario and seed produce the
+//! same bytes.
 use crate::life::Life;
 use nickelshed_host::{Datagrams, Host, Listener, Stream};
 use std::cell::{Cell, RefCell};
@@ -14,9 +15,9 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, Instant, Sleep};
 
-/// Bytes that are under way in one direction at most.
+/// Maximum number of bytes in flight in one direction of a connection.
 const WINDOW_BYTES: usize = 64 << 10;
-/// Unix time at the start of every day, in milliseconds.
+/// Unix time at the start of every run, in milliseconds.
 const WALL_CLOCK_START_MS: i64 = 1_700_000_000_000;
 
 #[derive(Default)]
@@ -29,25 +30,28 @@
 struct Inner {
     started_at: Instant,
     listeners: RefCell<BTreeMap<SocketAddr, Rc<AcceptQueue>>>,
-    /// One way to or from an endpoint; all others are on one machine.
+    /// One-way latency of connections to endpoints and of datagrams. Other connections stay on one machine
+    /// and have none.
     latency: Duration,
-    /// So much the wall clocks have jumped, in milliseconds.
+    /// Offset that clock jumps have added to all wall clocks, in milliseconds.
     wall_clock_offset_ms: Cell<i64>,
-    /// Connections of senders that were refused: when, whose, and where to.
+    /// Refused connection attempts of senders: time, sender and target address.
     refused_connections: RefCell<Vec<(Instant, usize, SocketAddr)>>,
     partition: RefCell<Option<Partition>>,
     datagram_queues: RefCell<BTreeMap<SocketAddr, Rc<DatagramQueue>>>,
-    /// Datagrams that were sent to somebody.
+    /// Number of datagrams put into a receiver's queue. Datagrams without a receiver and dropped ones are not
+    /// counted.
     datagrams_sent: Cell<u64>,
 }
 
-/// Between which senders and addresses nothing arrives, and until when.
+/// A network partition: until `until`, nothing passes between the senders and addresses that `separates`
+/// selects.
 pub struct Partition {
     pub until: Instant,
     pub separates: Box<dyn Fn(usize, SocketAddr) -> bool>,
 }
 
-/// Whose connection it is, and where to.
+/// The sender and the endpoint address that a connection joins, by which partitions are looked up.
 #[derive(Clone)]
 struct Flow {
     network: SimNetwork,
@@ -56,13 +60,13 @@
 }
 
 impl Flow {
-    /// When it is whole again, if nothing passes now.
+    /// Returns the end of the partition that blocks this flow now, or None if traffic passes.
     fn partitioned_until(&self) -> Option<Instant> {
         self.network.partitioned_until(self.sender, self.to)
     }
 }
 
-/// All machines of a day.
+/// The simulated network that joins all machines of a run.
 #[derive(Clone)]
 pub struct SimNetwork(Rc<Inner>);
 
@@ -80,27 +84,28 @@
         }))
     }
 
-    /// Datagrams that were sent to somebody.
+    /// Number of datagrams put into a receiver's queue. Datagrams without a receiver and dropped ones are not
+    /// counted.
     pub fn datagrams_sent(&self) -> u64 {
         self.0.datagrams_sent.get()
     }
 
-    /// From now on nothing arrives there. What was under way has come.
-    pub fn set_partition(&self, severed: Partition) {
-        self.0.partition.replace(Some(severed));
+    /// Starts a partition, in place of any earlier one. Bytes already in flight still arrive.
+    pub fn set_partition(&self, partition: Partition) {
+        self.0.partition.replace(Some(partition));
     }
 
     fn partitioned_until(&self, sender: usize, to: SocketAddr) -> Option<Instant> {
-        let severed = self.0.partition.borrow();
-        let cut = severed.as_ref().filter(|s| s.until > Instant::now() && (s.separates)(sender, to))?;
-        Some(cut.until)
+        let partition = self.0.partition.borrow();
+        let active = partition.as_ref().filter(|p| p.until > Instant::now() && (p.separates)(sender, to))?;
+        Some(active.until)
     }
 
     pub fn started_at(&self) -> Instant {
         self.0.started_at
     }
 
-    /// So much the wall clocks have jumped, in milliseconds.
+    /// Offset that clock jumps have added to all wall clocks, in milliseconds.
     pub fn wall_clock_offset_ms(&self) -> i64 {
         self.0.wall_clock_offset_ms.get()
     }
@@ -109,12 +114,12 @@
         self.0.wall_clock_offset_ms.set(self.0.wall_clock_offset_ms.get() + ms);
     }
 
-    /// One of the machines; a sender's, if it has a life.
-    pub fn host(&self, life: Option<Rc<Life>>) -> SimHost {
-        SimHost { network: self.clone(), process_state: life, leaks_connections: false }
+    /// Returns the network interface of one machine. With a process state, the machine is that sender's.
+    pub fn host(&self, process_state: Option<Rc<Life>>) -> SimHost {
+        SimHost { network: self.clone(), process_state, leaks_connections: false }
     }
 
-    /// One way to or from an endpoint.
+    /// One-way latency to or from an endpoint.
     pub fn latency(&self) -> Duration {
         self.0.latency
     }
@@ -123,12 +128,12 @@
         self.0.refused_connections.borrow_mut().push((Instant::now(), sender, to));
     }
 
-    /// Connections of senders that were refused: when, whose, and where to.
+    /// Refused connection attempts of senders: time, sender and target address.
     pub fn refused_connections(&self) -> Vec<(Instant, usize, SocketAddr)> {
         self.0.refused_connections.borrow().clone()
     }
 
-    /// Nobody listens there any more; what waited to be accepted is closed.
+    /// Removes the listener at this address and closes the connections that it has not accepted yet.
     pub fn close_listener(&self, at: SocketAddr) {
         if let Some(queue) = self.0.listeners.borrow_mut().remove(&at) {
             queue.is_closed.set(true);
@@ -148,22 +153,23 @@
 pub struct SimHost {
     network: SimNetwork,
     process_state: Option<Rc<Life>>,
-    /// Its connections to endpoints stay open when they are closed here.
+    /// Whether connections to endpoints stay open at the endpoint after they are dropped here.
     leaks_connections: bool,
 }
 
-/// Endpoints lie in 127.2.0.0/16; the way there has latency.
+/// Whether the address belongs to an endpoint (127.2.0.0/16). Connections to endpoints have latency.
 pub fn is_endpoint_address(ip: IpAddr) -> bool {
     matches!(ip, IpAddr::V4(v4) if v4.octets()[1] == 2)
 }
 
-/// Does something as a step of a process; None if that has ended, also just before. What is nobody's has no steps.
-fn as_step<T>(life: Option<&Rc<Life>>, act: impl FnOnce() -> T) -> Option<T> {
-    let Some(life) = life else { return Some(act()) };
-    let step = life.step()?;
-    let done = act();
-    life.stepped(step);
-    Some(done)
+/// Runs `act` as one numbered step of a sender's process. Returns None without running it if the process has
+/// ended or is killed just before this step. Without a process state, `act` runs uncounted.
+fn as_step<T>(process_state: Option<&Rc<Life>>, act: impl FnOnce() -> T) -> Option<T> {
+    let Some(process_state) = process_state else { return Some(act()) };
+    let step = process_state.step()?;
+    let result = act();
+    process_state.stepped(step);
+    Some(result)
 }
 
 impl SimHost {
@@ -172,33 +178,33 @@
     }
 
     async fn open_connection(&self, to: SocketAddr) -> io::Result<SimStream> {
-        let far = is_endpoint_address(to.ip());
-        let latency = if far { self.network.0.latency } else { Duration::ZERO };
+        let is_endpoint = is_endpoint_address(to.ip());
+        let latency = if is_endpoint { self.network.0.latency } else { Duration::ZERO };
         if latency > Duration::ZERO {
             sleep(latency).await;
         }
-        let sender = self.process_state.as_ref().map(|life| life.sender).filter(|_| far);
-        let way = sender.map(|sender| Flow { network: self.network.clone(), sender, to });
-        if let Some(until) = way.as_ref().and_then(Flow::partitioned_until) {
+        let sender = self.process_state.as_ref().map(|process| process.sender).filter(|_| is_endpoint);
+        let flow = sender.map(|sender| Flow { network: self.network.clone(), sender, to });
+        if let Some(until) = flow.as_ref().and_then(Flow::partitioned_until) {
             sleep_until(until).await;
         }
         let queue = self.network.0.listeners.borrow().get(&to).cloned();
-        let made = queue.map(|queue| {
-            let (mut here, mut there) = SimStream::pair(latency);
-            (here.flow, there.flow) = (way.clone(), way);
-            here.is_leaked = self.leaks_connections && is_endpoint_address(to.ip());
-            here.process_state.clone_from(&self.process_state);
-            queue.pending.borrow_mut().push_back(there);
+        let connected = queue.map(|queue| {
+            let (mut local, mut remote) = SimStream::pair(latency);
+            (local.flow, remote.flow) = (flow.clone(), flow);
+            local.is_leaked = self.leaks_connections && is_endpoint_address(to.ip());
+            local.process_state.clone_from(&self.process_state);
+            queue.pending.borrow_mut().push_back(remote);
             wake(&queue.waker);
-            here
+            local
         });
         if latency > Duration::ZERO {
             sleep(latency).await;
         }
-        if let (None, Some(life)) = (&made, &self.process_state) {
-            self.network.record_refused_connection(life.sender, to);
+        if let (None, Some(process)) = (&connected, &self.process_state) {
+            self.network.record_refused_connection(process.sender, to);
         }
-        made.ok_or(ErrorKind::ConnectionRefused.into())
+        connected.ok_or(ErrorKind::ConnectionRefused.into())
     }
 }
 
@@ -208,12 +214,12 @@
     type Datagrams = SimDatagrams;
 
     async fn connect(&self, to: SocketAddr) -> io::Result<SimStream> {
-        let Some(life) = &self.process_state else { return self.open_connection(to).await };
-        // None: its process has ended.
-        let Some(step) = life.step() else { return std::future::pending().await };
-        let made = self.open_connection(to).await;
-        life.stepped(step);
-        made
+        let Some(process) = &self.process_state else { return self.open_connection(to).await };
+        // The process has ended, so the call never completes.
+        let Some(step) = process.step() else { return std::future::pending().await };
+        let connected = self.open_connection(to).await;
+        process.stepped(step);
+        connected
     }
 
     async fn listen(&self, at: SocketAddr) -> io::Result<SimListener> {
@@ -232,22 +238,22 @@
     }
 
     async fn datagrams(&self, at: SocketAddr) -> io::Result<SimDatagrams> {
-        let mut ports = self.network.0.datagram_queues.borrow_mut();
-        if ports.contains_key(&at) {
+        let mut queues = self.network.0.datagram_queues.borrow_mut();
+        if queues.contains_key(&at) {
             return Err(ErrorKind::AddrInUse.into());
         }
-        let port = Rc::<DatagramQueue>::default();
-        ports.insert(at, port.clone());
+        let queue = Rc::<DatagramQueue>::default();
+        queues.insert(at, queue.clone());
         Ok(SimDatagrams {
             network: self.network.clone(),
             process_state: self.process_state.clone(),
             address: at,
-            queue: port,
+            queue,
         })
     }
 
     fn monotonic(&self) -> Instant {
-        self.process_state.as_ref().map_or_else(Instant::now, |life| life.leaves())
+        self.process_state.as_ref().map_or_else(Instant::now, |process| process.leaves())
     }
 
     fn wall_ms(&self) -> i64 {
@@ -257,7 +263,7 @@
     }
 }
 
-/// Datagrams that wait at a socket at most; more are lost.
+/// Maximum number of datagrams queued at a socket. Further ones are dropped.
 const DATAGRAM_QUEUE_MAX: usize = 256;
 
 #[derive(Default)]
@@ -275,35 +281,36 @@
 
 impl Datagrams for SimDatagrams {
     fn send(&self, bytes: &[u8], to: SocketAddr) {
-        if let Some(life) = &self.process_state {
-            // One that has ended sends nothing, and what is cut off in the middle of it never leaves.
-            if life.send(bytes.len()) < bytes.len()
-                || self.network.partitioned_until(life.sender, to).is_some()
+        if let Some(process) = &self.process_state {
+            // A process that has ended sends nothing, and a datagram in the middle of which it is killed is
+            // not sent.
+            if process.send(bytes.len()) < bytes.len()
+                || self.network.partitioned_until(process.sender, to).is_some()
             {
                 return;
             }
         }
-        let Some(port) = self.network.0.datagram_queues.borrow().get(&to).cloned() else { return };
-        let mut waiting = port.pending.borrow_mut();
-        if waiting.len() < DATAGRAM_QUEUE_MAX {
-            let sent = self.process_state.as_ref().map_or_else(Instant::now, |life| life.leaves());
-            waiting.push_back((sent + self.network.0.latency, self.address, bytes.to_vec()));
+        let Some(queue) = self.network.0.datagram_queues.borrow().get(&to).cloned() else { return };
+        let mut pending = queue.pending.borrow_mut();
+        if pending.len() < DATAGRAM_QUEUE_MAX {
+            let sent_at = self.process_state.as_ref().map_or_else(Instant::now, |process| process.leaves());
+            pending.push_back((sent_at + self.network.0.latency, self.address, bytes.to_vec()));
             self.network.0.datagrams_sent.set(self.network.0.datagrams_sent.get() + 1);
-            port.arrival.notify_one();
+            queue.arrival.notify_one();
         }
     }
 
     async fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         loop {
-            let next = self.queue.pending.borrow().front().map(|(arrives, ..)| *arrives);
+            let next = self.queue.pending.borrow().front().map(|(arrives_at, ..)| *arrives_at);
             match next {
-                Some(at) if at <= Instant::now() => {
+                Some(arrives_at) if arrives_at <= Instant::now() => {
                     let Some((_, from, data)) = self.queue.pending.borrow_mut().pop_front() else { continue };
                     let length = data.len().min(buffer.len());
                     buffer[..length].copy_from_slice(&data[..length]);
                     return Ok((length, from));
                 }
-                Some(at) => sleep_until(at).await,
+                Some(arrives_at) => sleep_until(arrives_at).await,
                 None => self.queue.arrival.notified().await,
             }
         }
@@ -312,9 +319,9 @@
 
 impl Drop for SimDatagrams {
     fn drop(&mut self) {
-        let mut ports = self.network.0.datagram_queues.borrow_mut();
-        if ports.get(&self.address).is_some_and(|port| Rc::ptr_eq(port, &self.queue)) {
-            ports.remove(&self.address);
+        let mut queues = self.network.0.datagram_queues.borrow_mut();
+        if queues.get(&self.address).is_some_and(|queue| Rc::ptr_eq(queue, &self.queue)) {
+            queues.remove(&self.address);
         }
     }
 }
@@ -351,9 +358,9 @@
 
 impl Drop for SimListener {
     fn drop(&mut self) {
-        let ours =
+        let is_registered =
             self.network.0.listeners.borrow().get(&self.address).is_some_and(|q| Rc::ptr_eq(q, &self.queue));
-        if ours {
+        if is_registered {
             self.network.close_listener(self.address);
         }
     }
@@ -371,10 +378,10 @@
 struct Pipe {
     segments: VecDeque<Segment>,
     bytes_in_flight: usize,
-    /// The end of the sending: when it was made, and when it arrives.
+    /// When the writer ended the stream, and when that reaches the reader.
     end_of_stream: Option<(Instant, Instant)>,
     reset_at: Option<Instant>,
-    /// Nobody reads any more.
+    /// Whether the reading end has been dropped.
     reader_closed: bool,
     reader_waker: Option<Waker>,
     writer_waker: Option<Waker>,
@@ -404,12 +411,12 @@
     input: Rc<RefCell<Pipe>>,
     output: Rc<RefCell<Pipe>>,
     latency: Duration,
-    /// When the bytes that were read last were written.
+    /// When the peer wrote the bytes that were read last.
     last_sent_at: Cell<Instant>,
-    /// Of the process that has this end, if that is a sender's.
+    /// State of the process that owns this end, if it is a sender's.
     process_state: Option<Rc<Life>>,
     is_leaked: bool,
-    /// None where nothing can come between.
+    /// None for connections that partitions do not affect.
     flow: Option<Flow>,
 }
 
@@ -428,32 +435,34 @@
         (stream(&a, &b), stream(&b, &a))
     }
 
-    /// When what is sent now departure_time the machine.
-    fn leaves(&self) -> Instant {
-        self.process_state.as_ref().map_or_else(Instant::now, |life| life.leaves())
+    /// Time at which bytes written now leave the machine: later than now while the process is stalled on its
+    /// disk.
+    fn departure_time(&self) -> Instant {
+        self.process_state.as_ref().map_or_else(Instant::now, |process| process.leaves())
     }
 
-    /// When what is sent then arrives.
-    fn arrival_time(&self, sent: Instant) -> Instant {
-        self.flow.as_ref().and_then(Flow::partitioned_until).map_or(sent, |until| until.max(sent))
+    /// Time at which bytes sent at `sent` arrive: after the end of a current partition and the latency.
+    fn arrival_time(&self, sent_at: Instant) -> Instant {
+        self.flow.as_ref().and_then(Flow::partitioned_until).map_or(sent_at, |until| until.max(sent_at))
             + self.latency
     }
 
-    /// Whether nothing passes now.
+    /// Whether a partition blocks the connection now.
     pub fn is_partitioned(&self) -> bool {
-        self.flow.as_ref().is_some_and(|way| way.partitioned_until().is_some())
+        self.flow.as_ref().is_some_and(|flow| flow.partitioned_until().is_some())
     }
 
-    /// When the other side wrote what was read last, or ended its sending if that has come.
+    /// When the peer wrote the bytes that were read last, or ended the stream if that end has been read.
     pub fn last_sent_at(&self) -> Instant {
         self.last_sent_at.get()
     }
 
-    /// When the other side ended its sending, whether or not that has come: what only the judge may know.
+    /// When the peer ended or reset the connection, even if that has not arrived here yet. Only the event
+    /// history that the checker reads may use it, because no real endpoint could know it yet.
     pub fn peer_ended_at(&self) -> Option<Instant> {
-        let pipe = self.input.borrow();
-        let reset = pipe.reset_at.map(|at| at - self.latency);
-        [pipe.end_of_stream.map(|(sent, _)| sent), reset].into_iter().flatten().min()
+        let input = self.input.borrow();
+        let reset_sent_at = input.reset_at.map(|at| at - self.latency);
+        [input.end_of_stream.map(|(sent_at, _)| sent_at), reset_sent_at].into_iter().flatten().min()
     }
 
     pub async fn read(&self, buffer: &mut [u8]) -> io::Result<usize> {
@@ -462,13 +471,13 @@
 
     pub async fn write_all(&self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
-            let n = poll_fn(|cx| self.poll_write(cx, &[IoSlice::new(bytes)])).await?;
-            bytes = &bytes[n..];
+            let written = poll_fn(|cx| self.poll_write(cx, &[IoSlice::new(bytes)])).await?;
+            bytes = &bytes[written..];
         }
         Ok(())
     }
 
-    /// The other side sees a reset, whatever is under way.
+    /// Resets the connection. Bytes in flight to the peer are discarded.
     pub fn reset(&self) {
         let mut output = self.output.borrow_mut();
         output.segments.clear();
@@ -483,34 +492,35 @@
         let pipe = &mut *pipe;
         loop {
             let now = Instant::now();
-            if pipe.reset_at.is_some_and(|at| at <= now) {
+            if pipe.reset_at.is_some_and(|event_at| event_at <= now) {
                 self.last_sent_at.set(now - self.latency);
                 return Poll::Ready(Err(ErrorKind::ConnectionReset.into()));
             }
             if let Some(segment) = pipe.segments.front_mut().filter(|s| s.arrives_at <= now) {
-                let n = buffer.len().min(segment.bytes.len() - segment.bytes_read);
-                buffer[..n].copy_from_slice(&segment.bytes[segment.bytes_read..segment.bytes_read + n]);
-                segment.bytes_read += n;
+                let count = buffer.len().min(segment.bytes.len() - segment.bytes_read);
+                buffer[..count]
+                    .copy_from_slice(&segment.bytes[segment.bytes_read..segment.bytes_read + count]);
+                segment.bytes_read += count;
                 self.last_sent_at.set(segment.sent_at);
                 if segment.bytes_read == segment.bytes.len() {
                     pipe.segments.pop_front();
                 }
-                pipe.bytes_in_flight -= n;
+                pipe.bytes_in_flight -= count;
                 pipe.wake_writer();
-                return Poll::Ready(Ok(n));
+                return Poll::Ready(Ok(count));
             }
             if let Some((sent, _)) =
-                pipe.end_of_stream.filter(|(_, at)| pipe.segments.is_empty() && *at <= now)
+                pipe.end_of_stream.filter(|(_, event_at)| pipe.segments.is_empty() && *event_at <= now)
             {
                 self.last_sent_at.set(sent);
                 return Poll::Ready(Ok(0));
             }
             pipe.reader_waker = Some(cx.waker().clone());
-            let Some(at) = pipe.next_event_at() else { return Poll::Pending };
-            if pipe.timer.as_ref().is_none_or(|alarm| alarm.deadline() != at) {
-                pipe.timer = Some(Box::pin(sleep_until(at)));
+            let Some(event_at) = pipe.next_event_at() else { return Poll::Pending };
+            if pipe.timer.as_ref().is_none_or(|timer| timer.deadline() != event_at) {
+                pipe.timer = Some(Box::pin(sleep_until(event_at)));
             }
-            match pipe.timer.as_mut().map(|alarm| alarm.as_mut().poll(cx)) {
+            match pipe.timer.as_mut().map(|timer| timer.as_mut().poll(cx)) {
                 Some(Poll::Ready(())) => pipe.timer = None,
                 _ => return Poll::Pending,
             }
@@ -527,49 +537,49 @@
             return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
         }
         if pipe.reader_closed {
-            // What comes there is answered by a reset.
-            let back = self.arrival_time(now) + self.latency;
+            // The peer answers data on a closed connection with a reset, which arrives one round trip later.
+            let reset_arrives_at = self.arrival_time(now) + self.latency;
             drop(pipe);
             let mut input = self.input.borrow_mut();
-            input.reset_at.get_or_insert(back);
+            input.reset_at.get_or_insert(reset_arrives_at);
             input.wake_reader();
             return Poll::Ready(Ok(parts.iter().map(|p| p.len()).sum()));
         }
-        let room = WINDOW_BYTES - pipe.bytes_in_flight.min(WINDOW_BYTES);
-        if room == 0 {
+        let capacity = WINDOW_BYTES - pipe.bytes_in_flight.min(WINDOW_BYTES);
+        if capacity == 0 {
             pipe.writer_waker = Some(cx.waker().clone());
             return Poll::Pending;
         }
         let mut bytes: Vec<u8> = Vec::new();
         for part in parts {
-            bytes.extend_from_slice(&part[..part.len().min(room - bytes.len())]);
+            bytes.extend_from_slice(&part[..part.len().min(capacity - bytes.len())]);
         }
-        let n = self.process_state.as_ref().map_or(bytes.len(), |life| life.send(bytes.len()));
-        if n == 0 && !bytes.is_empty() {
-            // Its process has ended.
+        let count = self.process_state.as_ref().map_or(bytes.len(), |process| process.send(bytes.len()));
+        if count == 0 && !bytes.is_empty() {
+            // The process has ended.
             return Poll::Pending;
         }
-        bytes.truncate(n);
-        if n > 0 {
-            let sent = self.leaves();
-            pipe.bytes_in_flight += n;
+        bytes.truncate(count);
+        if count > 0 {
+            let sent_at = self.departure_time();
+            pipe.bytes_in_flight += count;
             pipe.segments.push_back(Segment {
-                sent_at: sent,
-                arrives_at: self.arrival_time(sent),
+                sent_at,
+                arrives_at: self.arrival_time(sent_at),
                 bytes,
                 bytes_read: 0,
             });
             pipe.wake_reader();
         }
-        Poll::Ready(Ok(n))
+        Poll::Ready(Ok(count))
     }
 }
 
 impl Stream for SimStream {
     fn poll_read(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
-        // Waiting for bytes is no step.
-        let life = self.process_state.as_ref().filter(|_| self.has_news());
-        as_step(life, || self.read_now(cx, buffer)).unwrap_or(Poll::Pending)
+        // A read counts as a step only if bytes, the end of the stream or a reset have arrived.
+        let process = self.process_state.as_ref().filter(|_| self.has_news());
+        as_step(process, || self.read_now(cx, buffer)).unwrap_or(Poll::Pending)
     }
 
     fn poll_write(&self, cx: &mut Context<'_>, parts: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
@@ -582,8 +592,8 @@
 
     fn end_sending(&self) -> io::Result<()> {
         let mut pipe = self.output.borrow_mut();
-        let sent = self.leaves();
-        pipe.end_of_stream.get_or_insert((sent, self.arrival_time(sent)));
+        let sent_at = self.departure_time();
+        pipe.end_of_stream.get_or_insert((sent_at, self.arrival_time(sent_at)));
         pipe.wake_reader();
         Ok(())
     }
@@ -594,12 +604,12 @@
         if self.is_leaked {
             return;
         }
-        let unread = self.has_news() && !self.input.borrow().segments.is_empty();
+        let has_unread = self.has_news() && !self.input.borrow().segments.is_empty();
         let mut input = self.input.borrow_mut();
         input.reader_closed = true;
         input.wake_writer();
         drop(input);
-        if unread {
+        if has_unread {
             self.reset();
         }
         let _ = self.end_sending();
--- a/crates/proof/nickelshed-lab/src/process.rs
+++ b/crates/proof/nickelshed-lab/src/process.rs
@@ -1,4 +1,5 @@
-//! One sender's machine over a day: its process is started, told, ended in the middle of something, and started again.
+//! Runs one sender's machine: starts its process, delivers signals, stops the process at injected kill
+//! points, and restarts it.
 use crate::folder::Folder;
 use crate::lie::Mutation;
 use crate::stands::sender_address;
@@ -18,12 +19,12 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Where a sender keeps who is out.
+/// File in which a sender persists the outages of its destinations.
 const OUTAGES_FILE: &str = "outages";
-/// From a kill to the next start.
+/// Time from the end of a process to the next start.
 const RESTART_DELAY: Duration = Duration::from_millis(600);
 
-/// What a sender's process is told from outside.
+/// What happens to a sender's process from outside: signals and pauses.
 #[derive(Clone, Copy, Debug)]
 pub enum ProcessControl {
     Terminate,
@@ -32,136 +33,136 @@
     Hangup,
 }
 
-/// A sender's process, as the day's troubles reach it.
+/// Handle through which injected faults reach a sender's process.
 pub struct ProcessHandle {
     pub control: mpsc::UnboundedSender<ProcessControl>,
     pub environment: Rc<RefCell<EnvironmentVariables>>,
     pub is_ready: Rc<Cell<bool>>,
 }
 
-/// One sender's machine over the whole day: its process is started, told, killed and started again.
+/// Runs one sender's machine for the whole run: starts its process, delivers signals, and restarts it
+/// whenever it ends.
 pub async fn run_machine(
-    world: Rc<Simulation>,
+    sim: Rc<Simulation>,
     sender: usize,
-    told: Rc<RefCell<EnvironmentVariables>>,
-    up: Rc<Cell<bool>>,
+    environment: Rc<RefCell<EnvironmentVariables>>,
+    is_ready: Rc<Cell<bool>>,
     mut control: mpsc::UnboundedReceiver<ProcessControl>,
 ) {
     let mut disk = Disk::new();
-    let life = world.process_states[sender].clone();
+    let process_state = sim.process_states[sender].clone();
     loop {
         disk.restart();
-        life.begin();
-        match world.mutation {
+        process_state.begin();
+        match sim.mutation {
             Some(Mutation::ForgetsJournal) => disk = Disk::new(),
-            // It may not be there yet.
+            // The file may not exist yet.
             Some(Mutation::ForgetsOutages) => _ = disk.remove(OUTAGES_FILE),
             _ => {}
         }
-        let (end, ended) = oneshot::channel::<()>();
-        let (hangup, hangups) = mpsc::channel(1);
-        let end = Cell::new(Some(end));
+        let (shutdown, shutdown_requested) = oneshot::channel::<()>();
+        let (reload, reload_requests) = mpsc::channel(1);
+        let shutdown = Cell::new(Some(shutdown));
         let signals = Signals {
             shutdown: Box::pin(async move {
-                if ended.await.is_err() {
+                if shutdown_requested.await.is_err() {
                     std::future::pending::<()>().await;
                 }
             }),
-            reloads: hangups,
+            reloads: reload_requests,
         };
-        write_known_list(&told, world.known_list(sender));
-        let host = world.network.host(Some(life.clone()));
+        write_known_list(&environment, sim.known_list(sender));
+        let host = sim.network.host(Some(process_state.clone()));
         let host =
-            if world.mutation == Some(Mutation::LeavesCallsOpen) { host.leaking_connections() } else { host };
-        let (form, folder) = (
-            ConfigSource::InMemory(Operator::default(), told.clone()),
-            Folder::new(disk.clone(), life.clone()),
+            if sim.mutation == Some(Mutation::LeavesCallsOpen) { host.leaking_connections() } else { host };
+        let (config_source, folder) = (
+            ConfigSource::InMemory(Operator::default(), environment.clone()),
+            Folder::new(disk.clone(), process_state.clone()),
         );
         let mut process: Pin<Box<dyn Future<Output = Result<(), String>>>> = Box::pin(async move {
-            // Dropped with the process, and all its tasks with it.
+            // The task set is dropped with the process, which ends all tasks of the process.
             let tasks = LocalSet::new();
-            tasks.run_until(serve(&form, host, signals, |_| folder)).await
+            tasks.run_until(serve(&config_source, host, signals, |_| folder)).await
         });
-        let health = spawn_local(wait_until_ready(world.clone(), sender, up.clone()));
+        let readiness_check = spawn_local(wait_until_ready(sim.clone(), sender, is_ready.clone()));
         let result = loop {
-            if life.is_dead() {
-                world.record(What::Going { sender });
+            if process_state.is_dead() {
+                sim.record(What::Going { sender });
                 break None;
             }
-            if let Some(until) = life.still() {
-                // Not even a kill reaches a process in the middle of an operation on its disk.
+            if let Some(until) = process_state.still() {
+                // A process that is blocked in a disk operation cannot even be killed.
                 let time = until.saturating_duration_since(Instant::now()).as_micros() as Us;
-                world.record(What::Stopped { sender, time });
+                sim.record(What::Stopped { sender, time });
                 sleep_until(until).await;
             }
             tokio::select! {
                 biased;
-                () = life.befallen() => {}
-                told = control.recv() => match told {
+                () = process_state.befallen() => {}
+                signal = control.recv() => match signal {
                     None => return,
                     Some(ProcessControl::Terminate) => {
-                        world.record(What::Going { sender });
-                        up.set(false);
-                        if let Some(end) = end.take() {
-                            let _ = end.send(());
+                        sim.record(What::Going { sender });
+                        is_ready.set(false);
+                        if let Some(shutdown) = shutdown.take() {
+                            let _ = shutdown.send(());
                         }
                     }
                     Some(ProcessControl::Kill) => {
-                        world.record(What::Going { sender });
+                        sim.record(What::Going { sender });
                         break None;
                     }
-                    // Nothing of it is polled meanwhile.
+                    // Nothing of the process is polled during the pause.
                     Some(ProcessControl::Pause(time)) => {
-                        world.record(What::Stopped { sender, time: time.as_micros() as Us });
+                        sim.record(What::Stopped { sender, time: time.as_micros() as Us });
                         sleep(time).await;
                     }
-                    Some(ProcessControl::Hangup) => _ = hangup.try_send(()),
+                    Some(ProcessControl::Hangup) => _ = reload.try_send(()),
                 },
-                // What one in the middle of its end says counts for nothing.
-                result = &mut process, if !life.is_dead() => {
-                    if !life.is_dead() {
+                // The result of a process that reaches an injected kill point does not count: the process was
+                // killed before it could return.
+                result = &mut process, if !process_state.is_dead() => {
+                    if !process_state.is_dead() {
                         break Some(result);
                     }
                 }
             }
         };
         drop(process);
-        world.record(What::Ended { sender });
-        health.abort();
-        up.set(false);
+        sim.record(What::Ended { sender });
+        readiness_check.abort();
+        is_ready.set(false);
         if let Some(Err(error)) = &result {
-            world
-                .crashes
-                .borrow_mut()
-                .push(format!("sender {sender} at {} ms: {error}", world.now() / 1_000));
-            world.record(What::Going { sender });
+            sim.crashes.borrow_mut().push(format!("sender {sender} at {} ms: {error}", sim.now() / 1_000));
+            sim.record(What::Going { sender });
         }
-        if result.is_some() && end.take().is_none() {
-            // It has ended as it was told; its machine kills what is left, and starts it again.
+        if result.is_some() && shutdown.take().is_none() {
+            // The process has exited after SIGTERM. The machine waits for the SIGKILL that follows, then
+            // restarts it.
             while !matches!(control.recv().await, Some(ProcessControl::Kill) | None) {}
         }
         sleep(RESTART_DELAY).await;
     }
 }
 
-/// Writes the list that a process knows at its start into its configuration.
-fn write_known_list(told: &RefCell<EnvironmentVariables>, known: Value) {
-    let config = &mut told.borrow_mut().config;
+/// Writes the endpoint list with which a process starts into its configuration.
+fn write_known_list(environment: &RefCell<EnvironmentVariables>, known: Value) {
+    let config = &mut environment.borrow_mut().config;
     let mut value: Value = serde_json::from_str(config).expect("a configuration is JSON");
     value["known"] = known;
     *config = value.to_string();
 }
 
-/// Notes when a sender may be used.
-async fn wait_until_ready(world: Rc<Simulation>, sender: usize, up: Rc<Cell<bool>>) {
-    let host = world.network.host(None);
+/// Polls a sender's health check until it succeeds, then records that the sender is ready.
+async fn wait_until_ready(sim: Rc<Simulation>, sender: usize, is_ready: Rc<Cell<bool>>) {
+    let host = sim.network.host(None);
     loop {
         if let Ok(stream) = host.connect(sender_address(sender)).await {
-            let mut link = crate::http::HttpConnection::new(stream);
-            link.write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").await;
-            if link.read().await.is_some_and(|a| a.status() == 200) {
-                up.set(true);
-                return world.record(What::Up { sender });
+            let mut connection = crate::http::HttpConnection::new(stream);
+            connection.write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").await;
+            if connection.read().await.is_some_and(|a| a.status() == 200) {
+                is_ready.set(true);
+                return sim.record(What::Up { sender });
             }
         }
         sleep(Duration::from_millis(10)).await;
--- a/crates/proof/nickelshed-lab/src/rude.rs
+++ b/crates/proof/nickelshed-lab/src/rude.rs
@@ -1,4 +1,5 @@
-//! Clients that send what can't be read, half of it, or slowly. Nothing of it may be taken on, and nobody else may notice.
+//! Clients that send malformed or incomplete requests, and then close or keep the connection open. The sender
+//! must accept none of these requests, and other clients must not be affected.
 use crate::http::HttpConnection;
 use crate::stands::sender_address;
 use crate::world::Simulation;
@@ -10,11 +11,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long one that says nothing more stays.
+/// Time for which a malformed client waits for an answer before it closes its connection.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 const ARRIVAL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Requests that are none. `{class}` stands for a class that there is.
+/// Malformed requests. `{class}` is replaced by the name of an existing class.
 const MALFORMED_REQUESTS: [&str; 16] = [
     "",
     "\r\n\r\n",
@@ -34,27 +35,27 @@
     "\u{16}\u{3}\u{1}\u{2}\0\u{1}\0\u{1}\u{fc}\u{3}\u{3} a handshake for somebody else",
 ];
 
-/// As long as the trouble lasts, `size` of them come to each sender every tenth of a second.
-pub async fn send_malformed_requests(world: Rc<Simulation>, trouble: Trouble, seed: u64) {
+/// Sends `size` malformed requests to each sender every 100 ms while the fault lasts.
+pub async fn send_malformed_requests(sim: Rc<Simulation>, fault: Trouble, seed: u64) {
     let mut random = stream(seed, 5);
-    let until = world.to_instant(trouble.to());
-    let class = world.scenario.mix().first().map_or(String::new(), |c| c.name.clone());
+    let until = sim.to_instant(fault.to());
+    let class = sim.scenario.mix().first().map_or(String::new(), |c| c.name.clone());
     while Instant::now() < until {
-        for sender in 0..world.scenario.senders as usize {
-            for _ in 0..trouble.size.round().max(1.0) as usize {
-                let text = random_request(&mut random, &class);
-                let ends = random.random::<bool>();
-                spawn_local(send_malformed_request(world.clone(), sender, text, ends));
+        for sender in 0..sim.scenario.senders as usize {
+            for _ in 0..fault.size.round().max(1.0) as usize {
+                let bytes = random_request(&mut random, &class);
+                let ends_sending = random.random::<bool>();
+                spawn_local(send_malformed_request(sim.clone(), sender, bytes, ends_sending));
             }
         }
         sleep(ARRIVAL_INTERVAL).await;
     }
 }
 
-/// One of the forms, or bytes of chance.
+/// Returns one of the malformed requests, or random bytes.
 fn random_request(random: &mut Random, class: &str) -> Vec<u8> {
-    let form = random.random_range(0..=MALFORMED_REQUESTS.len());
-    match MALFORMED_REQUESTS.get(form) {
+    let choice = random.random_range(0..=MALFORMED_REQUESTS.len());
+    match MALFORMED_REQUESTS.get(choice) {
         Some(text) => text.replace("{class}", class).into_bytes(),
         None => {
             let mut bytes = vec![0; random.random_range(1..2_000)];
@@ -64,17 +65,19 @@
     }
 }
 
-async fn send_malformed_request(world: Rc<Simulation>, sender: usize, text: Vec<u8>, ends: bool) {
-    let Ok(stream) = world.network.host(None).connect(sender_address(sender)).await else { return };
-    if stream.write_all(&text).await.is_err() || ends && stream.end_sending().is_err() {
+async fn send_malformed_request(sim: Rc<Simulation>, sender: usize, bytes: Vec<u8>, ends_sending: bool) {
+    let Ok(stream) = sim.network.host(None).connect(sender_address(sender)).await else { return };
+    if stream.write_all(&bytes).await.is_err() || ends_sending && stream.end_sending().is_err() {
         return;
     }
-    let mut link = HttpConnection::new(stream);
-    let answer = timeout(ANSWER_TIMEOUT, link.read()).await;
+    let mut connection = HttpConnection::new(stream);
+    let answer = timeout(ANSWER_TIMEOUT, connection.read()).await;
     if let Ok(Some(answer)) = answer {
         if matches!(answer.status(), 200 | 202) {
-            let what = String::from_utf8_lossy(&text).into_owned();
-            world.crashes.borrow_mut().push(format!("sender {sender} took on what is no message: {what:?}"));
+            let request = String::from_utf8_lossy(&bytes).into_owned();
+            sim.crashes
+                .borrow_mut()
+                .push(format!("sender {sender} accepted a malformed request: {request:?}"));
         }
     }
 }
--- a/crates/proof/nickelshed-lab/src/sockets.rs
+++ b/crates/proof/nickelshed-lab/src/sockets.rs
@@ -1,5 +1,5 @@
-//! Real loopback sockets under the names of the simulated machines: each address is a port that the kernel gave. The same
-//! stand-ins and the same sender run over them in real time.
+//! Real loopback sockets behind the addresses of the simulated machines: each simulated address maps to a
+//! port that the kernel assigns. The same fake servers and the same sender run over them in real time.
 use crate::life::Life;
 use crate::net::{is_endpoint_address, SimNetwork};
 use nickelshed_host::{Host, Machine, Stream};
@@ -21,12 +21,12 @@
     waker: RefCell<Option<Waker>>,
 }
 
-/// Who listens where.
+/// Open listeners by simulated address.
 #[derive(Clone, Default)]
 pub struct ListenerRegistry(Rc<RefCell<BTreeMap<SocketAddr, Rc<OpenListener>>>>);
 
 impl ListenerRegistry {
-    /// Nobody listens there any more.
+    /// Removes the listener at this address.
     pub fn close_listener(&self, at: SocketAddr) {
         if let Some(open) = self.0.borrow_mut().remove(&at) {
             open.is_closed.set(true);
@@ -55,16 +55,16 @@
 
     pub async fn connect(&self, to: SocketAddr) -> io::Result<SocketStream> {
         sleep(2 * self.latency(to)).await;
-        let at = self.listeners.0.borrow().get(&to).and_then(|open| open.bound_address);
-        let made = match at {
-            Some(at) => Machine.connect(at).await,
+        let bound_address = self.listeners.0.borrow().get(&to).and_then(|open| open.bound_address);
+        let connected = match bound_address {
+            Some(bound_address) => Machine.connect(bound_address).await,
             None => Err(ErrorKind::ConnectionRefused.into()),
         };
-        if let (Err(_), Some(life)) = (&made, &self.process_state) {
-            self.network.record_refused_connection(life.sender, to);
+        if let (Err(_), Some(process)) = (&connected, &self.process_state) {
+            self.network.record_refused_connection(process.sender, to);
         }
-        // The way's time is taken at the endpoint's end.
-        made.map(|tcp| SocketStream::new(tcp, Duration::ZERO))
+        // The endpoint's end of the connection adds the latency.
+        connected.map(|tcp| SocketStream::new(tcp, Duration::ZERO))
     }
 
     pub async fn listen(&self, at: SocketAddr) -> io::Result<SocketListener> {
@@ -111,9 +111,9 @@
 
 impl Drop for SocketListener {
     fn drop(&mut self) {
-        let ours =
+        let is_registered =
             self.listeners.0.borrow().get(&self.address).is_some_and(|open| Rc::ptr_eq(open, &self.open));
-        if ours {
+        if is_registered {
             self.listeners.close_listener(self.address);
         }
     }
@@ -121,7 +121,7 @@
 
 pub struct SocketStream {
     tcp: TcpStream,
-    /// One way, where this is an endpoint's end.
+    /// One-way latency that this end adds; zero except at an endpoint's end.
     latency: Duration,
     last_read_at: Cell<Instant>,
     peer_ended_at: Cell<Option<Instant>>,
@@ -132,12 +132,12 @@
         SocketStream { tcp, latency, last_read_at: Cell::new(Instant::now()), peer_ended_at: Cell::new(None) }
     }
 
-    /// When what was read last came, near enough.
+    /// Time of the last read, which approximates when the peer sent those bytes.
     pub fn last_sent_at(&self) -> Instant {
         self.last_read_at.get()
     }
 
-    /// When the end of the other side was first seen.
+    /// When the end of the peer's stream, or a read error, was first seen.
     pub fn peer_ended_at(&self) -> Option<Instant> {
         self.peer_ended_at.get()
     }
@@ -161,7 +161,7 @@
         Ok(())
     }
 
-    /// The other side sees a reset once this is dropped.
+    /// Makes the connection end with a reset when this stream is dropped.
     pub fn reset(&self) {
         let _ = self.tcp.set_zero_linger();
     }
--- a/crates/proof/nickelshed-lab/src/stands.rs
+++ b/crates/proof/nickelshed-lab/src/stands.rs
@@ -1,4 +1,5 @@
-//! The stand-ins: endpoints, discovery with the platform's ear, and clients, each over the network of the day.
+//! Fake servers and clients around the senders: endpoints, discovery agents, which also receive the senders'
+//! notices, and clients.
 use crate::http::{HttpConnection, HttpMessage};
 use crate::lie::Mutation;
 use crate::wire::{LabHost, LabListener, LabStream};
@@ -6,7 +7,7 @@
 use base64::Engine;
 use nickelshed_config::sidecar::Effect;
 use nickelshed_host::{Host, Listener};
-use nickelshed_judge::{Effect as Judged, How, Us, What};
+use nickelshed_judge::{Effect as CheckedEffect, How, Us, What};
 use nickelshed_model::{Arrival, Call, Happened, Mix, System};
 use serde_json::{json, Value};
 use std::cell::RefCell;
@@ -16,33 +17,35 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// How long a client waits for its answer.
+/// Time after which a client disconnects if it has no answer. Impatient clients wait a tenth of it.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Delay before a client resubmits a message, unless the answer has a `Retry-After`.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Delay before an impatient client resubmits a message, whatever the `Retry-After`.
 const IMPATIENT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const CORRUPTED_ANSWER: &str = "HTP/1 ??? \u{1}\u{2} nothing that can be read\r\n\r\n";
 
-/// A new endpoint of a destination: at an address of its own, or in the place of one that has gone.
+/// Starts a new endpoint of a destination, at an address of its own or at that of the endpoint it replaces.
 pub async fn open_endpoint(
     sim: &Rc<Simulation>,
     dest: u64,
-    after: Option<&ListedEndpoint>,
+    replaced: Option<&ListedEndpoint>,
 ) -> (usize, ListedEndpoint) {
     let number = sim.next_endpoint.get();
     sim.next_endpoint.set(number + 1);
-    let own = loopback_ip(2, number);
-    let address = after.map_or(SocketAddr::from((own, 5000)), |old| old.address);
+    let ip = loopback_ip(2, number);
+    let address = replaced.map_or(SocketAddr::from((ip, 5000)), |old| old.address);
     sim.network.close_listener(address);
-    let room = after.map_or(sim.scenario.room(number), |old| old.site);
-    sim.endpoint_sites.borrow_mut().insert(number, room);
-    sim.destinations[&dest].system.borrow_mut().add(number, room);
+    let site = replaced.map_or(sim.scenario.room(number), |old| old.site);
+    sim.endpoint_sites.borrow_mut().insert(number, site);
+    sim.destinations[&dest].system.borrow_mut().add(number, site);
     listen(sim, dest, number, address).await;
-    (number, ListedEndpoint { name: format!("e-{number}"), address, dest, site: room, lifecycle: "Ready" })
+    (number, ListedEndpoint { name: format!("e-{number}"), address, dest, site: site, lifecycle: "Ready" })
 }
 
-/// Has an endpoint take connections.
+/// Makes an endpoint accept connections.
 pub async fn listen(sim: &Rc<Simulation>, dest: u64, number: usize, address: SocketAddr) {
-    // Nobody else has the address: it was closed before.
+    // Binding succeeds because any earlier listener at the address has been closed.
     if let Ok(listener) = sim.network.host(None).listen(address).await {
         spawn_local(accept_connections(sim.clone(), dest, number, listener));
     }
@@ -58,43 +61,43 @@
 }
 
 async fn serve_calls(sim: Rc<Simulation>, dest: u64, endpoint: usize, stream: LabStream) {
-    let mut link = HttpConnection::new(stream);
-    let (resets, closes) =
+    let mut connection = HttpConnection::new(stream);
+    let (reset_signal, idle_close_signal) =
         (&sim.destinations[&dest].reset_signal, &sim.destinations[&dest].idle_close_signal);
-    // The event of the last wait that was told, and when it has come.
-    let mut told: Option<(usize, Instant)> = None;
+    // Index of the event that reported the last `Retry-After`, and when that answer reaches the sender.
+    let mut reported_wait: Option<(usize, Instant)> = None;
     loop {
         let request = tokio::select! {
             biased;
-            () = resets.notified() => return link.stream.reset(),
-            () = closes.notified() => return,
-            request = link.read() => match request {
+            () = reset_signal.notified() => return connection.stream.reset(),
+            () = idle_close_signal.notified() => return,
+            request = connection.read() => match request {
                 Some(request) => request,
                 None => {
-                    // A sender that had closed before it came was not told.
-                    let closed = link.stream.peer_ended_at();
-                    if let Some((event, _)) = told.filter(|(_, at)| closed.is_some_and(|c| c < *at)) {
+                    // A sender that closed before the answer arrived has not received the `Retry-After`.
+                    let closed_at = connection.stream.peer_ended_at();
+                    if let Some((event, _)) = reported_wait.filter(|(_, at)| closed_at.is_some_and(|closed| closed < *at)) {
                         sim.clear_reported_wait(event);
                     }
                     return;
                 }
             },
         };
-        told = None;
+        reported_wait = None;
         if request.start_line.first().is_some_and(|m| m == "GET") {
-            if !link.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await {
+            if !connection.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await {
                 return;
             }
             continue;
         }
-        let number = sim.next_call.get();
-        sim.next_call.set(number + 1);
-        let several = request.start_line.get(1).is_some_and(|path| path.ends_with(":batch"));
-        let (calls, sender) = if several { batch_messages(&request.body) } else { single_message(&request) };
+        let call_id = sim.next_call.get();
+        sim.next_call.set(call_id + 1);
+        let is_batch = request.start_line.get(1).is_some_and(|path| path.ends_with(":batch"));
+        let (calls, sender) = if is_batch { batch_messages(&request.body) } else { single_message(&request) };
         let ids: Vec<String> = calls.iter().map(|c| c.id.clone()).collect();
         let route = sim.destinations[&dest].system.borrow().route_of(endpoint);
         sim.record(What::Call {
-            call: number,
+            call: call_id,
             sender,
             endpoint,
             dest,
@@ -104,17 +107,17 @@
             work: System::work(calls.len()),
             first_byte: sim.to_us(request.first_byte),
         });
-        let fate = {
+        let outcome = {
             let mut random = sim.random.borrow_mut();
             let mut system = sim.destinations[&dest].system.borrow_mut();
-            let fell = system.has_fallen(endpoint);
-            let fate = system.call(sim.now(), endpoint, &calls, &mut random);
-            if system.has_fallen(endpoint) && !fell {
+            let had_collapsed = system.has_fallen(endpoint);
+            let outcome = system.call(sim.now(), endpoint, &calls, &mut random);
+            if system.has_fallen(endpoint) && !had_collapsed {
                 sim.record(What::FellOver { dest, route });
             }
-            fate
+            outcome
         };
-        for (id, ran) in ids.iter().zip(&fate.ran) {
+        for (id, ran) in ids.iter().zip(&outcome.ran) {
             let Some((at, true)) = *ran else { continue };
             let (sim, id, message) = (sim.clone(), id.clone(), message_number(id));
             spawn_local(async move {
@@ -122,45 +125,51 @@
                 sim.record(What::Ran { id, message });
             });
         }
-        let at = match fate.happened {
+        let at = match outcome.happened {
             Happened::Answered { at, .. } | Happened::Spoilt { at } | Happened::Reset { at } => {
                 sim.to_instant(at)
             }
             Happened::Nothing => Instant::now() + Duration::from_secs(3_600),
         };
-        // A sender that has closed already has called it off, though the endpoint has not heard yet.
-        let over = |link: &HttpConnection, how: How| {
-            let closed = link.stream.peer_ended_at().map(|at| sim.to_us(at)).filter(|at| *at <= sim.now());
-            let (at, how) = closed.map_or((sim.now(), how), |at| (at, How::Closed));
-            sim.record_at(at, What::Over { call: number, how });
+        // A sender that has closed the connection has cancelled the call, even if the close has not reached
+        // the endpoint yet.
+        let record_end = |connection: &HttpConnection, how: How| {
+            let closed_at =
+                connection.stream.peer_ended_at().map(|at| sim.to_us(at)).filter(|at| *at <= sim.now());
+            let (at, how) = closed_at.map_or((sim.now(), how), |at| (at, How::Closed));
+            sim.record_at(at, What::Over { call: call_id, how });
         };
         tokio::select! {
             biased;
-            () = resets.notified() => {
-                over(&link, How::Closed);
-                return link.stream.reset();
+            () = reset_signal.notified() => {
+                record_end(&connection, How::Closed);
+                return connection.stream.reset();
             }
-            () = link.closed_by_peer() => return over(&link, How::Closed),
+            () = connection.closed_by_peer() => return record_end(&connection, How::Closed),
             () = sleep_until(at) => {}
         }
-        match fate.happened {
+        match outcome.happened {
             Happened::Answered { status, wait, .. } => {
-                // What does not pass is not told.
-                let wait = if link.stream.is_partitioned() { 0 } else { wait };
-                over(&link, How::Answered { status, wait });
-                told = (wait > 0).then(|| (sim.last_event_index(), Instant::now() + sim.scenario.latency.0));
+                // An answer that a partition blocks reports no wait to the sender.
+                let wait = if connection.stream.is_partitioned() { 0 } else { wait };
+                record_end(&connection, How::Answered { status, wait });
+                reported_wait =
+                    (wait > 0).then(|| (sim.last_event_index(), Instant::now() + sim.scenario.latency.0));
                 let report = sim.destinations[&dest].system.borrow_mut().report(sim.now(), endpoint);
-                let report = report.map_or(String::new(), |(x0, x1)| {
+                let load_report = report.map_or(String::new(), |(x0, x1)| {
                     format!("Endpoint-Load-Metrics: TEXT x0={x0:.3}, x1={x1:.3}\r\n")
                 });
-                let told = wait > 0 && sim.mutation != Some(Mutation::IgnoresWaits);
-                let wait =
-                    if told { format!("Retry-After: {}\r\n", wait as f64 / 1e6) } else { String::new() };
-                let body = if several && status == 200 { batch_answer(&ids) } else { String::new() };
+                let sends_retry_after = wait > 0 && sim.mutation != Some(Mutation::IgnoresWaits);
+                let retry_after = if sends_retry_after {
+                    format!("Retry-After: {}\r\n", wait as f64 / 1e6)
+                } else {
+                    String::new()
+                };
+                let body = if is_batch && status == 200 { batch_answer(&ids) } else { String::new() };
                 let length = body.len();
-                if !link
+                if !connection
                     .write(&format!(
-                        "HTTP/1.1 {status} X\r\n{wait}{report}Content-Length: {length}\r\n\r\n{body}"
+                        "HTTP/1.1 {status} X\r\n{retry_after}{load_report}Content-Length: {length}\r\n\r\n{body}"
                     ))
                     .await
                 {
@@ -168,62 +177,65 @@
                 }
             }
             Happened::Spoilt { .. } => {
-                over(&link, How::Spoilt);
-                if !link.write(CORRUPTED_ANSWER).await {
+                record_end(&connection, How::Spoilt);
+                if !connection.write(CORRUPTED_ANSWER).await {
                     return;
                 }
             }
             Happened::Reset { .. } | Happened::Nothing => {
-                over(&link, How::Closed);
-                return link.stream.reset();
+                record_end(&connection, How::Closed);
+                return connection.stream.reset();
             }
         }
     }
 }
 
-/// The message of a call that holds one, and its sender.
+/// Returns the message of a call that carries one, and its sender.
 fn single_message(request: &HttpMessage) -> (Vec<Call>, usize) {
     let id = request.header("x-trace-id").unwrap_or_default().to_string();
     let key = request.header("idempotency-key").map(str::to_string);
     (vec![Call { id, key }], sender_of_body(&request.body))
 }
 
-/// The messages of a call that holds several, and their sender; none where it can't be read.
+/// Returns the messages of a batch call and their sender; no messages if the body is not valid JSON.
 fn batch_messages(body: &[u8]) -> (Vec<Call>, usize) {
-    let list: Vec<Value> = serde_json::from_slice(body).unwrap_or_default();
-    let text = |v: &Value, key: &str| v.get(key).and_then(Value::as_str).map(str::to_string);
-    let call = |v: &Value| Some(Call { id: text(v, "id")?, key: text(v, "key") });
-    let first = list.first().and_then(|v| text(v, "body")).unwrap_or_default();
-    let first = base64::engine::general_purpose::STANDARD.decode(first).unwrap_or_default();
-    (list.iter().filter_map(call).collect(), sender_of_body(&first))
+    let messages: Vec<Value> = serde_json::from_slice(body).unwrap_or_default();
+    let field = |message: &Value, name: &str| message.get(name).and_then(Value::as_str).map(str::to_string);
+    let parse_call = |message: &Value| Some(Call { id: field(message, "id")?, key: field(message, "key") });
+    let first_body = messages.first().and_then(|message| field(message, "body")).unwrap_or_default();
+    let first_body = base64::engine::general_purpose::STANDARD.decode(first_body).unwrap_or_default();
+    (messages.iter().filter_map(parse_call).collect(), sender_of_body(&first_body))
 }
 
 fn batch_answer(ids: &[String]) -> String {
-    let done: Vec<Value> = ids.iter().map(|id| json!({"id": id, "state": "done"})).collect();
-    Value::from(done).to_string()
+    let results: Vec<Value> = ids.iter().map(|id| json!({"id": id, "state": "done"})).collect();
+    Value::from(results).to_string()
 }
 
-/// Bodies say through whom they went: the wire itself does not.
+/// Reads the sender's number, with which every message body begins: neither the connection nor a header
+/// identifies the sender.
 fn sender_of_body(body: &[u8]) -> usize {
     let text = String::from_utf8_lossy(body);
     text.split(' ').next().and_then(|s| s.parse().ok()).unwrap_or(0)
 }
 
-/// Ids are `m` with the message's number, and that of the try.
+/// Parses the message number of an id of the form `m<message>-<submission>`.
 fn message_number(id: &str) -> u64 {
     id.trim_start_matches('m').split('-').next().and_then(|n| n.parse().ok()).unwrap_or(u64::MAX)
 }
 
-/// The address of the machine of this number, a sender's or an endpoint's, in one of the loopback networks.
+/// Returns the address of machine `number` in 127.`network`.0.0/16. Each kind of address has a network of its
+/// own.
 fn loopback_ip(network: u8, number: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, network, (number / 250) as u8, (number % 250) as u8 + 1)
 }
 
-pub fn discovery_address(sender: usize, home: u16) -> SocketAddr {
-    SocketAddr::from((loopback_ip(3, sender), 8500 + home))
+pub fn discovery_address(sender: usize, port_offset: u16) -> SocketAddr {
+    SocketAddr::from((loopback_ip(3, sender), 8500 + port_offset))
 }
 
-/// Discovery's agent beside a sender, which also hears its notices. Ends when another one takes its place.
+/// Runs the discovery agent next to a sender, which also receives the sender's notices. It ends when its
+/// listener is closed, after a reload has moved the agent to another port.
 pub async fn run_discovery_agent(sim: Rc<Simulation>, sender: usize, offset: u16) {
     let Ok(listener) = sim.network.host(None).listen(discovery_address(sender, offset)).await else { return };
     while let Ok(stream) = listener.accept().await {
@@ -231,9 +243,9 @@
     }
 }
 
-async fn serve_discovery(sim: Rc<Simulation>, sender: usize, home: u16, stream: LabStream) {
-    let mut link = HttpConnection::new(stream);
-    while let Some(request) = link.read().await {
+async fn serve_discovery(sim: Rc<Simulation>, sender: usize, port_offset: u16, stream: LabStream) {
+    let mut connection = HttpConnection::new(stream);
+    while let Some(request) = connection.read().await {
         let path = request.start_line.get(1).cloned().unwrap_or_default();
         let answer = if path.starts_with("/reports") {
             if sim.mutation != Some(Mutation::SendsNoNotices) {
@@ -241,10 +253,10 @@
             }
             "HTTP/1.1 204 No Content\r\n\r\n".to_string()
         } else {
-            let Some(list) = watched_list(&sim, sender, home, &path, &link).await else { return };
+            let Some(list) = watch_list(&sim, sender, port_offset, &path, &connection).await else { return };
             format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len())
         };
-        if !link.write(&answer).await {
+        if !connection.write(&answer).await {
             return;
         }
     }
@@ -258,51 +270,58 @@
     }
 }
 
-/// The list, or what is newer than the version that is asked for; None if the connection ends meanwhile.
-async fn watched_list(
+/// Answers a watch request. Waits for a version newer than the requested one, at most for the requested time,
+/// and returns the changes since the requested version, or the full list if no version is requested. Returns
+/// None if the connection ends while waiting.
+async fn watch_list(
     sim: &Simulation,
     sender: usize,
-    home: u16,
+    port_offset: u16,
     path: &str,
-    link: &HttpConnection,
+    connection: &HttpConnection,
 ) -> Option<String> {
     let agent = &sim.agents[sender];
-    let value = |name: &str| path.split(['?', '&']).find_map(|p| p.strip_prefix(name)?.parse::<u64>().ok());
-    let (index, wait) = (value("index="), Duration::from_millis(value("wait=").unwrap_or(0)));
+    let parameter =
+        |name: &str| path.split(['?', '&']).find_map(|p| p.strip_prefix(name)?.parse::<u64>().ok());
+    let (requested_version, wait) =
+        (parameter("index="), Duration::from_millis(parameter("wait=").unwrap_or(0)));
     let until = Instant::now() + wait;
     loop {
-        let news = agent.changed.notified();
-        let has = agent.changes.borrow().len() as u64;
-        // An agent that was left for another tells nothing new.
-        let speaks = !agent.is_muted.get() && agent.port_offset.get() == home;
-        if speaks && (index.is_none_or(|i| i < has) || Instant::now() >= until) {
+        let changed = agent.changed.notified();
+        let version = agent.changes.borrow().len() as u64;
+        // An agent that a reload has replaced no longer answers.
+        let may_answer = !agent.is_muted.get() && agent.port_offset.get() == port_offset;
+        if may_answer
+            && (requested_version.is_none_or(|requested| requested < version) || Instant::now() >= until)
+        {
             break;
         }
         tokio::select! {
             biased;
-            () = news => {}
-            () = link.closed_by_peer() => return None,
-            () = sleep_until(until), if speaks => {}
+            () = changed => {}
+            () = connection.closed_by_peer() => return None,
+            () = sleep_until(until), if may_answer => {}
         }
     }
     let generation = agent.changes.borrow().len();
-    let whole = index.is_none();
-    let from = index.filter(|i| *i as usize <= generation).unwrap_or(0) as usize;
-    let last = sim.latest_entries(sender, from..generation, whole);
-    for (endpoint, (_, open)) in &last {
+    let is_full_list = requested_version.is_none();
+    let since = requested_version.filter(|requested| *requested as usize <= generation).unwrap_or(0) as usize;
+    let entries = sim.latest_entries(sender, since..generation, is_full_list);
+    for (endpoint, (_, open)) in &entries {
         sim.record(What::Told { sender, endpoint: *endpoint, open: *open });
     }
     agent.sent_version.set(generation);
-    let instances: Vec<Value> = last.into_values().map(|(entry, _)| entry).collect();
-    Some(json!({"generation": generation, "reset": whole, "instances": instances}).to_string())
+    let instances: Vec<Value> = entries.into_values().map(|(entry, _)| entry).collect();
+    Some(json!({"generation": generation, "reset": is_full_list, "instances": instances}).to_string())
 }
 
-/// Where a sender's notes to the others come in.
+/// Address at which a sender receives membership datagrams.
 pub fn membership_address(sender: usize) -> SocketAddr {
     SocketAddr::from((loopback_ip(4, sender), 7946))
 }
 
-/// The sender whose notes come in there.
+/// Returns the sender that receives membership datagrams at an address, or None if it is an address of
+/// another kind.
 pub fn sender_of_membership_address(at: SocketAddr) -> Option<usize> {
     let IpAddr::V4(ip) = at.ip() else { return None };
     let [_, network, high, low] = ip.octets();
@@ -313,7 +332,7 @@
     SocketAddr::from((loopback_ip(1, sender), 5000))
 }
 
-/// The clients of one sender, with the connections that they keep.
+/// The clients of all senders, with their idle keep-alive connections by sender.
 pub struct Clients {
     pub simulation: Rc<Simulation>,
     pub host: LabHost,
@@ -322,35 +341,35 @@
 }
 
 impl Clients {
-    /// Hands a message in, and again after refusals, as long as it has time.
+    /// Submits a message, and resubmits it after rejections and missing answers while it has time left.
     pub async fn submit(self: Rc<Self>, arrival: Arrival) {
         let sim = &self.simulation;
         let class = &self.classes[arrival.class];
-        let life = class.abandoned_after.0;
-        let end = Instant::now() + life;
-        let mut tries = 0;
-        for number in 0..1_000u32 {
-            let left = end.saturating_duration_since(Instant::now());
-            if left < Duration::from_millis(50) {
+        let lifetime = class.abandoned_after.0;
+        let deadline = Instant::now() + lifetime;
+        let mut failed_submissions = 0;
+        for submission in 0..1_000u32 {
+            let time_left = deadline.saturating_duration_since(Instant::now());
+            if time_left < Duration::from_millis(50) {
                 return;
             }
-            let id = format!("m{}-{number}", arrival.message);
-            match self.submit_once(&arrival, &id, left).await {
-                // Nobody listens there just now.
+            let id = format!("m{}-{submission}", arrival.message);
+            match self.submit_once(&arrival, &id, time_left).await {
+                // The sender does not accept connections at the moment.
                 None => sleep(Duration::from_millis(100)).await,
                 Some((202 | 200, _)) => return,
-                Some((status @ (0 | 429 | 503), after)) => {
-                    tries += 1;
-                    // Without an answer the message comes again too, under a new id.
-                    if tries > sim.scenario.retries && status != 0 || tries > 3 {
+                Some((status @ (0 | 429 | 503), retry_after)) => {
+                    failed_submissions += 1;
+                    // A message without an answer (status 0) is resubmitted too, under a new id.
+                    if failed_submissions > sim.scenario.retries && status != 0 || failed_submissions > 3 {
                         return;
                     }
-                    let again = if sim.are_clients_impatient() {
+                    let delay = if sim.are_clients_impatient() {
                         IMPATIENT_RETRY_DELAY
                     } else {
-                        after.unwrap_or(RETRY_DELAY)
+                        retry_after.unwrap_or(RETRY_DELAY)
                     };
-                    sleep(again).await;
+                    sleep(delay).await;
                 }
                 Some(_) => return,
             }
@@ -361,34 +380,34 @@
         &self,
         arrival: &Arrival,
         id: &str,
-        left: Duration,
+        time_left: Duration,
     ) -> Option<(u16, Option<Duration>)> {
         let sim = &self.simulation;
         let class = &self.classes[arrival.class];
         let effect = match class.effect {
-            Effect::Safe => Judged::Safe,
-            Effect::Keyed => Judged::Keyed,
-            Effect::Unsafe => Judged::Unsafe,
+            Effect::Safe => CheckedEffect::Safe,
+            Effect::Keyed => CheckedEffect::Keyed,
+            Effect::Unsafe => CheckedEffect::Unsafe,
         };
         let body = format!("{} {}", arrival.sender, "x".repeat(160));
         let request = format!(
             "POST /{} HTTP/1.1\r\nHost: sender\r\nX-Trace-Id: {id}\r\nX-Expires-In-Ms: {}\r\nX-Consignee: dest={}\r\n\
              Idempotency-Key: k{}\r\nContent-Length: {}\r\n\r\n{body}",
             class.name,
-            left.as_millis(),
+            time_left.as_millis(),
             arrival.dest,
             arrival.message,
             body.len()
         );
-        for kept in [true, false] {
-            let old = if kept { self.idle_connections.borrow_mut()[arrival.sender].pop() } else { None };
-            let used = old.is_some();
-            let mut link = match old {
-                Some(link) => link,
-                None if kept => continue,
+        for reuse in [true, false] {
+            let idle = if reuse { self.idle_connections.borrow_mut()[arrival.sender].pop() } else { None };
+            let is_reused = idle.is_some();
+            let mut connection = match idle {
+                Some(connection) => connection,
+                None if reuse => continue,
                 None => HttpConnection::new(self.host.connect(sender_address(arrival.sender)).await.ok()?),
             };
-            if !link.write(&request).await {
+            if !connection.write(&request).await {
                 continue;
             }
             sim.record(What::HandedIn {
@@ -398,12 +417,13 @@
                 class: arrival.class,
                 effect,
                 dest: arrival.dest,
-                expires: left.as_micros() as Us,
+                expires: time_left.as_micros() as Us,
             });
-            let patience = if sim.are_clients_impatient() { CLIENT_TIMEOUT / 10 } else { CLIENT_TIMEOUT };
+            let answer_timeout =
+                if sim.are_clients_impatient() { CLIENT_TIMEOUT / 10 } else { CLIENT_TIMEOUT };
             let answer = tokio::select! {
                 biased;
-                answer = timeout(patience, link.read()) => answer.ok(),
+                answer = timeout(answer_timeout, connection.read()) => answer.ok(),
                 () = sim.client_disconnect_signal.notified() => None,
             };
             match answer {
@@ -411,8 +431,8 @@
                     sim.record(What::Left { id: id.to_string() });
                     return Some((0, None));
                 }
-                // It was closed while it stood idle: the request goes on a new one.
-                Some(None) if used => continue,
+                // The sender closed the connection while it was idle: the request is sent on a new one.
+                Some(None) if is_reused => continue,
                 Some(None) => {
                     sim.record(What::Heard { id: id.to_string(), status: 0 });
                     return Some((0, None));
@@ -420,11 +440,11 @@
                 Some(Some(answer)) => {
                     let status = answer.status();
                     sim.record(What::Heard { id: id.to_string(), status });
-                    let after = answer.header("retry-after").and_then(|a| a.parse::<f64>().ok());
+                    let retry_after = answer.header("retry-after").and_then(|a| a.parse::<f64>().ok());
                     if answer.header("connection").is_none_or(|c| !c.eq_ignore_ascii_case("close")) {
-                        self.idle_connections.borrow_mut()[arrival.sender].push(link);
+                        self.idle_connections.borrow_mut()[arrival.sender].push(connection);
                     }
-                    return Some((status, after.map(|s| Duration::from_secs_f64(s.clamp(0.0, 3.0)))));
+                    return Some((status, retry_after.map(|s| Duration::from_secs_f64(s.clamp(0.0, 3.0)))));
                 }
             }
         }
--- a/crates/proof/nickelshed-lab/src/wire.rs
+++ b/crates/proof/nickelshed-lab/src/wire.rs
@@ -1,4 +1,5 @@
-//! The machines of a day as its senders and stand-ins see them: over the simulated network, or over real sockets.
+//! The network that senders, fake servers and clients use: the simulated one, or real loopback sockets behind
+//! the same types.
 use crate::life::Life;
 use crate::net::{Partition, SimDatagrams, SimHost, SimListener, SimNetwork, SimStream};
 use crate::sockets::{ListenerRegistry, SocketHost, SocketListener, SocketStream};
@@ -8,10 +9,10 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// All machines of a day.
+/// The network that joins all machines of a run.
 pub struct Network {
     network: SimNetwork,
-    /// None in simulated time.
+    /// Open listeners of a run over real sockets; None in simulated time.
     real_listeners: Option<ListenerRegistry>,
 }
 
@@ -24,34 +25,34 @@
         Network { network: net, real_listeners: Some(ListenerRegistry::default()) }
     }
 
-    /// One of them; a sender's, if it has a life.
-    pub fn host(&self, life: Option<Rc<Life>>) -> LabHost {
+    /// Returns the network interface of one machine. With a process state, the machine is that sender's.
+    pub fn host(&self, process_state: Option<Rc<Life>>) -> LabHost {
         match &self.real_listeners {
-            None => LabHost::Simulated(self.network.host(life)),
+            None => LabHost::Simulated(self.network.host(process_state)),
             Some(ports) => LabHost::Real(SocketHost {
                 listeners: ports.clone(),
                 network: self.network.clone(),
-                process_state: life,
+                process_state,
             }),
         }
     }
 
-    /// Moves all wall clocks, by milliseconds.
+    /// Moves all wall clocks by `ms` milliseconds.
     pub fn advance_wall_clocks(&self, ms: i64) {
         self.network.advance_wall_clocks(ms);
     }
 
-    /// Datagrams between senders that were sent to somebody.
+    /// Number of datagrams between senders that were put into a receiver's queue.
     pub fn datagrams_sent(&self) -> u64 {
         self.network.datagrams_sent()
     }
 
-    /// Has nothing arrive between some of them for a time. Only in simulated time: real sockets are left whole.
+    /// Starts a partition. It affects only the simulated network: traffic over real sockets still passes.
     pub fn set_partition(&self, severed: Partition) {
         self.network.set_partition(severed);
     }
 
-    /// Connections of senders that were refused: when, whose, and where to.
+    /// Refused connection attempts of senders: time, sender and target address.
     pub fn refused_connections(&self) -> Vec<(tokio::time::Instant, usize, SocketAddr)> {
         self.network.refused_connections()
     }
@@ -60,7 +61,7 @@
         self.network.started_at()
     }
 
-    /// Nobody listens there any more.
+    /// Removes the listener at this address.
     pub fn close_listener(&self, at: SocketAddr) {
         match &self.real_listeners {
             None => self.network.close_listener(at),
@@ -76,7 +77,7 @@
 }
 
 impl LabHost {
-    /// Its connections to endpoints stay open when they are closed here.
+    /// Leaves connections to endpoints open when the sender drops them. Has no effect over real sockets.
     pub fn leaking_connections(self) -> LabHost {
         match self {
             LabHost::Simulated(host) => LabHost::Simulated(host.leaking_connections()),
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Only in simulated time.
+    /// Supported only in simulated time.
     async fn datagrams(&self, at: SocketAddr) -> io::Result<SimDatagrams> {
         match self {
             LabHost::Simulated(host) => host.datagrams(at).await,
@@ -149,7 +150,8 @@
 }
 
 impl LabStream {
-    /// When the other side wrote what was read last, or ended its sending if that has come.
+    /// When the peer wrote the bytes that were read last, or ended the stream if that end has been read. Over
+    /// real sockets, when they were read.
     pub fn last_sent_at(&self) -> tokio::time::Instant {
         match self {
             LabStream::Simulated(stream) => stream.last_sent_at(),
@@ -157,7 +159,8 @@
         }
     }
 
-    /// When the other side ended its sending: in simulated time whether or not that has come.
+    /// When the peer ended or reset the connection. In simulated time it is known before it arrives here,
+    /// over real sockets only once it has been read.
     pub fn peer_ended_at(&self) -> Option<tokio::time::Instant> {
         match self {
             LabStream::Simulated(stream) => stream.peer_ended_at(),
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Whether nothing passes now.
+    /// Whether a partition blocks the connection now.
     pub fn is_partitioned(&self) -> bool {
         match self {
             LabStream::Simulated(stream) => stream.is_partitioned(),
@@ -187,7 +190,7 @@
         }
     }
 
-    /// The other side sees a reset, once this end is dropped at the latest.
+    /// Resets the connection: at once in simulated time, when this end is dropped over real sockets.
     pub fn reset(&self) {
         match self {
             LabStream::Simulated(stream) => stream.reset(),
--- a/crates/proof/nickelshed-lab/src/world.rs
+++ b/crates/proof/nickelshed-lab/src/world.rs
@@ -1,4 +1,5 @@
-//! A day's shared state: its time, its history, its customer systems, and the list of endpoints as discovery has it.
+//! Shared state of a run: the clock, the event history, the customer systems, and discovery's list of
+//! endpoints.
 use crate::lie::Mutation;
 use crate::life::Life;
 use crate::manner::RunOptions;
@@ -18,10 +19,11 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What an agent has to tell after it has moved counts as told this much later.
+/// Changes count as notified to a sender no earlier than this long after its discovery agent moved to another
+/// port.
 const AGENT_MOVE_DELAY_US: Us = 4_000_000;
 
-/// An endpoint as the list names it.
+/// An endpoint as discovery lists it.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
     pub name: String,
@@ -31,91 +33,101 @@
     pub lifecycle: &'static str,
 }
 
-/// What discovery's agent beside one sender has been sent.
+/// State of the discovery agent next to one sender.
 #[derive(Default)]
 pub struct DiscoveryAgent {
-    /// The changes in their order; a change's number is its version.
+    /// Changes received so far, as indexes into `Simulation::listings`. Their number is the version of the
+    /// agent's list.
     pub changes: RefCell<Vec<usize>>,
     pub changed: Notify,
     pub is_muted: Cell<bool>,
-    /// Where it answers; moved by a new configuration.
+    /// Offset of the port at which the agent answers. A new configuration moves the agent to the next port.
     pub port_offset: Cell<u16>,
-    /// When it last moved: what it has to tell counts so much later.
+    /// When the agent last moved to another port.
     pub moved_at: Cell<Option<Us>>,
-    /// The version that its sender was told last.
+    /// Version that the sender was sent last.
     pub sent_version: Cell<usize>,
-    /// The version up to which all counts as told to its sender.
+    /// Version up to which all changes count as notified to the sender.
     notified_version: Cell<usize>,
 }
 
-/// A customer system with what its endpoints' connections need to know.
+/// A customer system, with the signals for the connections of its endpoints.
 pub struct Destination {
     pub system: RefCell<System>,
-    /// What the list says of its rate: a rough figure.
+    /// Estimated rate that the list gives for the destination, or for each of its routes, in messages per
+    /// second.
     pub estimated_rate: f64,
-    /// Told when connections are to be reset; those who wait are woken in the order in which they came.
+    /// Notified when all connections are to be reset. Connections are woken in the order in which they began
+    /// to wait.
     pub reset_signal: Notify,
-    /// Told when those that stand idle are to be closed.
+    /// Notified when idle connections are to be closed.
     pub idle_close_signal: Notify,
 }
 
 pub struct Simulation {
-    /// What its senders are lied to about.
+    /// The guard that is removed from the senders, if any.
     pub mutation: Option<Mutation>,
     pub network: Network,
-    /// Of each sender's processes.
+    /// State of each sender's processes, by sender.
     pub process_states: Vec<Rc<Life>>,
     pub scenario: Scenario,
     pub events: RefCell<Vec<Event>>,
     pub random: RefCell<Random>,
-    /// By number, from 1.
+    /// Customer systems by destination number, which starts at 1.
     pub destinations: BTreeMap<u64, Destination>,
-    /// Every state that an endpoint was ever listed with, in order.
+    /// Every listing of every endpoint so far, in order.
     pub listings: RefCell<Vec<(usize, ListedEndpoint)>>,
     pub agents: Vec<DiscoveryAgent>,
     pub next_endpoint: Cell<usize>,
-    /// Where each endpoint that ever was stands.
+    /// Site of each endpoint, including those that have been removed.
     pub endpoint_sites: RefCell<BTreeMap<usize, usize>>,
     pub next_call: Cell<u64>,
-    /// Until then clients have no patience.
+    /// Until this time clients use a short timeout and resubmit almost at once.
     pub clients_impatient_until: Cell<Us>,
-    /// Until then endpoints end new connections as they take them.
+    /// Until this time endpoints close new connections right after accepting them.
     pub new_connections_closed_until: Cell<Us>,
-    /// Told when clients leave that wait for an answer.
+    /// Notified when all clients that wait for an answer are to disconnect.
     pub client_disconnect_signal: Notify,
-    /// Why a sender ended by itself.
+    /// Errors with which senders exited on their own, and malformed requests that a sender accepted.
     pub crashes: RefCell<Vec<String>>,
 }
 
 impl Simulation {
-    pub fn new(scenario: &Scenario, seed: u64, manner: RunOptions) -> Rc<Simulation> {
+    pub fn new(scenario: &Scenario, seed: u64, options: RunOptions) -> Rc<Simulation> {
         let shares = shares(scenario);
         let mut random = stream(seed, 3);
         let destination = |(i, share): (usize, &f64)| {
             let mut system = System::new(scenario, scenario.rate * share);
-            // As many as it will have, so that its capacity is known before they are listed.
+            // Adds as many endpoints as the destination will have, to learn its capacity before they are
+            // listed. They are removed again below.
             (0..scenario.endpoints as usize).for_each(|e| system.add(usize::MAX - e, 0));
             let capacity: f64 = system.routes().into_iter().map(|r| system.capacity(r)).sum();
             let routes = system.routes().len().max(1) as f64;
-            // Of one route, where they are apart.
-            let hint = capacity / routes * random.random_range(0.8..1.25);
+            // The rate of one route, where each endpoint is a route of its own.
+            let estimated_rate = capacity / routes * random.random_range(0.8..1.25);
             (0..scenario.endpoints as usize).for_each(|e| system.remove(usize::MAX - e));
             (
                 i as u64 + 1,
                 Destination {
                     system: RefCell::new(system),
-                    estimated_rate: hint,
+                    estimated_rate: estimated_rate,
                     reset_signal: Notify::new(),
                     idle_close_signal: Notify::new(),
                 },
             )
         };
-        let net = SimNetwork::new(scenario.latency.0);
-        let cut = |sender: usize| manner.kill.filter(|k| k.sender == sender).map(|k| k.point);
+        let network = SimNetwork::new(scenario.latency.0);
+        let kill_point = |sender: usize| options.kill.filter(|k| k.sender == sender).map(|k| k.point);
         Rc::new(Simulation {
-            mutation: manner.mutation,
-            network: if manner.uses_real_sockets { Network::real(net) } else { Network::simulated(net) },
-            process_states: (0..scenario.senders as usize).map(|s| Rc::new(Life::new(s, cut(s)))).collect(),
+            mutation: options.mutation,
+            network: if options.uses_real_sockets {
+                Network::real(network)
+            } else {
+                Network::simulated(network)
+            },
+            process_states: (0..scenario.senders as usize)
+                .map(|s| Rc::new(Life::new(s, kill_point(s))))
+                .collect(),
             scenario: scenario.clone(),
             events: RefCell::default(),
             random: RefCell::new(stream(seed, 2)),
@@ -156,7 +168,7 @@
         self.events.borrow().len().saturating_sub(1)
     }
 
-    /// The wait that an answer told has reached nobody.
+    /// Clears the `Retry-After` wait of a recorded answer that did not reach its sender.
     pub fn clear_reported_wait(&self, event: usize) {
         if let Some(What::Over { how: How::Answered { wait, .. }, .. }) =
             self.events.borrow_mut().get_mut(event).map(|e| &mut e.what)
@@ -165,19 +177,20 @@
         }
     }
 
-    /// The history is put in order at the end of the day.
+    /// Records an event at a time other than now. The history is sorted by time at the end of the run.
     pub fn record_at(&self, at: Us, what: What) {
         self.events.borrow_mut().push(Event { at, what });
     }
 
-    /// Lists an endpoint anew, for agents that hear of it at once.
-    pub fn add_listing(&self, endpoint: usize, place: ListedEndpoint) -> usize {
-        let mut list = self.listings.borrow_mut();
-        list.push((endpoint, place));
-        list.len() - 1
+    /// Adds a listing of an endpoint. Returns its index, which [`Simulation::publish`] sends to the agents.
+    pub fn add_listing(&self, endpoint: usize, listing: ListedEndpoint) -> usize {
+        let mut listings = self.listings.borrow_mut();
+        listings.push((endpoint, listing));
+        listings.len() - 1
     }
 
-    /// Sends changes to all agents. What an agent has counts as told to its sender, whether or not that asks.
+    /// Sends changes to all agents. They count as notified to the sender of each agent that is not muted,
+    /// whether or not the sender asks for them.
     pub fn publish(&self, changes: &[usize]) {
         for (sender, agent) in self.agents.iter().enumerate() {
             agent.changes.borrow_mut().extend(changes);
@@ -189,76 +202,78 @@
         }
     }
 
-    /// Discovery speaks again: what its agents were sent meanwhile is theirs to tell from now on.
+    /// Lets all agents answer again. Changes that they received while muted count as notified from now on.
     pub fn unmute_agents(&self) {
         for (sender, agent) in self.agents.iter().enumerate() {
             agent.is_muted.set(false);
-            let untold = agent.changes.borrow()[agent.sent_version.get()..].to_vec();
-            self.record_notified(sender, &untold);
+            let unsent = agent.changes.borrow()[agent.sent_version.get()..].to_vec();
+            self.record_notified(sender, &unsent);
             agent.notified_version.set(agent.changes.borrow().len());
             agent.changed.notify_waiters();
         }
     }
 
     fn record_notified(&self, sender: usize, changes: &[usize]) {
-        let moved = self.agents[sender].moved_at.get().map_or(0, |at| at + AGENT_MOVE_DELAY_US);
+        let earliest = self.agents[sender].moved_at.get().map_or(0, |at| at + AGENT_MOVE_DELAY_US);
         for &change in changes {
             let (endpoint, open) = {
-                let list = self.listings.borrow();
-                (list[change].0, list[change].1.lifecycle == "Ready")
+                let listings = self.listings.borrow();
+                (listings[change].0, listings[change].1.lifecycle == "Ready")
             };
-            self.record_at(self.now().max(moved), What::Told { sender, endpoint, open });
+            self.record_at(self.now().max(earliest), What::Told { sender, endpoint, open });
         }
     }
 
-    /// What endpoints are by a stretch of the versions that an agent has, with whether each takes new work. In a whole
-    /// list only what is there now counts.
+    /// Returns the latest entry of each endpoint within a range of an agent's versions, and whether the
+    /// endpoint accepts new work. A full list leaves out endpoints that have been removed.
     pub fn latest_entries(
         &self,
         sender: usize,
         versions: Range<usize>,
-        whole: bool,
+        is_full_list: bool,
     ) -> BTreeMap<usize, (Value, bool)> {
-        let mut last = BTreeMap::new();
+        let mut latest = BTreeMap::new();
         for change in &self.agents[sender].changes.borrow()[versions] {
             let (endpoint, entry, open) = self.discovery_entry(*change);
-            last.insert(endpoint, (entry, open));
+            latest.insert(endpoint, (entry, open));
         }
-        if whole {
-            last.retain(|_, (entry, _)| entry["lifecycle"] != "Gone");
+        if is_full_list {
+            latest.retain(|_, (entry, _)| entry["lifecycle"] != "Gone");
         }
-        last
+        latest
     }
 
-    /// Whether one of the two, a sender and an endpoint or another sender's notes, stands in the first room and the other one
-    /// does not.
+    /// Whether exactly one of the two is in the first site: the sender, or the endpoint or sender that
+    /// receives at `to`.
     pub fn is_partitioned_by_site(&self, sender: usize, to: SocketAddr) -> bool {
-        let room = sender_of_membership_address(to).map(|other| self.scenario.room(other)).or_else(|| {
-            let list = self.listings.borrow();
-            list.iter().rev().find(|(_, place)| place.address == to).map(|(_, place)| place.site)
+        let site = sender_of_membership_address(to).map(|other| self.scenario.room(other)).or_else(|| {
+            let listings = self.listings.borrow();
+            listings.iter().rev().find(|(_, listing)| listing.address == to).map(|(_, listing)| listing.site)
         });
-        room.is_some_and(|room| (room == 0) != (self.scenario.room(sender) == 0))
+        site.is_some_and(|site| (site == 0) != (self.scenario.room(sender) == 0))
     }
 
-    /// The list as a sender last had it, for its next process. While its agent says nothing it holds all that counts as
-    /// told: a process that was just ending when that came could not learn it from anybody.
+    /// Returns the list with which a sender's next process starts: the version that the sender was sent last.
+    /// While the agent is muted, the list has all changes that count as notified, because a process that was
+    /// just ending when they came cannot learn them in any other way.
     pub fn known_list(&self, sender: usize) -> Value {
         let agent = &self.agents[sender];
-        let told =
+        let version =
             agent.sent_version.get().max(if agent.is_muted.get() { agent.notified_version.get() } else { 0 });
         let instances: Vec<Value> =
-            self.latest_entries(sender, 0..told, true).into_values().map(|(e, _)| e).collect();
-        json!({"generation": told, "reset": true, "instances": instances})
+            self.latest_entries(sender, 0..version, true).into_values().map(|(e, _)| e).collect();
+        json!({"generation": version, "reset": true, "instances": instances})
     }
 
-    /// An entry of the list in discovery's form.
+    /// Returns a listing as an endpoint, its entry in discovery's format, and whether it accepts new work.
     fn discovery_entry(&self, change: usize) -> (usize, Value, bool) {
-        let list = self.listings.borrow();
-        let (endpoint, place) = &list[change];
-        let told = if self.mutation == Some(Mutation::IgnoresDrains) { "Ready" } else { place.lifecycle };
-        let entry = json!({"instanceId": place.name, "hostPort": place.address.to_string(), "zone": format!("room-{}", place.site),
-            "machineType": "plain", "cell": place.dest, "lifecycle": told,
-            "weight": self.destinations[&place.dest].estimated_rate, "startedAtMs": 0});
-        (*endpoint, entry, place.lifecycle == "Ready")
+        let listings = self.listings.borrow();
+        let (endpoint, listing) = &listings[change];
+        let lifecycle =
+            if self.mutation == Some(Mutation::IgnoresDrains) { "Ready" } else { listing.lifecycle };
+        let entry = json!({"instanceId": listing.name, "hostPort": listing.address.to_string(), "zone": format!("room-{}", listing.site),
+            "machineType": "plain", "cell": listing.dest, "lifecycle": lifecycle,
+            "weight": self.destinations[&listing.dest].estimated_rate, "startedAtMs": 0});
+        (*endpoint, entry, listing.lifecycle == "Ready")
     }
 }
