--- a/crates/proof/nickelshed-lab/src/lie.rs
+++ b/crates/proof/nickelshed-lab/src/lie.rs
@@ -11,8 +11,8 @@
     IgnoresDrains,
     /// Answers omit `Retry-After`, as if the sender did not read it.
     IgnoresWaits,
-    /// The settings allow an overload of 1,000 times the capacity of a destination in slow start, as if the
-    /// sender had no slow start.
+    /// The settings say that a destination in slow start handles 1,000 times its capacity, as if the sender
+    /// had no slow start.
     KnowsNoCold,
     /// The settings say that destinations remember keys for an hour, as if the sender did not track how long
     /// they do.
--- a/crates/proof/nickelshed-lab/src/sockets.rs
+++ b/crates/proof/nickelshed-lab/src/sockets.rs
@@ -28,9 +28,9 @@
 impl ListenerRegistry {
     /// Removes the listener at this address.
     pub fn close_listener(&self, at: SocketAddr) {
-        if let Some(open) = self.0.borrow_mut().remove(&at) {
-            open.is_closed.set(true);
-            if let Some(waker) = open.waker.borrow_mut().take() {
+        if let Some(listener) = self.0.borrow_mut().remove(&at) {
+            listener.is_closed.set(true);
+            if let Some(waker) = listener.waker.borrow_mut().take() {
                 waker.wake();
             }
         }
@@ -55,7 +55,7 @@
 
     pub async fn connect(&self, to: SocketAddr) -> io::Result<SocketStream> {
         sleep(2 * self.latency(to)).await;
-        let bound_address = self.listeners.0.borrow().get(&to).and_then(|open| open.bound_address);
+        let bound_address = self.listeners.0.borrow().get(&to).and_then(|listener| listener.bound_address);
         let connected = match bound_address {
             Some(bound_address) => Machine.connect(bound_address).await,
             None => Err(ErrorKind::ConnectionRefused.into()),
@@ -72,13 +72,13 @@
             return Err(ErrorKind::AddrInUse.into());
         }
         let tcp = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
-        let open =
+        let registration =
             Rc::new(OpenListener { bound_address: Some(tcp.local_addr()?), ..OpenListener::default() });
-        self.listeners.0.borrow_mut().insert(at, open.clone());
+        self.listeners.0.borrow_mut().insert(at, registration.clone());
         Ok(SocketListener {
             listeners: self.listeners.clone(),
             address: at,
-            open,
+            registration,
             tcp,
             latency: self.latency(at),
         })
@@ -88,7 +88,7 @@
 pub struct SocketListener {
     listeners: ListenerRegistry,
     address: SocketAddr,
-    open: Rc<OpenListener>,
+    registration: Rc<OpenListener>,
     tcp: TcpListener,
     latency: Duration,
 }
@@ -96,10 +96,10 @@
 impl SocketListener {
     pub async fn accept(&self) -> io::Result<SocketStream> {
         poll_fn(|cx| {
-            if self.open.is_closed.get() {
+            if self.registration.is_closed.get() {
                 return Poll::Ready(Err(ErrorKind::NotConnected.into()));
             }
-            self.open.waker.replace(Some(cx.waker().clone()));
+            self.registration.waker.replace(Some(cx.waker().clone()));
             self.tcp.poll_accept(cx).map_ok(|(tcp, _)| {
                 let _ = tcp.set_nodelay(true);
                 SocketStream::new(tcp, self.latency)
@@ -111,8 +111,12 @@
 
 impl Drop for SocketListener {
     fn drop(&mut self) {
-        let is_registered =
-            self.listeners.0.borrow().get(&self.address).is_some_and(|open| Rc::ptr_eq(open, &self.open));
+        let is_registered = self
+            .listeners
+            .0
+            .borrow()
+            .get(&self.address)
+            .is_some_and(|listener| Rc::ptr_eq(listener, &self.registration));
         if is_registered {
             self.listeners.close_listener(self.address);
         }
--- a/crates/proof/nickelshed-lab/src/stands.rs
+++ b/crates/proof/nickelshed-lab/src/stands.rs
@@ -40,7 +40,7 @@
     sim.endpoint_sites.borrow_mut().insert(number, site);
     sim.destinations[&dest].system.borrow_mut().add(number, site);
     listen(sim, dest, number, address).await;
-    (number, ListedEndpoint { name: format!("e-{number}"), address, dest, site: site, lifecycle: "Ready" })
+    (number, ListedEndpoint { name: format!("e-{number}"), address, dest, site, lifecycle: "Ready" })
 }
 
 /// Makes an endpoint accept connections.
@@ -75,8 +75,8 @@
                 Some(request) => request,
                 None => {
                     // A sender that closed before the answer arrived has not received the `Retry-After`.
-                    let closed_at = connection.stream.peer_ended_at();
-                    if let Some((event, _)) = reported_wait.filter(|(_, at)| closed_at.is_some_and(|closed| closed < *at)) {
+                    let closed = connection.stream.peer_ended_at();
+                    if let Some((event, _)) = reported_wait.filter(|(_, at)| closed.is_some_and(|c| c < *at)) {
                         sim.clear_reported_wait(event);
                     }
                     return;
--- a/crates/proof/nickelshed-lab/src/wire.rs
+++ b/crates/proof/nickelshed-lab/src/wire.rs
@@ -11,27 +11,27 @@
 
 /// The network that joins all machines of a run.
 pub struct Network {
-    network: SimNetwork,
+    simulated: SimNetwork,
     /// Open listeners of a run over real sockets; None in simulated time.
     real_listeners: Option<ListenerRegistry>,
 }
 
 impl Network {
-    pub fn simulated(net: SimNetwork) -> Network {
-        Network { network: net, real_listeners: None }
+    pub fn simulated(simulated: SimNetwork) -> Network {
+        Network { simulated, real_listeners: None }
     }
 
-    pub fn real(net: SimNetwork) -> Network {
-        Network { network: net, real_listeners: Some(ListenerRegistry::default()) }
+    pub fn real(simulated: SimNetwork) -> Network {
+        Network { simulated, real_listeners: Some(ListenerRegistry::default()) }
     }
 
     /// Returns the network interface of one machine. With a process state, the machine is that sender's.
     pub fn host(&self, process_state: Option<Rc<Life>>) -> LabHost {
         match &self.real_listeners {
-            None => LabHost::Simulated(self.network.host(process_state)),
-            Some(ports) => LabHost::Real(SocketHost {
-                listeners: ports.clone(),
-                network: self.network.clone(),
+            None => LabHost::Simulated(self.simulated.host(process_state)),
+            Some(listeners) => LabHost::Real(SocketHost {
+                listeners: listeners.clone(),
+                network: self.simulated.clone(),
                 process_state,
             }),
         }
@@ -39,33 +39,33 @@
 
     /// Moves all wall clocks by `ms` milliseconds.
     pub fn advance_wall_clocks(&self, ms: i64) {
-        self.network.advance_wall_clocks(ms);
+        self.simulated.advance_wall_clocks(ms);
     }
 
     /// Number of datagrams between senders that were put into a receiver's queue.
     pub fn datagrams_sent(&self) -> u64 {
-        self.network.datagrams_sent()
+        self.simulated.datagrams_sent()
     }
 
     /// Starts a partition. It affects only the simulated network: traffic over real sockets still passes.
-    pub fn set_partition(&self, severed: Partition) {
-        self.network.set_partition(severed);
+    pub fn set_partition(&self, partition: Partition) {
+        self.simulated.set_partition(partition);
     }
 
     /// Refused connection attempts of senders: time, sender and target address.
     pub fn refused_connections(&self) -> Vec<(tokio::time::Instant, usize, SocketAddr)> {
-        self.network.refused_connections()
+        self.simulated.refused_connections()
     }
 
     pub fn started_at(&self) -> tokio::time::Instant {
-        self.network.started_at()
+        self.simulated.started_at()
     }
 
     /// Removes the listener at this address.
     pub fn close_listener(&self, at: SocketAddr) {
         match &self.real_listeners {
-            None => self.network.close_listener(at),
-            Some(ports) => ports.close_listener(at),
+            None => self.simulated.close_listener(at),
+            Some(listeners) => listeners.close_listener(at),
         }
     }
 }
--- a/crates/proof/nickelshed-lab/src/world.rs
+++ b/crates/proof/nickelshed-lab/src/world.rs
@@ -110,7 +110,7 @@
                 i as u64 + 1,
                 Destination {
                     system: RefCell::new(system),
-                    estimated_rate: estimated_rate,
+                    estimated_rate,
                     reset_signal: Notify::new(),
                     idle_close_signal: Notify::new(),
                 },
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Records an event at a time other than now. The history is sorted by time at the end of the run.
+    /// Records an event at a given time. The history is sorted by time at the end of the run.
     pub fn record_at(&self, at: Us, what: What) {
         self.events.borrow_mut().push(Event { at, what });
     }
--- a/crates/proof/nickelshed-lab/tests/days.rs
+++ b/crates/proof/nickelshed-lab/tests/days.rs
@@ -1,4 +1,5 @@
-//! Days of the whole sender: the same each time, clean where they should be, and kept finds.
+//! Runs of whole senders under the checker: reproducibility, scenarios, regression cases, kills, injected
+//! faults and removed guards.
 use nickelshed_config::sidecar::Effect;
 use nickelshed_config::units::{Percent, Period};
 use nickelshed_judge::{Event, How, Rule, What};
@@ -9,7 +10,7 @@
 use nickelshed_model::{draw, Kind, Scenario, Trouble};
 use std::path::{Path, PathBuf};
 
-fn folder(name: &str) -> Vec<PathBuf> {
+fn scenario_files(name: &str) -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../lab").join(name);
     let files = std::fs::read_dir(folder)
         .map(|d| d.flatten().map(|f| f.path()).collect())
@@ -20,95 +21,97 @@
     files
 }
 
-fn trace(day: &Day) -> String {
-    day.events.iter().map(|e| serde_json::to_string(e).unwrap() + "\n").collect()
+fn event_trace(run: &Day) -> String {
+    run.events.iter().map(|e| serde_json::to_string(e).unwrap() + "\n").collect()
 }
 
-/// In one thread, in another, and with other days before and beside it.
+/// A run must not depend on the thread, on earlier runs of the thread, or on runs in parallel.
 #[test]
-fn the_same_seed_is_the_same_bytes() {
+fn same_seed_produces_the_same_events() {
     for seed in [3, 6, 8, 11] {
-        let first = trace(&play(&draw(seed), seed).unwrap());
+        let first = event_trace(&play(&draw(seed), seed).unwrap());
         assert!(first.lines().count() > 500);
-        let beside: Vec<_> = (0..3u64)
+        let parallel_runs: Vec<_> = (0..3u64)
             .map(|i| {
                 std::thread::spawn(move || {
                     play(&draw(seed + 100 + i), i).unwrap();
-                    trace(&play(&draw(seed), seed).unwrap())
+                    event_trace(&play(&draw(seed), seed).unwrap())
                 })
             })
             .collect();
-        for other in beside {
+        for other in parallel_runs {
             let other = other.join().unwrap();
-            let differs = first.lines().zip(other.lines()).position(|(a, b)| a != b);
+            let first_difference = first.lines().zip(other.lines()).position(|(a, b)| a != b);
             assert!(
                 other == first,
-                "seed {seed}, from event {differs:?} on: {:?}",
-                differs.map(|n| (first.lines().nth(n), other.lines().nth(n)))
+                "seed {seed}, from event {first_difference:?} on: {:?}",
+                first_difference.map(|n| (first.lines().nth(n), other.lines().nth(n)))
             );
         }
-        assert!(trace(&play(&draw(seed), seed + 1).unwrap()) != first);
+        assert!(event_trace(&play(&draw(seed), seed + 1).unwrap()) != first);
     }
 }
 
-/// Days of the scenarios on which one check is known to fail, with their cause in `lab/open`. It has to fail there: a change
-/// that mends it is to be seen.
-const OPEN: [(&str, u64, Rule); 1] = [("large-herd.toml", 3, Rule::Untried)];
+/// Scenarios and seeds on which one check is known to fail; `lab/open` describes the causes. The check has to
+/// fail there, so that a change that fixes it is noticed.
+const KNOWN_VIOLATIONS: [(&str, u64, Rule); 1] = [("large-herd.toml", 3, Rule::Untried)];
 
 #[test]
-fn every_scenario_is_played_clean() {
-    let all = folder("scenarios");
-    assert!(all.len() >= 12);
-    for path in all {
+fn every_scenario_runs_without_violations() {
+    let paths = scenario_files("scenarios");
+    assert!(paths.len() >= 12);
+    for path in paths {
         let scenario = files::read(&path).unwrap();
         for seed in [1, 3] {
-            let day = play(&scenario, seed).unwrap();
-            let broken: Vec<Rule> = day.broken.iter().map(|b| b.rule).collect();
-            let open = OPEN
+            let run = play(&scenario, seed).unwrap();
+            let violations: Vec<Rule> = run.broken.iter().map(|b| b.rule).collect();
+            let expected = KNOWN_VIOLATIONS
                 .iter()
                 .filter(|(name, at, _)| path.ends_with(name) && *at == seed)
                 .map(|(.., rule)| *rule);
-            let open: Vec<Rule> = open.collect();
-            let (crashes, words) = (&day.crashes, day.broken.iter().map(|b| &b.words).collect::<Vec<_>>());
+            let expected: Vec<Rule> = expected.collect();
+            let (crashes, descriptions) =
+                (&run.crashes, run.broken.iter().map(|b| &b.words).collect::<Vec<_>>());
             assert!(
-                crashes.is_empty() && broken == open,
-                "{} seed {seed}: {crashes:?} {words:?}",
+                crashes.is_empty() && violations == expected,
+                "{} seed {seed}: {crashes:?} {descriptions:?}",
                 path.display()
             );
-            assert!(day.reckoning.messages > 200);
+            assert!(run.reckoning.messages > 200);
         }
     }
 }
 
-/// Three rooms of senders that keep a view of one another, one of which is cut off, a third of the rest killed: the same
-/// each time, and clean.
+/// Senders in three sites that exchange membership datagrams. A third of the senders are killed, then one
+/// site is partitioned from the others.
 #[test]
-fn senders_that_keep_a_view_of_one_another_break_no_rule_and_play_the_same_each_time() {
+fn fleet_members_violate_no_rule_and_their_runs_are_reproducible() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../lab/scenarios/large-notes.toml");
     let scenario = files::read(&path).unwrap();
-    let alone = play(&Scenario { notes: false, ..scenario.clone() }, 1).unwrap();
-    let day = play(&scenario, 1).unwrap();
-    assert!(day.is_clean(), "{:?} {:?}", day.crashes, day.broken);
-    // Each probes another about once a second, for as long as it runs.
-    let least = u64::from(scenario.senders) * (day.length.as_secs() - 10);
-    assert!(alone.notes == 0 && day.notes > least, "{} notes", day.notes);
-    assert!(trace(&play(&scenario, 1).unwrap()) == trace(&day));
+    let without_membership = play(&Scenario { notes: false, ..scenario.clone() }, 1).unwrap();
+    let run = play(&scenario, 1).unwrap();
+    assert!(run.is_clean(), "{:?} {:?}", run.crashes, run.broken);
+    // Each sender probes another one about once per second while it runs.
+    let min_datagrams = u64::from(scenario.senders) * (run.length.as_secs() - 10);
+    assert!(without_membership.notes == 0 && run.notes > min_datagrams, "{} notes", run.notes);
+    assert!(event_trace(&play(&scenario, 1).unwrap()) == event_trace(&run));
 }
 
-/// What explore has met once is met no more.
+/// Failing cases that `explore` has found must not fail again.
 #[test]
-fn every_find_is_mended() {
-    for path in folder("found") {
+fn regression_cases_stay_fixed() {
+    for path in scenario_files("found") {
         let scenario = files::read(&path).unwrap();
-        let day = play(&scenario, scenario.seed.unwrap_or(1)).unwrap();
-        assert!(day.is_clean(), "{}: {:?} {:?}", path.display(), day.crashes, day.broken);
+        let run = play(&scenario, scenario.seed.unwrap_or(1)).unwrap();
+        assert!(run.is_clean(), "{}: {:?} {:?}", path.display(), run.crashes, run.broken);
     }
 }
 
-/// A kill at each twentieth of a second of a day with a drain, told waits and a cold return, by two senders.
+/// Kills both senders at another time in each run, in steps of 50 ms. The run has a drain, `Retry-After`
+/// waits, and an outage that ends in slow start.
 #[test]
-fn a_kill_at_any_time_breaks_no_rule() {
-    let trouble = |kind, at: u64, lasts: u64| Trouble {
+fn kill_at_any_time_violates_no_rule() {
+    let fault = |kind, at: u64, lasts: u64| Trouble {
         kind,
         at: Period::ms(at),
         lasts: Period::ms(lasts),
@@ -125,21 +128,21 @@
         told_wait: Period::ms(600),
         abandoned_after: Period::ms(6_000),
         discovery_late: Period::ms(100),
-        troubles: vec![trouble(Kind::Drain, 1_000, 0), trouble(Kind::Refused, 1_200, 1_500)],
+        troubles: vec![fault(Kind::Drain, 1_000, 0), fault(Kind::Refused, 1_200, 1_500)],
         ..Scenario::default()
     };
-    for kill in (800..4_800).step_by(50) {
-        let mut day = scenario.clone();
-        day.troubles.push(trouble(Kind::Kill, kill, 0));
-        let day = play(&day, 1).unwrap();
-        assert!(day.is_clean(), "killed at {kill} ms: {:?} {:?}", day.crashes, day.broken);
+    for kill_ms in (800..4_800).step_by(50) {
+        let mut with_kill = scenario.clone();
+        with_kill.troubles.push(fault(Kind::Kill, kill_ms, 0));
+        let run = play(&with_kill, 1).unwrap();
+        assert!(run.is_clean(), "killed at {kill_ms} ms: {:?} {:?}", run.crashes, run.broken);
     }
 }
 
-/// A kill in every second operation on the disk, with nothing, half and all of a write done, and at bytes sent. All of them:
-/// `nickelshed-lab kills lab/scenarios/kills.toml`.
+/// Kills a sender in every second disk operation, with nothing, half or all of a write done, and at every
+/// 499th byte sent. `nickelshed-lab kills lab/scenarios/kills.toml` runs all of these kills.
 #[test]
-fn a_kill_in_any_operation_and_at_any_byte_breaks_no_rule() {
+fn kill_in_any_disk_operation_or_at_any_sent_byte_violates_no_rule() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../lab/scenarios/kills.toml");
     let scenario = files::read(&path).unwrap();
     let jobs = std::thread::available_parallelism().map_or(1, |n| n.get());
@@ -148,10 +151,10 @@
     assert_eq!(killed.finds, []);
 }
 
-/// The same stand-ins and the same model over real sockets. Times are the machine's there, so only what does not hang on them
-/// is asserted.
+/// The same fake servers and the same model over real sockets. Timing depends on the machine there, so only
+/// properties that do not depend on timing are asserted.
 #[test]
-fn a_day_is_played_over_real_sockets_too() {
+fn scenario_runs_over_real_sockets() {
     let scenario = Scenario {
         length: Period::ms(2_500),
         senders: 2,
@@ -176,12 +179,12 @@
     assert_eq!(real.crashes, [] as [String; 0]);
     assert_eq!(real.reckoning.messages, simulated.reckoning.messages);
     assert!(real.reckoning.in_time > 0);
-    let broken = |rule| real.broken.iter().find(|b| b.rule == rule);
-    assert_eq!((broken(Rule::AtOnce), broken(Rule::Twice)), (None, None));
+    let violation = |rule| real.broken.iter().find(|b| b.rule == rule);
+    assert_eq!((violation(Rule::AtOnce), violation(Rule::Twice)), (None, None));
 }
 
 #[test]
-fn a_scenario_with_a_mistake_is_told_with_its_place_and_not_played() {
+fn invalid_scenario_is_rejected_with_the_location_of_the_mistake() {
     let parse = |text: &str| files::parse(text, Path::new("day.toml")).unwrap_err();
     assert!(parse("rate = 5\nlenth = \"3s\"\n").starts_with("day.toml:2:1: error[NS101]"));
     assert!(parse("[[trouble]]\nkind = \"silnt\"\nat = \"1s\"\n").contains("Did you mean `silent`?"));
@@ -189,11 +192,11 @@
     assert!(files::read(Path::new("none.toml")).unwrap_err().contains("cannot read"));
 }
 
-/// A model that breaks a rule by itself shows that the judge is heard, and that a find is cut down to its cause: here
-/// destinations that drop no repeats.
+/// A scenario that does not show the failure has no failing case to minimize: it comes back unchanged and
+/// without a description.
 #[test]
-fn a_find_is_cut_down_to_what_matters() {
-    let trouble = |kind| Trouble {
+fn scenario_without_the_failure_is_not_minimized() {
+    let fault = |kind| Trouble {
         kind,
         at: Period::ms(2_000),
         lasts: Period::ms(3_000),
@@ -204,143 +207,161 @@
     let scenario = Scenario {
         length: Period::ms(8_000),
         effect: nickelshed_config::sidecar::Effect::Safe,
-        troubles: vec![trouble(Kind::Slow), trouble(Kind::Burst), trouble(Kind::Mute)],
+        troubles: vec![fault(Kind::Slow), fault(Kind::Burst), fault(Kind::Mute)],
         ..Scenario::default()
     };
-    let fault = Fault::Crash;
-    assert!(!faults(&play(&scenario, 1).unwrap()).contains_key(&fault));
-    let find = cut(fault, 1, scenario.clone());
-    assert_eq!((find.words.as_str(), find.scenario.troubles.len()), ("", 3), "what shows nothing is not cut");
+    let failure = Fault::Crash;
+    assert!(!faults(&play(&scenario, 1).unwrap()).contains_key(&failure));
+    let failing_case = cut(failure, 1, scenario.clone());
+    assert_eq!(
+        (failing_case.words.as_str(), failing_case.scenario.troubles.len()),
+        ("", 3),
+        "a scenario that does not show the failure is not minimized"
+    );
 }
 
-/// Each guard that is undone is caught, by random days alone. How long that took is in docs/operations/lab.md.
+/// Random scenarios alone detect each removed guard. docs/operations/lab.md lists the simulated time that it
+/// took.
 #[test]
-fn every_guard_that_is_undone_is_caught() {
-    for lie in Mutation::ALL {
-        let mut hours = 0.0;
-        let breaks = |day: &Day| day.broken.iter().any(|b| b.rule == lie.violated_rule());
+fn every_removed_guard_is_detected() {
+    for mutation in Mutation::ALL {
+        let mut simulated_hours = 0.0;
+        let violates = |run: &Day| run.broken.iter().any(|b| b.rule == mutation.violated_rule());
         let caught = (1..=150).find(|&seed| {
-            let day = play_so(&draw(seed), seed, RunOptions { mutation: Some(lie), ..RunOptions::default() })
-                .unwrap();
-            hours += day.length.as_secs_f64() / 3_600.0;
-            // And it is the lie: without it the same day is clean.
-            breaks(&day) && !breaks(&play(&draw(seed), seed).unwrap())
+            let run =
+                play_so(&draw(seed), seed, RunOptions { mutation: Some(mutation), ..RunOptions::default() })
+                    .unwrap();
+            simulated_hours += run.length.as_secs_f64() / 3_600.0;
+            // The mutation is the cause: the same run without it does not violate the rule.
+            violates(&run) && !violates(&play(&draw(seed), seed).unwrap())
         });
-        println!("{lie:?}: caught by seed {caught:?} after {hours:.2} simulated hours");
-        assert!(caught.is_some(), "{lie:?} is not caught in {hours:.1} simulated hours");
+        println!("{mutation:?}: caught by seed {caught:?} after {simulated_hours:.2} simulated hours");
+        assert!(caught.is_some(), "{mutation:?} is not detected within {simulated_hours:.1} simulated hours");
     }
 }
 
-fn crossings_day() -> nickelshed_model::Scenario {
+fn fault_point_scenario() -> nickelshed_model::Scenario {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../lab/crossings.toml");
     files::read(&path).unwrap()
 }
 
-/// Each ninth place at which a sender meets its host, with each happening. All of them, and other seeds:
-/// `nickelshed-lab crossings lab/crossings.toml --seed N`.
+/// Runs every ninth combination of step and fault. `nickelshed-lab crossings lab/crossings.toml --seed N`
+/// runs all of them, also for other seeds.
 #[test]
-fn whatever_happens_at_any_place_where_a_sender_meets_its_host_breaks_no_rule() {
+fn fault_at_any_step_of_a_sender_violates_no_rule() {
     let jobs = std::thread::available_parallelism().map_or(1, |n| n.get());
     for seed in [1, 2] {
-        let crossed = crossings(&crossings_day(), seed, 9, 0, jobs).unwrap();
-        assert!(crossed.steps > 100 && crossed.played > 300, "{crossed:?}");
-        assert_eq!(crossed.finds, []);
+        let report = crossings(&fault_point_scenario(), seed, 9, 0, jobs).unwrap();
+        assert!(report.steps > 100 && report.played > 300, "{report:?}");
+        assert_eq!(report.finds, []);
     }
 }
 
-/// The same where a sender's room is full, so that clients wait to hear whether their message is taken on.
+/// As above, with senders at the limit of open messages, so that clients wait to learn whether their message
+/// is accepted.
 #[test]
-fn whatever_happens_at_any_place_of_a_full_sender_breaks_no_rule() {
+fn fault_at_any_step_of_a_full_sender_violates_no_rule() {
     let jobs = std::thread::available_parallelism().map_or(1, |n| n.get());
-    let full = Scenario { held: 6, rate: 40.0, limit: 0.4, ..crossings_day() };
+    let full = Scenario { held: 6, rate: 40.0, limit: 0.4, ..fault_point_scenario() };
     for seed in [1, 2] {
-        let whole = play(&full, seed).unwrap();
-        let came = |id: &str| {
-            let handed = |e: &&Event| matches!(&e.what, What::HandedIn { id: i, .. } if i == id);
-            whole.events.iter().find(handed).unwrap().at
+        let baseline = play(&full, seed).unwrap();
+        let submitted_at = |id: &str| {
+            let is_submission = |e: &&Event| matches!(&e.what, What::HandedIn { id: i, .. } if i == id);
+            baseline.events.iter().find(is_submission).unwrap().at
         };
-        let waited = whole.events.iter().filter(|e| match &e.what {
-            What::Heard { id, status: 202 | 503 } => e.at - came(id) > 100_000,
+        let delayed_answers = baseline.events.iter().filter(|e| match &e.what {
+            What::Heard { id, status: 202 | 503 } => e.at - submitted_at(id) > 100_000,
             _ => false,
         });
-        assert!(waited.count() > 3, "the room is never full");
-        let crossed = crossings(&full, seed, 19, 0, jobs).unwrap();
-        assert!(crossed.played > 300, "{crossed:?}");
-        assert_eq!(crossed.finds, []);
+        assert!(delayed_answers.count() > 3, "at most 3 clients waited more than 100 ms for an answer");
+        let report = crossings(&full, seed, 19, 0, jobs).unwrap();
+        assert!(report.played > 300, "{report:?}");
+        assert_eq!(report.finds, []);
     }
 }
 
-/// A happening that did not come would break no rule either.
+/// A fault that is never injected would violate no rule either.
 #[test]
-fn every_happening_of_a_crossing_is_seen_in_its_day() {
-    let day = |crossing| {
-        play_so(&crossings_day(), 1, RunOptions { fault_point: crossing, ..RunOptions::default() }).unwrap()
+fn every_injected_fault_changes_its_run() {
+    let run = |fault_point| {
+        play_so(&fault_point_scenario(), 1, RunOptions { fault_point, ..RunOptions::default() }).unwrap()
     };
-    let whole = day(None);
-    for happening in Happening::ALL {
-        let places = whole
+    let baseline = run(None);
+    for fault in Happening::ALL {
+        let points = baseline
             .done
             .iter()
             .enumerate()
             .flat_map(|(s, done)| (0..done.steps).step_by(4).map(move |n| (s, n)));
-        let seen = places.filter(|&(sender, step)| {
+        let visible = points.filter(|&(sender, step)| {
             let after = step % 2 == 0;
-            day(Some(Crossing { sender, step, after, happening })).events != whole.events
+            run(Some(Crossing { sender, step, after, happening: fault })).events != baseline.events
         });
-        assert!(seen.count() >= 1, "{happening:?}");
+        assert!(visible.count() >= 1, "{fault:?}");
     }
 }
 
-/// An endpoint that ends a connection as it takes it has been tried: the same attempt does not try it over and over.
+/// An endpoint that closes a connection right after accepting it counts as tried. The same attempt once
+/// connected to it again and again until the time of the call was over.
 #[test]
-fn endpoints_that_end_new_connections_are_not_called_on_and_on() {
-    let brief = Scenario { rate: 2.0, length: Period::ms(2_000), troubles: Vec::new(), ..crossings_day() };
-    let steps = |crossing| {
-        let day = play_so(&brief, 1, RunOptions { fault_point: crossing, ..RunOptions::default() }).unwrap();
-        assert!(day.is_clean(), "{:?}", day.broken);
-        day.done.iter().map(|done| done.steps).sum::<u64>()
+fn endpoint_that_closes_new_connections_is_not_retried_within_an_attempt() {
+    let scenario =
+        Scenario { rate: 2.0, length: Period::ms(2_000), troubles: Vec::new(), ..fault_point_scenario() };
+    let steps = |fault_point| {
+        let run = play_so(&scenario, 1, RunOptions { fault_point, ..RunOptions::default() }).unwrap();
+        assert!(run.is_clean(), "{:?}", run.broken);
+        run.done.iter().map(|done| done.steps).sum::<u64>()
     };
-    let whole = steps(None);
-    let crossed = steps(Some(Crossing { sender: 0, step: 5, after: false, happening: Happening::EndsNew }));
-    assert!(crossed < whole + 60, "{crossed} steps, {whole} without it");
+    let without_fault = steps(None);
+    let with_fault =
+        steps(Some(Crossing { sender: 0, step: 5, after: false, happening: Happening::EndsNew }));
+    assert!(with_fault < without_fault + 60, "{with_fault} steps, {without_fault} without it");
 }
 
-/// Clients leave at any place: no message is called for whose client has left before it could be answered.
+/// Clients disconnect at any step. A message whose client disconnected before the answer must not be sent: an
+/// unsafe message that the client submits elsewhere would run twice.
 #[test]
-fn what_nobody_was_told_is_taken_on_is_not_called_for() {
-    let mut called = Vec::new();
-    let whole = play(&crossings_day(), 1).unwrap();
-    for (sender, done) in whole.done.iter().enumerate() {
+fn message_of_a_disconnected_client_is_not_sent() {
+    let mut sent_calls = Vec::new();
+    let baseline = play(&fault_point_scenario(), 1).unwrap();
+    for (sender, done) in baseline.done.iter().enumerate() {
         for (step, after) in (0..done.steps).flat_map(|n| [(n, false), (n, true)]) {
-            let crossing = Crossing { sender, step, after, happening: Happening::ClientsLeave };
-            let day = play_so(
-                &crossings_day(),
+            let fault_point = Crossing { sender, step, after, happening: Happening::ClientsLeave };
+            let run = play_so(
+                &fault_point_scenario(),
                 1,
-                RunOptions { fault_point: Some(crossing), ..RunOptions::default() },
+                RunOptions { fault_point: Some(fault_point), ..RunOptions::default() },
             )
             .unwrap();
-            let left: Vec<(&str, u64)> = day
+            let disconnects: Vec<(&str, u64)> = run
                 .events
                 .iter()
-                .filter_map(
-                    |e| if let What::Left { id } = &e.what { Some((id.as_str(), e.at)) } else { None },
-                )
+                .filter_map(|event| {
+                    if let What::Left { id } = &event.what {
+                        Some((id.as_str(), event.at))
+                    } else {
+                        None
+                    }
+                })
                 .collect();
-            for e in &day.events {
-                let What::Call { ids, first_byte, .. } = &e.what else { continue };
-                let unheard = ids.iter().any(|id| left.iter().any(|(l, at)| l == id && at <= first_byte));
-                if unheard {
-                    called.push((sender, step, after, ids.clone()));
+            for event in &run.events {
+                let What::Call { ids, first_byte, .. } = &event.what else { continue };
+                let had_disconnected = ids.iter().any(|id| {
+                    disconnects.iter().any(|(disconnected, at)| disconnected == id && at <= first_byte)
+                });
+                if had_disconnected {
+                    sent_calls.push((sender, step, after, ids.clone()));
                 }
             }
         }
     }
-    assert_eq!(called, []);
+    assert_eq!(sent_calls, []);
 }
 
-/// An answer that is read as the message's time runs out may have been written too late to deliver it, so its end is told.
+/// An answer that is read just before the message's deadline may be too late to count as a delivery, so the
+/// sender writes a notice of the message's end.
 #[test]
-fn what_is_answered_as_its_time_runs_out_is_told_of() {
+fn message_answered_just_before_its_deadline_gets_a_notice() {
     let scenario = Scenario {
         length: Period::ms(6_000),
         rate: 40.0,
@@ -352,30 +373,30 @@
         servers: 32,
         ..Scenario::default()
     };
-    let (day, ms) = (play(&scenario, 1).unwrap(), 1_000);
-    assert!(day.is_clean(), "{:?}", day.broken);
+    let (run, ms) = (play(&scenario, 1).unwrap(), 1_000);
+    assert!(run.is_clean(), "{:?}", run.broken);
     let answered = |id: &str, from: u64, to: u64| {
-        let calls = day.events.iter().filter_map(|e| match &e.what {
+        let calls = run.events.iter().filter_map(|e| match &e.what {
             What::Call { call, ids, .. } if ids.iter().any(|i| i == id) => Some(*call),
             _ => None,
         });
         let calls: Vec<u64> = calls.collect();
-        day.events.iter().any(|e| {
+        run.events.iter().any(|e| {
             matches!(&e.what, What::Over { call, how: How::Answered { status: 200, .. } } if calls.contains(call))
                 && (from..to).contains(&e.at)
         })
     };
-    let mut late = 0;
-    for e in &day.events {
+    let mut late_answers = 0;
+    for e in &run.events {
         let What::HandedIn { id, expires, .. } = &e.what else { continue };
-        let end = e.at + expires;
-        let told = day.events.iter().any(|n| matches!(&n.what, What::Notice { id: i, .. } if i == id));
-        // On its way for 10 ms: read within the last 30.
-        if answered(id, end - 40 * ms, end - 11 * ms) {
-            late += 1;
-            assert!(told, "{id}");
+        let deadline = e.at + expires;
+        let has_notice = run.events.iter().any(|n| matches!(&n.what, What::Notice { id: i, .. } if i == id));
+        // The answer travels for 10 ms, so the sender reads it within the last 30 ms.
+        if answered(id, deadline - 40 * ms, deadline - 11 * ms) {
+            late_answers += 1;
+            assert!(has_notice, "{id}");
         }
-        assert!(!(told && answered(id, e.at, end - 100 * ms)), "{id} was answered well before");
+        assert!(!(has_notice && answered(id, e.at, deadline - 100 * ms)), "{id} was answered well before");
     }
-    assert!(late >= 3, "{late}");
+    assert!(late_answers >= 3, "{late_answers}");
 }
