--- a/crates/proof/nickelshed-lab/src/stands.rs
+++ b/crates/proof/nickelshed-lab/src/stands.rs
@@ -224,8 +224,8 @@
     id.trim_start_matches('m').split('-').next().and_then(|n| n.parse().ok()).unwrap_or(u64::MAX)
 }
 
-/// Returns the address of machine `number` in 127.`network`.0.0/16. Each kind of address has a network of its
-/// own.
+/// Returns the address of machine `number` in 127.`network`.0.0/16. The networks are 1 for senders, 2 for
+/// endpoints, 3 for discovery agents and 4 for membership datagrams.
 fn loopback_ip(network: u8, number: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, network, (number / 250) as u8, (number % 250) as u8 + 1)
 }
