--- a/crates/proof/nickelshed-lab/src/stands.rs
+++ b/crates/proof/nickelshed-lab/src/fake_servers.rs
@@ -1,9 +1,9 @@
 //! Fake servers and clients around the senders: endpoints, discovery agents, which also receive the senders'
 //! notices, and clients.
 use crate::http::{HttpConnection, HttpMessage};
-use crate::lie::Mutation;
-use crate::wire::{LabHost, LabListener, LabStream};
-use crate::world::{ListedEndpoint, Simulation};
+use crate::mutation::Mutation;
+use crate::network::{LabHost, LabListener, LabStream};
+use crate::simulation::{ListedEndpoint, Simulation};
 use base64::Engine;
 use nickelshed_config::sidecar::Effect;
 use nickelshed_host::{Host, Listener};
--- a/crates/proof/nickelshed-lab/src/http.rs
+++ b/crates/proof/nickelshed-lab/src/http.rs
@@ -1,6 +1,6 @@
 //! The part of HTTP/1.1 that the fake servers and clients use: message heads, and bodies with a
 //! `Content-Length`.
-use crate::wire::LabStream;
+use crate::network::LabStream;
 use tokio::time::Instant;
 
 const HEAD_BYTES_MAX: usize = 256 << 10;
--- a/crates/proof/nickelshed-lab/src/rude.rs
+++ b/crates/proof/nickelshed-lab/src/malformed_clients.rs
@@ -1,8 +1,8 @@
 //! Clients that send malformed or incomplete requests, and then close or keep the connection open. The sender
 //! must accept none of these requests, and other clients must not be affected.
+use crate::fake_servers::sender_address;
 use crate::http::HttpConnection;
-use crate::stands::sender_address;
-use crate::world::Simulation;
+use crate::simulation::Simulation;
 use nickelshed_host::{Host, Stream};
 use nickelshed_model::{stream, Random, Trouble};
 use rand::{Rng, RngExt};
--- a/crates/proof/nickelshed-lab/src/wire.rs
+++ b/crates/proof/nickelshed-lab/src/network.rs
@@ -1,7 +1,7 @@
 //! The network that senders, fake servers and clients use: the simulated one, or real loopback sockets behind
 //! the same types.
 use crate::life::Life;
-use crate::net::{Partition, SimDatagrams, SimHost, SimListener, SimNetwork, SimStream};
+use crate::sim_network::{Partition, SimDatagrams, SimHost, SimListener, SimNetwork, SimStream};
 use crate::sockets::{ListenerRegistry, SocketHost, SocketListener, SocketStream};
 use nickelshed_host::{Host, Listener, Machine, Stream};
 use std::io::{self, IoSlice};
--- a/crates/proof/nickelshed-lab/src/play.rs
+++ b/crates/proof/nickelshed-lab/src/play.rs
@@ -1,16 +1,16 @@
 //! One day: senders as processes, the stand-ins around them, the troubles at their times, and the judge at the end.
 use crate::crossings::{Crossing, Happening};
-use crate::lie::Mutation;
-use crate::life::Done;
-use crate::manner::RunOptions;
-use crate::net::Partition;
-use crate::process::{run_machine, ProcessControl, ProcessHandle};
-use crate::rude;
-use crate::stands::{
+use crate::fake_servers::{
     discovery_address, listen, membership_address, open_endpoint, run_discovery_agent, sender_address,
     Clients,
 };
-use crate::world::{ListedEndpoint, Simulation};
+use crate::life::Done;
+use crate::malformed_clients;
+use crate::mutation::Mutation;
+use crate::process::{run_machine, ProcessControl, ProcessHandle};
+use crate::run_options::RunOptions;
+use crate::sim_network::Partition;
+use crate::simulation::{ListedEndpoint, Simulation};
 use nickelshed::EnvironmentVariables;
 use nickelshed_config::sidecar::{Effect, Scope};
 use nickelshed_config::units::{Percent, Period};
@@ -311,7 +311,7 @@
             let until = world.to_instant(trouble.to());
             (0..processes.len()).filter(met).for_each(|s| world.process_states[s].stall(until));
         }
-        Kind::Rude => rude::send_malformed_requests(world, trouble, seed).await,
+        Kind::Rude => malformed_clients::send_malformed_requests(world, trouble, seed).await,
         // What is left is in the traffic already.
         _ => {}
     }
--- a/crates/proof/nickelshed-lab/src/process.rs
+++ b/crates/proof/nickelshed-lab/src/process.rs
@@ -1,9 +1,9 @@
 //! Runs one sender's machine: starts its process, delivers signals, stops the process at injected kill
 //! points, and restarts it.
+use crate::fake_servers::sender_address;
 use crate::folder::Folder;
-use crate::lie::Mutation;
-use crate::stands::sender_address;
-use crate::world::Simulation;
+use crate::mutation::Mutation;
+use crate::simulation::Simulation;
 use nickelshed::{serve, ConfigSource, EnvironmentVariables, Operator, Signals};
 use nickelshed_host::Host;
 use nickelshed_journal::Storage;
--- a/crates/proof/nickelshed-lab/src/manner.rs
+++ b/crates/proof/nickelshed-lab/src/run_options.rs
@@ -1,7 +1,7 @@
 //! Options of a run, in addition to its scenario and its seed.
 use crate::crossings::Crossing;
-use crate::lie::Mutation;
 use crate::life::Cut;
+use crate::mutation::Mutation;
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunOptions {
--- a/crates/proof/nickelshed-lab/src/world.rs
+++ b/crates/proof/nickelshed-lab/src/simulation.rs
@@ -1,11 +1,11 @@
 //! Shared state of a run: the clock, the event history, the customer systems, and discovery's list of
 //! endpoints.
-use crate::lie::Mutation;
+use crate::fake_servers::sender_of_membership_address;
 use crate::life::Life;
-use crate::manner::RunOptions;
-use crate::net::SimNetwork;
-use crate::stands::sender_of_membership_address;
-use crate::wire::Network;
+use crate::mutation::Mutation;
+use crate::network::Network;
+use crate::run_options::RunOptions;
+use crate::sim_network::SimNetwork;
 use nickelshed_judge::{Event, How, Us, What};
 use nickelshed_model::{shares, stream, Random, Scenario, System};
 use rand::RngExt;
--- a/crates/proof/nickelshed-lab/src/sockets.rs
+++ b/crates/proof/nickelshed-lab/src/sockets.rs
@@ -1,7 +1,7 @@
 //! Real loopback sockets behind the addresses of the simulated machines: each simulated address maps to a
 //! port that the kernel assigns. The same fake servers and the same sender run over them in real time.
 use crate::life::Life;
-use crate::net::{is_endpoint_address, SimNetwork};
+use crate::sim_network::{is_endpoint_address, SimNetwork};
 use nickelshed_host::{Host, Machine, Stream};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
