--- /dev/null
+++ b/crates/proof/nickelshed-lab/src/run_options.rs
@@ -0,0 +1,22 @@
+//! Options of a run, in addition to its scenario and its seed.
+use crate::crossings::Crossing;
+use crate::life::Cut;
+use crate::mutation::Mutation;
+
+#[derive(Clone, Copy, Debug, Default)]
+pub struct RunOptions {
+    /// The guard that is removed from the senders, if any.
+    pub mutation: Option<Mutation>,
+    /// The point at which one sender's process is killed, if any. The process is restarted afterwards.
+    pub kill: Option<Kill>,
+    /// The fault that is injected at one step of one sender, if any.
+    pub fault_point: Option<Crossing>,
+    /// Whether the run uses real loopback sockets and real time instead of the simulated network and clock.
+    pub uses_real_sockets: bool,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Kill {
+    pub sender: usize,
+    pub point: Cut,
+}
--- a/crates/proof/nickelshed-lab/src/sockets.rs
+++ b/crates/proof/nickelshed-lab/src/sockets.rs
@@ -1,7 +1,7 @@
-//! Real loopback sockets under the names of the simulated machines: each address is a port that the kernel gave. The same
-//! stand-ins and the same sender run over them in real time.
+//! Real loopback sockets behind the addresses of the simulated machines: each simulated address maps to a
+//! port that the kernel assigns. The same fake servers and the same sender run over them in real time.
 use crate::life::Life;
-use crate::net::{is_far, Net};
+use crate::sim_network::{is_endpoint_address, SimNetwork};
 use nickelshed_host::{Host, Stream, SystemHost};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,22 +15,22 @@
 use tokio::time::{sleep, Instant};
 
 #[derive(Default)]
-struct Open {
-    at: Option<SocketAddr>,
-    closed: Cell<bool>,
+struct OpenListener {
+    bound_address: Option<SocketAddr>,
+    is_closed: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
-/// Who listens where.
+/// Open listeners by simulated address.
 #[derive(Clone, Default)]
-pub struct Ports(Rc<RefCell<BTreeMap<SocketAddr, Rc<Open>>>>);
-
-impl Ports {
-    /// Nobody listens there any more.
-    pub fn close(&self, at: SocketAddr) {
-        if let Some(open) = self.0.borrow_mut().remove(&at) {
-            open.closed.set(true);
-            if let Some(waker) = open.waker.borrow_mut().take() {
+pub struct ListenerRegistry(Rc<RefCell<BTreeMap<SocketAddr, Rc<OpenListener>>>>);
+
+impl ListenerRegistry {
+    /// Removes the listener at this address.
+    pub fn close_listener(&self, at: SocketAddr) {
+        if let Some(listener) = self.0.borrow_mut().remove(&at) {
+            listener.is_closed.set(true);
+            if let Some(waker) = listener.waker.borrow_mut().take() {
                 waker.wake();
             }
         }
@@ -39,15 +39,15 @@
 
 #[derive(Clone)]
 pub struct SocketHost {
-    pub ports: Ports,
-    pub net: Net,
-    pub life: Option<Rc<Life>>,
+    pub listeners: ListenerRegistry,
+    pub network: SimNetwork,
+    pub process_state: Option<Rc<Life>>,
 }
 
 impl SocketHost {
     fn latency(&self, to: SocketAddr) -> Duration {
-        if is_far(to.ip()) {
-            self.net.latency()
+        if is_endpoint_address(to.ip()) {
+            self.network.latency()
         } else {
             Duration::ZERO
         }
@@ -55,33 +55,40 @@
 
     pub async fn connect(&self, to: SocketAddr) -> io::Result<SocketStream> {
         sleep(2 * self.latency(to)).await;
-        let at = self.ports.0.borrow().get(&to).and_then(|open| open.at);
-        let made = match at {
-            Some(at) => SystemHost.connect(at).await,
+        let bound_address = self.listeners.0.borrow().get(&to).and_then(|listener| listener.bound_address);
+        let connected = match bound_address {
+            Some(bound_address) => SystemHost.connect(bound_address).await,
             None => Err(ErrorKind::ConnectionRefused.into()),
         };
-        if let (Err(_), Some(life)) = (&made, &self.life) {
-            self.net.note_refused(life.sender, to);
+        if let (Err(_), Some(process)) = (&connected, &self.process_state) {
+            self.network.record_refused_connection(process.sender, to);
         }
-        // The way's time is taken at the endpoint's end.
-        made.map(|tcp| SocketStream::new(tcp, Duration::ZERO))
+        // The endpoint's end of the connection adds the latency.
+        connected.map(|tcp| SocketStream::new(tcp, Duration::ZERO))
     }
 
     pub async fn listen(&self, at: SocketAddr) -> io::Result<SocketListener> {
-        if self.ports.0.borrow().contains_key(&at) {
+        if self.listeners.0.borrow().contains_key(&at) {
             return Err(ErrorKind::AddrInUse.into());
         }
         let tcp = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
-        let open = Rc::new(Open { at: Some(tcp.local_addr()?), ..Open::default() });
-        self.ports.0.borrow_mut().insert(at, open.clone());
-        Ok(SocketListener { ports: self.ports.clone(), at, open, tcp, latency: self.latency(at) })
+        let registration =
+            Rc::new(OpenListener { bound_address: Some(tcp.local_addr()?), ..OpenListener::default() });
+        self.listeners.0.borrow_mut().insert(at, registration.clone());
+        Ok(SocketListener {
+            listeners: self.listeners.clone(),
+            address: at,
+            registration,
+            tcp,
+            latency: self.latency(at),
+        })
     }
 }
 
 pub struct SocketListener {
-    ports: Ports,
-    at: SocketAddr,
-    open: Rc<Open>,
+    listeners: ListenerRegistry,
+    address: SocketAddr,
+    registration: Rc<OpenListener>,
     tcp: TcpListener,
     latency: Duration,
 }
@@ -89,10 +96,10 @@
 impl SocketListener {
     pub async fn accept(&self) -> io::Result<SocketStream> {
         poll_fn(|cx| {
-            if self.open.closed.get() {
+            if self.registration.is_closed.get() {
                 return Poll::Ready(Err(ErrorKind::NotConnected.into()));
             }
-            self.open.waker.replace(Some(cx.waker().clone()));
+            self.registration.waker.replace(Some(cx.waker().clone()));
             self.tcp.poll_accept(cx).map_ok(|(tcp, _)| {
                 let _ = tcp.set_nodelay(true);
                 SocketStream::new(tcp, self.latency)
@@ -104,42 +111,47 @@
 
 impl Drop for SocketListener {
     fn drop(&mut self) {
-        let ours = self.ports.0.borrow().get(&self.at).is_some_and(|open| Rc::ptr_eq(open, &self.open));
-        if ours {
-            self.ports.close(self.at);
+        let is_registered = self
+            .listeners
+            .0
+            .borrow()
+            .get(&self.address)
+            .is_some_and(|listener| Rc::ptr_eq(listener, &self.registration));
+        if is_registered {
+            self.listeners.close_listener(self.address);
         }
     }
 }
 
 pub struct SocketStream {
     tcp: TcpStream,
-    /// One way, where this is an endpoint's end.
+    /// One-way latency that this end adds; zero except at an endpoint's end.
     latency: Duration,
-    read_at: Cell<Instant>,
-    ended: Cell<Option<Instant>>,
+    last_read_at: Cell<Instant>,
+    peer_ended_at: Cell<Option<Instant>>,
 }
 
 impl SocketStream {
     fn new(tcp: TcpStream, latency: Duration) -> SocketStream {
-        SocketStream { tcp, latency, read_at: Cell::new(Instant::now()), ended: Cell::new(None) }
+        SocketStream { tcp, latency, last_read_at: Cell::new(Instant::now()), peer_ended_at: Cell::new(None) }
     }
 
-    /// When what was read last came, near enough.
-    pub fn sent(&self) -> Instant {
-        self.read_at.get()
+    /// Time of the last read, which approximates when the peer sent those bytes.
+    pub fn last_sent_at(&self) -> Instant {
+        self.last_read_at.get()
     }
 
-    /// When the end of the other side was first seen.
-    pub fn other_ended(&self) -> Option<Instant> {
-        self.ended.get()
+    /// When the end of the peer's stream, or a read error, was first seen.
+    pub fn peer_ended_at(&self) -> Option<Instant> {
+        self.peer_ended_at.get()
     }
 
     pub async fn read(&self, buffer: &mut [u8]) -> io::Result<usize> {
         let read = poll_fn(|cx| self.tcp.poll_read(cx, buffer)).await;
-        self.read_at.set(Instant::now());
+        self.last_read_at.set(Instant::now());
         match &read {
             Ok(n) if *n > 0 => sleep(self.latency).await,
-            _ => _ = self.ended.get().is_none().then(|| self.ended.set(Some(Instant::now()))),
+            _ => _ = self.peer_ended_at.get().is_none().then(|| self.peer_ended_at.set(Some(Instant::now()))),
         }
         read
     }
@@ -153,7 +165,7 @@
         Ok(())
     }
 
-    /// The other side sees a reset once this is dropped.
+    /// Makes the connection end with a reset when this stream is dropped.
     pub fn reset(&self) {
         let _ = self.tcp.set_zero_linger();
     }
