--- a/crates/proof/nickelshed-crashtest/tests/kill.rs
+++ b/crates/proof/nickelshed-crashtest/tests/kill.rs
@@ -22,21 +22,21 @@
     let part = [0, 1, 100, 255, 256][random.usize(..5)];
     let kind = KINDS[point as usize % KINDS.len()];
     let number = random.u64(..if kind == "append" { 200 } else { 14 });
-    let endpoint = Peer::new(|_| ok());
-    let waiting = || closed(9);
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7), waiting()]));
-    let mut node = Node::with(PROGRAM, &discovery, json!([]), |c| {
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let waiting = || terminating_instance(9);
+    let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7), waiting()]));
+    let mut node = SenderProcess::start_with(PROGRAM, &discovery, json!([]), |c| {
         c["limits"]["disk_mb"] = json!(0.5);
         c["settings"]["Limits"]["MaxOpen"] = json!(400);
         c["settings"]["FamilyInfo"]["CallsOut"] = json!(SLOTS);
     });
-    node.environment("HALT", &format!("{kind},{number},{part}"));
+    node.set_environment("HALT", &format!("{kind},{number},{part}"));
     node.kill();
     node.restart();
     let mut taken_on = BTreeSet::new();
     let mut next = 0;
     // 200 a second, most of them delivered at once, every 10th held until after the restart.
-    let mut load = |node: &Node, most: usize, taken_on: &mut BTreeSet<String>| {
+    let mut load = |node: &SenderProcess, most: usize, taken_on: &mut BTreeSet<String>| {
         let began = Instant::now();
         let first = next;
         while next - first < most && !node.log().contains("halted") {
@@ -45,7 +45,7 @@
             let id = format!("{class}-{next}");
             next += 1;
             // One that is under way as the process stands still gets no answer, and nothing is owed for it.
-            if node.try_hand_in(class, &id, dest, 16_000, &[7; 1_024]) == Some(202) {
+            if node.try_submit(class, &id, dest, 16_000, &[7; 1_024]) == Some(202) {
                 taken_on.insert(id);
             }
             let due = began + Duration::from_millis(5) * (next - first) as u32;
@@ -53,20 +53,23 @@
         }
     };
     load(&node, 6_000, &mut taken_on);
-    node.until("it stands still", || node.log().contains("halted"));
+    node.wait_until("it stands still", || node.log().contains("halted"));
     let at = node.log().lines().filter(|l| l.starts_with("halted")).map(str::to_string).collect::<String>();
     node.kill();
-    node.environment("HALT", "none,0,0");
-    discovery.set(json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 9)]));
+    node.set_environment("HALT", "none,0,0");
+    discovery.set_instances(json!([
+        ready_instance("e-1", endpoint.address, 7),
+        ready_instance("e-2", endpoint.address, 9)
+    ]));
     let log = node.log().len();
     node.restart();
-    node.forget_log();
+    node.discard_log();
     load(&node, 60, &mut taken_on);
     let what = format!("point {point}: {kind} {number}, part {part}, {at}; seed {SEED:#x}");
     let ends = || {
         let mut ends: BTreeMap<String, (usize, BTreeSet<String>)> = BTreeMap::new();
-        for call in endpoint.seen() {
-            ends.entry(call.id().to_string()).or_default().0 += 1;
+        for call in endpoint.received() {
+            ends.entry(call.message_id().to_string()).or_default().0 += 1;
         }
         for notice in discovery.notices() {
             let outcome = notice["outcome"].as_str().unwrap().to_string();
@@ -74,13 +77,13 @@
         }
         ends
     };
-    node.until("every message has its end", || {
+    node.wait_until("every message has its end", || {
         let ends = ends();
         taken_on.iter().all(|id| ends.contains_key(id))
     });
     // What an attempt too many would need to show itself.
-    assert_eq!(node.hand_in("alert", "last", 7, 16_000, b"."), 202);
-    endpoint.wait_for("last", 1);
+    assert_eq!(node.submit("alert", "last", 7, 16_000, b"."), 202);
+    endpoint.wait_for_message("last", 1);
     let ends = ends();
     let mut again = 0;
     for id in &taken_on {
@@ -133,27 +136,29 @@
 /// A second process on a folder in use does not start, says why, and harms nothing.
 #[test]
 fn two_processes_on_one_folder() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([closed(7)]));
-    let mut node = Node::start(PROGRAM, &discovery);
-    assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
-    let (success, log) = node.start_second();
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery = Discovery::new(json!([terminating_instance(7)]));
+    let mut node = SenderProcess::start(PROGRAM, &discovery);
+    assert_eq!(node.submit("order", "m", 7, 16_000, b"x"), 202);
+    let (success, log) = node.run_second();
     assert!(!success && log.contains("another process runs on this folder"), "{log}");
     node.kill();
-    discovery.set(json!([ready("e-1", endpoint.address, 7)]));
+    discovery.set_instances(json!([ready_instance("e-1", endpoint.address, 7)]));
     node.restart();
-    endpoint.wait_for("m", 1);
+    endpoint.wait_for_message("m", 1);
 }
 
 #[test]
 fn sigterm_in_the_middle_of_copying_leaves_the_rest_to_the_next_process() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7), closed(9)]));
-    let mut node = Node::with(PROGRAM, &discovery, json!([]), |c| c["limits"]["disk_mb"] = json!(0.4));
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery =
+        Discovery::new(json!([ready_instance("e-1", endpoint.address, 7), terminating_instance(9)]));
+    let mut node =
+        SenderProcess::start_with(PROGRAM, &discovery, json!([]), |c| c["limits"]["disk_mb"] = json!(0.4));
     let mut held = Vec::new();
     for i in 0..400 {
         let (dest, id) = if i % 40 == 0 { (9, format!("held-{i}")) } else { (7, format!("m-{i}")) };
-        assert_eq!(node.hand_in("order", &id, dest, 16_000, &[1; 1_024]), 202);
+        assert_eq!(node.submit("order", &id, dest, 16_000, &[1; 1_024]), 202);
         if dest == 9 {
             held.push(id);
         }
@@ -162,15 +167,18 @@
     assert!(!first.ends_with("segment-0000000000000001"), "copying has begun: {first:?}");
     node.terminate();
     assert!(node.wait_exit().success(), "{}", node.log());
-    discovery.set(json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 9)]));
+    discovery.set_instances(json!([
+        ready_instance("e-1", endpoint.address, 7),
+        ready_instance("e-2", endpoint.address, 9)
+    ]));
     node.restart();
     for id in &held {
-        endpoint.wait_for(id, 1);
+        endpoint.wait_for_message(id, 1);
     }
-    assert_eq!(node.hand_in("order", "last", 7, 16_000, b"x"), 202);
-    endpoint.wait_for("last", 1);
+    assert_eq!(node.submit("order", "last", 7, 16_000, b"x"), 202);
+    endpoint.wait_for_message("last", 1);
     for id in &held {
-        assert_eq!(endpoint.wait_for(id, 1).len(), 1, "{id}");
+        assert_eq!(endpoint.wait_for_message(id, 1).len(), 1, "{id}");
     }
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
@@ -179,17 +187,19 @@
 /// once there is room taking on resumes by itself. Nothing is lost, doubled or damaged.
 #[test]
 fn a_disk_that_fills_and_empties_again() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7), closed(9)]));
-    let mut node = Node::with(PROGRAM, &discovery, json!([]), |c| c["limits"]["disk_mb"] = json!(0.5));
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery =
+        Discovery::new(json!([ready_instance("e-1", endpoint.address, 7), terminating_instance(9)]));
+    let mut node =
+        SenderProcess::start_with(PROGRAM, &discovery, json!([]), |c| c["limits"]["disk_mb"] = json!(0.5));
     let capacity = node.folder.join("capacity");
-    node.environment("CAPACITY", capacity.to_str().unwrap());
+    node.set_environment("CAPACITY", capacity.to_str().unwrap());
     node.kill();
     node.restart();
     let mut taken_on = Vec::new();
-    let mut hand_in = |node: &Node, dest: u64| {
+    let mut hand_in = |node: &SenderProcess, dest: u64| {
         let id = format!("order-{}", taken_on.len());
-        let (status, headers) = node.hand_in_full("order", &id, dest, 16_000, &[7; 1_024]);
+        let (status, headers) = node.submit_with_headers("order", &id, dest, 16_000, &[7; 1_024]);
         if status == 202 {
             taken_on.push(id);
         }
@@ -204,7 +214,7 @@
         }
     }
     assert!(copied, "copying has begun");
-    std::fs::write(&capacity, (node.on_disk() / 512 * 512).to_string()).unwrap();
+    std::fs::write(&capacity, (node.disk_usage() / 512 * 512).to_string()).unwrap();
     let mut refused = None;
     for _ in 0..2_000 {
         let (status, headers) = hand_in(&node, 7);
@@ -218,11 +228,14 @@
     let after: f64 = headers["retry-after"].parse().unwrap();
     assert!(after > 0.0);
     // What is held goes on, on a disk that is full.
-    discovery.set(json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 9)]));
+    discovery.set_instances(json!([
+        ready_instance("e-1", endpoint.address, 7),
+        ready_instance("e-2", endpoint.address, 9)
+    ]));
     let id_of = |i: usize| format!("order-{i}");
-    endpoint.wait_for(&id_of(0), 1);
+    endpoint.wait_for_message(&id_of(0), 1);
     std::fs::remove_file(&capacity).unwrap();
-    let until = Instant::now() + BOUND;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while hand_in(&node, 7).0 != 202 {
         assert!(Instant::now() < until, "{}", node.log());
         std::thread::sleep(Duration::from_millis(50));
@@ -230,14 +243,14 @@
     node.kill();
     node.restart();
     assert!(!node.log().contains("damaged"), "{}", node.log());
-    let seen = endpoint.wait("every message", |seen| {
-        let ids: BTreeSet<&str> = seen.iter().map(|r| r.id()).collect();
+    let seen = endpoint.wait_until("every message", |seen| {
+        let ids: BTreeSet<&str> = seen.iter().map(|r| r.message_id()).collect();
         let given_up = discovery.notices().len();
         ids.len() + given_up >= taken_on.len()
             && taken_on.iter().filter(|id| !ids.contains(id.as_str())).count() <= given_up
     });
     for id in &taken_on {
-        let calls = seen.iter().filter(|r| r.id() == id).count();
+        let calls = seen.iter().filter(|r| r.message_id() == id).count();
         let notices: Vec<_> = discovery.notices().into_iter().filter(|n| n["message"] == *id).collect();
         assert!(calls <= 1, "{id} was called for {calls} times");
         assert!(calls == 1 || !notices.is_empty(), "{id} is lost");
--- a/crates/proof/nickelshed-lab/src/process.rs
+++ b/crates/proof/nickelshed-lab/src/process.rs
@@ -50,7 +50,7 @@
     let mut disk = Disk::new();
     let life = world.lives[sender].clone();
     loop {
-        disk.restart();
+        disk.restart_process();
         life.begin();
         match world.lie {
             Some(Lie::ForgetsJournal) => disk = Disk::new(),
--- a/crates/proof/nickelshed-testkit/src/discovery.rs
+++ b/crates/proof/nickelshed-testkit/src/discovery.rs
@@ -1,32 +1,32 @@
 //! Discovery's stand-in: the list of endpoints, its watches, and the notices to the platform.
-use crate::peer::{answer, Peer, Reply, Request};
+use crate::peer::{http_reply, FakeServer, HttpMessage, Reply};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
 /// The list's version, its entries, and whether discovery is silent.
-type Told = (u64, Value, bool);
+type DiscoveryState = (u64, Value, bool);
 
 /// Discovery: a list that can be changed, watches that wait for it, and the notices.
 #[derive(Clone)]
 pub struct Discovery {
-    pub peer: Peer,
-    pub state: Arc<(Mutex<Told>, Condvar)>,
+    pub server: FakeServer,
+    pub state: Arc<(Mutex<DiscoveryState>, Condvar)>,
 }
 
 impl Discovery {
     pub fn new(instances: Value) -> Discovery {
         let state = Arc::new((Mutex::new((1, instances, false)), Condvar::new()));
         let shared = state.clone();
-        let peer = Peer::new(move |_| Reply::Close);
-        let script = move |request: &Request| {
-            if request.first.starts_with("POST /reports ") {
-                return answer("204 No Content", "", "");
+        let peer = FakeServer::new(move |_| Reply::Close);
+        let script = move |request: &HttpMessage| {
+            if request.start_line.starts_with("POST /reports ") {
+                return http_reply("204 No Content", "", "");
             }
             let (lock, news) = &*shared;
             let mut state = lock.lock().unwrap();
-            let index = request.first.split_once("index=").and_then(|(_, r)| r.split(['&', ' ']).next());
+            let index = request.start_line.split_once("index=").and_then(|(_, r)| r.split(['&', ' ']).next());
             let index = index.and_then(|i| i.parse::<u64>().ok());
             if index.is_some_and(|i| i >= state.0) {
                 // Short, so that the peer's one script is soon free for the notices.
@@ -37,41 +37,41 @@
             let list = json!({"generation": state.0, "reset": fresh, "instances": instances});
             match state.2 {
                 true => Reply::Hang,
-                false => answer("200 OK", "", &list.to_string()),
+                false => http_reply("200 OK", "", &list.to_string()),
             }
         };
-        peer.script(script);
-        Discovery { peer, state }
+        peer.set_script(script);
+        Discovery { server: peer, state }
     }
 
-    pub fn set(&self, instances: Value) {
+    pub fn set_instances(&self, instances: Value) {
         let mut state = self.state.0.lock().unwrap();
         (state.0, state.1) = (state.0 + 1, instances);
         self.state.1.notify_all();
     }
 
     /// No list is answered any more; notices are.
-    pub fn silence(&self) {
+    pub fn stop_answering(&self) {
         self.state.0.lock().unwrap().2 = true;
     }
 
-    pub fn speak(&self) {
+    pub fn resume_answering(&self) {
         self.state.0.lock().unwrap().2 = false;
     }
 
     pub fn notices(&self) -> Vec<Value> {
-        notices(&self.peer.seen())
+        notices(&self.server.received())
     }
 
-    pub fn wait_notice(&self, id: &str) -> Value {
-        let of = |seen: &[Request]| notices(seen).into_iter().find(|n| n["message"] == id);
-        let seen = self.peer.wait(&format!("a notice for {id}"), |s| of(s).is_some());
+    pub fn wait_for_notice(&self, id: &str) -> Value {
+        let of = |seen: &[HttpMessage]| notices(seen).into_iter().find(|n| n["message"] == id);
+        let seen = self.server.wait_until(&format!("a notice for {id}"), |s| of(s).is_some());
         of(&seen).unwrap()
     }
 }
 
-fn notices(seen: &[Request]) -> Vec<Value> {
-    let posts = seen.iter().filter(|r| r.first.starts_with("POST /reports "));
+fn notices(seen: &[HttpMessage]) -> Vec<Value> {
+    let posts = seen.iter().filter(|r| r.start_line.starts_with("POST /reports "));
     let text =
         posts.flat_map(|r| String::from_utf8_lossy(&r.body).lines().map(String::from).collect::<Vec<_>>());
     text.map(|l| serde_json::from_str(&l).unwrap()).collect()
@@ -82,12 +82,12 @@
         "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
-pub fn ready(name: &str, at: SocketAddr, dest: u64) -> Value {
+pub fn ready_instance(name: &str, at: SocketAddr, dest: u64) -> Value {
     instance(name, at, dest, "plain", "Ready")
 }
 
 /// An entry that names a destination and takes nothing.
-pub fn closed(dest: u64) -> Value {
+pub fn terminating_instance(dest: u64) -> Value {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
     instance(&format!("closed-{dest}"), nowhere, dest, "plain", "Terminating")
 }
--- a/crates/proof/nickelshed-testkit/src/disk.rs
+++ b/crates/proof/nickelshed-testkit/src/disk.rs
@@ -13,7 +13,7 @@
     /// This operation fails; of a write, this part (in 256ths) has been done.
     Fail(u16, io::ErrorKind),
     /// Like `Fail`, with all operations after it that change anything, until it is lifted.
-    FailOn(io::ErrorKind),
+    FailChangesFrom(io::ErrorKind),
 }
 
 #[derive(Default)]
@@ -91,7 +91,9 @@
                 Ok(Go::Part(part, died()))
             }
             Some((at, Fault::Fail(part, kind))) if at == number => Ok(Go::Part(part, kind.into())),
-            Some((at, Fault::FailOn(kind))) if at <= number && changes => Ok(Go::Part(0, kind.into())),
+            Some((at, Fault::FailChangesFrom(kind))) if at <= number && changes => {
+                Ok(Go::Part(0, kind.into()))
+            }
             _ => Ok(Go::On),
         }
     }
@@ -153,16 +155,16 @@
     }
 
     /// Lets the operation of this number, counted from now, go wrong.
-    pub fn fault(&self, after: u64, fault: Fault) {
+    pub fn inject_fault(&self, after: u64, fault: Fault) {
         let mut state = self.state();
         state.fault = Some((state.operations + after, fault));
     }
 
-    pub fn lift(&self) {
+    pub fn clear_fault(&self) {
         self.state().fault = None;
     }
 
-    pub fn operations(&self) -> u64 {
+    pub fn operation_count(&self) -> u64 {
         self.state().operations
     }
 
@@ -176,16 +178,16 @@
     }
 
     /// Bytes that all files together may take from now on.
-    pub fn capacity(&self, bytes: u64) {
+    pub fn set_capacity(&self, bytes: u64) {
         self.state().capacity = bytes;
     }
 
-    pub fn used(&self) -> u64 {
+    pub fn used_bytes(&self) -> u64 {
         self.state().used()
     }
 
     /// The process has ended; what it wrote is all there.
-    pub fn restart(&self) {
+    pub fn restart_process(&self) {
         let mut state = self.state();
         (state.dead, state.locked, state.fault) = (false, false, None);
     }
@@ -228,17 +230,17 @@
         (state.dead, state.locked, state.fault) = (false, false, None);
     }
 
-    pub fn names(&self) -> Vec<String> {
+    pub fn file_names(&self) -> Vec<String> {
         self.state().names.keys().cloned().collect()
     }
 
-    pub fn get(&self, name: &str) -> Option<Vec<u8>> {
+    pub fn file_bytes(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.state();
         state.names.get(name).map(|&i| state.inodes[i].seen.clone())
     }
 
     /// Puts a file there, for good.
-    pub fn put(&self, name: &str, bytes: &[u8]) {
+    pub fn put_durable(&self, name: &str, bytes: &[u8]) {
         let mut state = self.state();
         let inode = state.inodes.len();
         state.inodes.push(Inode { seen: bytes.to_vec(), kept: bytes.to_vec(), pending: Vec::new() });
@@ -249,8 +251,8 @@
     /// A second folder with the same files.
     pub fn copy(&self) -> Disk {
         let copy = Disk::new();
-        for name in self.names() {
-            copy.put(&name, &self.get(&name).unwrap_or_default());
+        for name in self.file_names() {
+            copy.put_durable(&name, &self.file_bytes(&name).unwrap_or_default());
         }
         copy
     }
--- a/crates/proof/nickelshed-testkit/src/lib.rs
+++ b/crates/proof/nickelshed-testkit/src/lib.rs
@@ -5,12 +5,12 @@
 mod node;
 mod peer;
 
-pub use discovery::{closed, instance, ready, Discovery};
+pub use discovery::{instance, ready_instance, terminating_instance, Discovery};
 pub use disk::{Disk, Fault, File as DiskFile};
-pub use node::{ask, offer, Node};
-pub use peer::{answer, ok, read_message, Peer, Reply, Request, Row};
+pub use node::{send_request, submission_request, SenderProcess};
+pub use peer::{http_reply, ok_reply, read_http_message, FakeServer, HttpMessage, Reply, ReplyCase};
 
 use std::time::Duration;
 
 /// Far longer than anything here takes: a bound for what would otherwise never end.
-pub const BOUND: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/proof/nickelshed-testkit/src/node.rs
+++ b/crates/proof/nickelshed-testkit/src/node.rs
@@ -1,7 +1,7 @@
 //! The sender as a process with its folder, and a client that hands messages in.
 use crate::discovery::Discovery;
-use crate::peer::{read_message, Request};
-use crate::BOUND;
+use crate::peer::{read_http_message, HttpMessage};
+use crate::WAIT_TIMEOUT;
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -12,15 +12,15 @@
 use std::time::{Duration, Instant};
 
 /// Sends bytes to a sender on a new connection and reads one answer.
-pub fn ask(address: SocketAddr, bytes: &[u8]) -> Option<Request> {
+pub fn send_request(address: SocketAddr, bytes: &[u8]) -> Option<HttpMessage> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(BOUND)).ok()?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
     stream.write_all(bytes).ok()?;
-    read_message(&mut BufReader::new(stream), 0)
+    read_http_message(&mut BufReader::new(stream), 0)
 }
 
 /// A message as a client hands it in.
-pub fn offer(class: &str, id: &str, dest: u64, expires_ms: u64, body: &[u8]) -> Vec<u8> {
+pub fn submission_request(class: &str, id: &str, dest: u64, expires_ms: u64, body: &[u8]) -> Vec<u8> {
     let mut bytes = format!(
         "POST /{class} HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: {id}\r\nX-Qos: {class}\r\n\
              X-Customer: acme\r\nX-Expires-In-Ms: {expires_ms}\r\nX-Consignee: dest={dest}\r\n\
@@ -50,7 +50,7 @@
 }
 
 /// The sender with its folder; restarts keep folder, name and address.
-pub struct Node {
+pub struct SenderProcess {
     program: PathBuf,
     pub folder: PathBuf,
     pub address: SocketAddr,
@@ -58,19 +58,24 @@
     child: Option<Child>,
     pub config: Value,
     /// The file of a sidecar, in place of the platform's form.
-    pub sidecar: Option<String>,
+    pub sidecar_config: Option<String>,
     environment: Vec<(String, String)>,
     arguments: Vec<String>,
     /// Bytes of the log that are no longer looked at.
     old_log: usize,
 }
 
-impl Node {
-    pub fn start(program: &str, discovery: &Discovery) -> Node {
-        Node::with(program, discovery, json!([]), |_| {})
+impl SenderProcess {
+    pub fn start(program: &str, discovery: &Discovery) -> SenderProcess {
+        SenderProcess::start_with(program, discovery, json!([]), |_| {})
     }
 
-    pub fn with(program: &str, discovery: &Discovery, known: Value, change: impl Fn(&mut Value)) -> Node {
+    pub fn start_with(
+        program: &str,
+        discovery: &Discovery,
+        known: Value,
+        change: impl Fn(&mut Value),
+    ) -> SenderProcess {
         let class = |name: &str, effect: &str| {
             json!({"Name": name, "PromiseNs": 3_000_000_000u64, "DeadlineNs": 16_000_000_000u64, "Effect": effect,
                 "DedupScope": "all", "WindowNs": 15_000_000_000u64, "Worth": 1, "LateWorth": 0.3})
@@ -88,58 +93,62 @@
                     "OverloadForNs": 2_000_000_000},
                 "Services": [class("alert", "keyed"), class("order", "unsafe")]}});
         change(&mut config);
-        let mut node = Node::new(program);
-        std::fs::create_dir_all(node.state()).unwrap();
-        node.discovery = Some(discovery.peer.address);
+        let mut node = SenderProcess::new(program);
+        std::fs::create_dir_all(node.state_folder()).unwrap();
+        node.discovery = Some(discovery.server.address);
         node.config = config;
         node.restart();
         node
     }
 
     /// A sidecar; its file is made of the address that it listens at. Its folder of state is `state` beside it.
-    pub fn sidecar(program: &str, file: impl Fn(SocketAddr) -> String) -> Node {
-        let mut node = Node::new(program);
-        node.sidecar = Some(file(node.address));
+    pub fn start_sidecar(program: &str, file: impl Fn(SocketAddr) -> String) -> SenderProcess {
+        let mut node = SenderProcess::new(program);
+        node.sidecar_config = Some(file(node.address));
         node.restart();
         node
     }
 
     /// The same, with its folder made ready before it starts.
-    pub fn sidecar_in(program: &str, file: impl Fn(SocketAddr) -> String, prepare: impl Fn(&Path)) -> Node {
-        let mut node = Node::new(program);
+    pub fn start_prepared_sidecar(
+        program: &str,
+        file: impl Fn(SocketAddr) -> String,
+        prepare: impl Fn(&Path),
+    ) -> SenderProcess {
+        let mut node = SenderProcess::new(program);
         prepare(&node.folder);
-        node.sidecar = Some(file(node.address));
+        node.sidecar_config = Some(file(node.address));
         node.restart();
         node
     }
 
     /// Not started yet.
-    pub fn new(program: &str) -> Node {
+    pub fn new(program: &str) -> SenderProcess {
         let number = FOLDERS.fetch_add(1, Ordering::SeqCst);
         let folder = scratch(program).join(format!("node-{}-{number}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
-        Node {
+        SenderProcess {
             program: PathBuf::from(program),
             folder,
             address: free_address(number),
             discovery: None,
             child: None,
             config: Value::Null,
-            sidecar: None,
+            sidecar_config: None,
             environment: Vec::new(),
             arguments: Vec::new(),
             old_log: 0,
         }
     }
 
-    pub fn state(&self) -> PathBuf {
+    pub fn state_folder(&self) -> PathBuf {
         self.folder.join("state")
     }
 
     /// The journal's segments, oldest first.
     pub fn segments(&self) -> Vec<PathBuf> {
-        let files = std::fs::read_dir(self.state()).unwrap().flatten().map(|f| f.path());
+        let files = std::fs::read_dir(self.state_folder()).unwrap().flatten().map(|f| f.path());
         let is_segment = |p: &PathBuf| p.file_name().unwrap().to_string_lossy().starts_with("segment-");
         let mut segments: Vec<PathBuf> = files.filter(is_segment).collect();
         segments.sort();
@@ -147,13 +156,13 @@
     }
 
     /// Bytes in the lasting folder, in whole blocks.
-    pub fn on_disk(&self) -> u64 {
-        let files = std::fs::read_dir(self.state()).unwrap().flatten();
+    pub fn disk_usage(&self) -> u64 {
+        let files = std::fs::read_dir(self.state_folder()).unwrap().flatten();
         files.filter_map(|f| f.metadata().ok()).map(|m| m.len().div_ceil(512) * 512).sum()
     }
 
     fn config_path(&self) -> PathBuf {
-        self.folder.join(if self.sidecar.is_some() { "sidecar.toml" } else { "config.json" })
+        self.folder.join(if self.sidecar_config.is_some() { "sidecar.toml" } else { "config.json" })
     }
 
     /// Replaces the file of the configuration and tells the process so.
@@ -163,11 +172,11 @@
     }
 
     /// The process stands still until it is told to go on.
-    pub fn stop(&self) {
+    pub fn pause(&self) {
         self.signal("-STOP");
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -183,10 +192,10 @@
                 .env("EDGE_NAME", "n0")
                 .env("EDGE_LISTEN", self.address.to_string())
                 .env("EDGE_DISCOVERY", discovery.to_string())
-                .env("EDGE_STATE", self.state())
+                .env("EDGE_STATE", self.state_folder())
                 .env("EDGE_CONFIG", self.config_path());
         }
-        if self.sidecar.is_some() {
+        if self.sidecar_config.is_some() {
             command.arg("--config").arg(self.config_path());
         }
         command
@@ -197,40 +206,40 @@
     }
 
     /// For the starts from now on.
-    pub fn environment(&mut self, name: &str, value: &str) {
+    pub fn set_environment(&mut self, name: &str, value: &str) {
         self.environment.retain(|(n, _)| n != name);
         self.environment.push((name.to_string(), value.to_string()));
     }
 
     /// For the starts from now on.
-    pub fn arguments(&mut self, arguments: &[&str]) {
+    pub fn set_arguments(&mut self, arguments: &[&str]) {
         self.arguments = arguments.iter().map(|a| a.to_string()).collect();
     }
 
     /// Starts another process on the same folder and waits for its end: whether it ended well, and what it logged.
-    pub fn start_second(&self) -> (bool, String) {
+    pub fn run_second(&self) -> (bool, String) {
         let output = self.command().env("EDGE_LISTEN", "127.0.0.1:0").stderr(Stdio::piped()).output();
         let output = output.expect("a second process starts");
         (output.status.success(), String::from_utf8_lossy(&output.stderr).into_owned())
     }
 
     pub fn restart(&mut self) {
-        assert!(self.ready(), "ended before it was ready: {}", self.log());
+        assert!(self.try_start(), "ended before it was ready: {}", self.log());
     }
 
     /// Starts the process. Whether it came to answer; false if it has ended before.
-    pub fn ready(&mut self) -> bool {
+    pub fn try_start(&mut self) -> bool {
         assert!(self.child.is_none(), "still running");
-        let text = self.sidecar.clone().unwrap_or_else(|| self.config.to_string());
+        let text = self.sidecar_config.clone().unwrap_or_else(|| self.config.to_string());
         std::fs::write(self.config_path(), text).unwrap();
         let log =
             std::fs::OpenOptions::new().create(true).append(true).open(self.folder.join("log")).unwrap();
         let child = self.command().stderr(log).spawn().expect("the sender starts");
         self.child = Some(child);
-        let until = Instant::now() + BOUND;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             let health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-            if self.ask(health.as_bytes()).is_some_and(|r| r.first.contains(" 200")) {
+            if self.send_request(health.as_bytes()).is_some_and(|r| r.start_line.contains(" 200")) {
                 return true;
             }
             if !self.is_running() {
@@ -248,29 +257,29 @@
     }
 
     /// Leaves out of the log what is there now.
-    pub fn forget_log(&mut self) {
+    pub fn discard_log(&mut self) {
         self.old_log += self.log().len();
     }
 
     /// None where the answer does not come, as from a process that is killed; it is not waited for long.
-    pub fn try_hand_in(&self, class: &str, id: &str, dest: u64, expires_ms: u64, body: &[u8]) -> Option<u16> {
+    pub fn try_submit(&self, class: &str, id: &str, dest: u64, expires_ms: u64, body: &[u8]) -> Option<u16> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
-        stream.write_all(&offer(class, id, dest, expires_ms, body)).ok()?;
-        let answer = read_message(&mut BufReader::new(stream), 0)?;
-        answer.first.split(' ').nth(1)?.parse().ok()
+        stream.write_all(&submission_request(class, id, dest, expires_ms, body)).ok()?;
+        let answer = read_http_message(&mut BufReader::new(stream), 0)?;
+        answer.start_line.split(' ').nth(1)?.parse().ok()
     }
 
     /// Sends bytes on a new connection and reads one answer.
-    pub fn ask(&self, bytes: &[u8]) -> Option<Request> {
-        ask(self.address, bytes)
+    pub fn send_request(&self, bytes: &[u8]) -> Option<HttpMessage> {
+        send_request(self.address, bytes)
     }
 
-    pub fn hand_in(&self, class: &str, id: &str, dest: u64, expires_ms: u64, body: &[u8]) -> u16 {
-        self.hand_in_full(class, id, dest, expires_ms, body).0
+    pub fn submit(&self, class: &str, id: &str, dest: u64, expires_ms: u64, body: &[u8]) -> u16 {
+        self.submit_with_headers(class, id, dest, expires_ms, body).0
     }
 
-    pub fn hand_in_full(
+    pub fn submit_with_headers(
         &self,
         class: &str,
         id: &str,
@@ -278,9 +287,10 @@
         expires_ms: u64,
         body: &[u8],
     ) -> (u16, HashMap<String, String>) {
-        let bytes = offer(class, id, dest, expires_ms, body);
-        let answer = self.ask(&bytes).unwrap_or_else(|| panic!("no answer for {id}: {}", self.log()));
-        (answer.first.split(' ').nth(1).unwrap().parse().unwrap(), answer.headers)
+        let bytes = submission_request(class, id, dest, expires_ms, body);
+        let answer =
+            self.send_request(&bytes).unwrap_or_else(|| panic!("no answer for {id}: {}", self.log()));
+        (answer.start_line.split(' ').nth(1).unwrap().parse().unwrap(), answer.headers)
     }
 
     pub fn kill(&mut self) {
@@ -302,14 +312,14 @@
     }
 
     /// Files and sockets that the process has open; Linux only.
-    pub fn descriptors(&self) -> usize {
+    pub fn open_descriptors(&self) -> usize {
         let process = self.child.as_ref().expect("it runs").id();
         std::fs::read_dir(format!("/proc/{process}/fd")).map_or(0, |open| open.count())
     }
 
     /// Waits until something is so.
-    pub fn until(&self, what: &str, so: impl Fn() -> bool) {
-        let until = Instant::now() + BOUND;
+    pub fn wait_until(&self, what: &str, so: impl Fn() -> bool) {
+        let until = Instant::now() + WAIT_TIMEOUT;
         while !so() {
             assert!(Instant::now() < until, "waited in vain until {what}: {}", self.log());
             std::thread::sleep(Duration::from_millis(10));
@@ -317,7 +327,7 @@
     }
 }
 
-impl Drop for Node {
+impl Drop for SenderProcess {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
--- a/crates/serve/nickelshed-journal/tests/common/mod.rs
+++ b/crates/serve/nickelshed-journal/tests/common/mod.rs
@@ -19,7 +19,7 @@
 }
 
 pub fn open(disk: &Disk, options: Options) -> (Journal<Disk>, Found) {
-    try_open(disk, options).unwrap_or_else(|e| panic!("{e}; files: {:?}", disk.names()))
+    try_open(disk, options).unwrap_or_else(|e| panic!("{e}; files: {:?}", disk.file_names()))
 }
 
 pub fn taken(id: u64, body: usize) -> Taken {
--- a/crates/serve/nickelshed-journal/tests/crash.rs
+++ b/crates/serve/nickelshed-journal/tests/crash.rs
@@ -18,14 +18,14 @@
         if i % 3 == 0 {
             work.sync();
         }
-        assert!(disk.used() <= DISK);
+        assert!(disk.used_bytes() <= DISK);
         let stats = work.journal.stats();
         assert!(stats.disk <= DISK, "{stats:?}");
     }
     let stats = work.journal.stats();
     let removed = disk.trace().iter().filter(|t| ["remove", "rename"].contains(*t)).count();
     assert!(stats.copied > 0 && removed > 3, "{stats:?}, {removed} removed");
-    disk.operations()
+    disk.operation_count()
 }
 
 #[test]
@@ -37,9 +37,9 @@
     for at in 0..all {
         for part in [0, 1, 128, 255, 256] {
             let disk = Disk::new();
-            disk.fault(at, Fault::Crash(part));
+            disk.inject_fault(at, Fault::Crash(part));
             let Ok((journal, _)) = try_open(&disk, options(Durability::Process)) else {
-                disk.restart();
+                disk.restart_process();
                 assert!(says(&open(&disk, options(Durability::Process)).0).is_empty());
                 continue;
             };
@@ -49,7 +49,7 @@
                 failed = work.round().is_err();
             }
             crashes += 1;
-            disk.restart();
+            disk.restart_process();
             let (journal, found) = open(&disk, options(Durability::Process));
             let says = says(&journal);
             let holds = says == work.now || (failed && says == work.with_last());
@@ -90,7 +90,7 @@
     for at in 0..all {
         for try_ in 0..4u64 {
             let disk = Disk::new();
-            disk.fault(at, Fault::Crash([0, 100, 255, 256][try_ as usize]));
+            disk.inject_fault(at, Fault::Crash([0, 100, 255, 256][try_ as usize]));
             let mut dice = fastrand::Rng::with_seed(SEED ^ (at << 8) ^ try_);
             let Ok((journal, _)) = try_open(&disk, options(Durability::Machine)) else {
                 disk.lose_power(&mut dice);
@@ -131,14 +131,14 @@
         let part = [0, 1, 200, 255][(at % 4) as usize];
         let kind = [io::ErrorKind::Other, io::ErrorKind::StorageFull, io::ErrorKind::ReadOnlyFilesystem];
         let disk = Disk::new();
-        disk.fault(at, Fault::Fail(part, kind[(at % 3) as usize]));
+        disk.inject_fault(at, Fault::Fail(part, kind[(at % 3) as usize]));
         let Ok((journal, _)) = try_open(&disk, options(Durability::Process)) else { continue };
         let mut work = Work::new(journal, SEED);
         for _ in 0..rounds {
             let _ = work.round();
         }
         assert_eq!(says(&work.journal), work.now, "operation {at}");
-        disk.restart();
+        disk.restart_process();
         let (journal, found) = open(&disk, options(Durability::Process));
         assert_eq!(says(&journal), work.now, "operation {at}, {part}");
         assert!(found.damage.is_empty(), "operation {at}: {found:?}");
@@ -160,7 +160,7 @@
         let settled = work.now.clone();
         work.round().unwrap();
         // The first sync after this fails, and the disk drops what it was to keep.
-        disk.fault(0, Fault::Fail(0, io::ErrorKind::Other));
+        disk.inject_fault(0, Fault::Fail(0, io::ErrorKind::Other));
         assert!(work.sync() || work.now == settled);
         let claim = work.journal.claim(&taken(work.next, 10), &mut Claim::default(), 2_000);
         assert!(!claim || work.now == settled, "nothing new while it is not certain");
--- a/crates/serve/nickelshed-journal/tests/damage.rs
+++ b/crates/serve/nickelshed-journal/tests/damage.rs
@@ -28,12 +28,12 @@
         work.round().unwrap();
     }
     assert!(work.now.values().any(|k| !k.attempts.is_empty()));
-    disk.restart();
+    disk.restart_process();
     (disk, before, work.now)
 }
 
 fn segments(disk: &Disk) -> Vec<String> {
-    disk.names().into_iter().filter(|n| segment_number(n).is_some()).collect()
+    disk.file_names().into_iter().filter(|n| segment_number(n).is_some()).collect()
 }
 
 /// Whether all attempts that may have run still count as such, by themselves or by one that is supposed.
@@ -51,12 +51,12 @@
     let (whole, _, model) = folder(options(Durability::Process), 2);
     let mut lost_most = 0;
     for name in segments(&whole) {
-        let bytes = whole.get(&name).unwrap();
+        let bytes = whole.file_bytes(&name).unwrap();
         for at in 0..bytes.len() {
             let mut spoilt = bytes.clone();
             spoilt[at] ^= 1 << (at % 8);
             let disk = whole.copy();
-            disk.put(&name, &spoilt);
+            disk.put_durable(&name, &spoilt);
             let (journal, found) = open(&disk, options(Durability::Process));
             let says = says(&journal);
             let in_header = at < 64;
@@ -77,7 +77,7 @@
             }
             // What was found is written down: the next start finds a whole journal that says the same.
             drop(journal);
-            disk.restart();
+            disk.restart_process();
             let (journal, found) = open(&disk, options(Durability::Process));
             assert!(found.damage.is_empty(), "{name}:{at} {found:?}");
             assert_eq!(common::says(&journal), says, "{name}:{at}");
@@ -91,11 +91,11 @@
     println!("seed {SEED:#x}");
     let (whole, before, model) = folder(WIDE, 3);
     let name = segments(&whole).pop().unwrap();
-    let bytes = whole.get(&name).unwrap();
+    let bytes = whole.file_bytes(&name).unwrap();
     let mut kept = Vec::new();
     for length in 0..bytes.len() {
         let disk = whole.copy();
-        disk.put(&name, &bytes[..length]);
+        disk.put_durable(&name, &bytes[..length]);
         let (journal, found) = open(&disk, WIDE);
         // Where the record of a removal is cut off, what was removed is missed.
         assert!(found.damage.iter().all(|d| d.to == 0), "{length}: {found:?}");
@@ -119,9 +119,9 @@
             if gone {
                 disk.remove(name).unwrap();
             } else {
-                let mut bytes = whole.get(name).unwrap();
+                let mut bytes = whole.file_bytes(name).unwrap();
                 bytes[..64].fill(0xa5);
-                disk.put(name, &bytes);
+                disk.put_durable(name, &bytes);
             }
             let (journal, found) = open(&disk, WIDE);
             assert!(!found.damage.is_empty());
@@ -145,13 +145,13 @@
     let (disk, _, _) = folder(options(Durability::Process), 2);
     let spoil = |disk: &Disk| {
         let name = segments(disk).remove(0);
-        let mut bytes = disk.get(&name).unwrap();
+        let mut bytes = disk.file_bytes(&name).unwrap();
         let middle = bytes.len() / 2;
         bytes[middle] ^= 0x40;
-        disk.put(&name, &bytes);
+        disk.put_durable(&name, &bytes);
     };
     let aside =
-        |disk: &Disk| disk.names().into_iter().filter(|n| n.starts_with("damaged-")).collect::<Vec<_>>();
+        |disk: &Disk| disk.file_names().into_iter().filter(|n| n.starts_with("damaged-")).collect::<Vec<_>>();
     spoil(&disk);
     let (journal, found) = open(&disk, options(Durability::Process));
     assert_eq!(found.set_aside, aside(&disk));
@@ -159,16 +159,16 @@
     let mut work = Work::new(journal, SEED);
     for _ in 0..400 {
         work.round().unwrap();
-        assert!(disk.used() <= DISK, "{}", disk.used());
+        assert!(disk.used_bytes() <= DISK, "{}", disk.used_bytes());
     }
     let now = work.now.clone();
     drop(work);
-    disk.restart();
+    disk.restart_process();
     spoil(&disk);
     let (_, again) = open(&disk, options(Durability::Process));
     assert_eq!(aside(&disk), again.set_aside);
     assert_ne!(found.set_aside, again.set_aside);
-    assert!(disk.used() <= DISK && !now.is_empty());
+    assert!(disk.used_bytes() <= DISK && !now.is_empty());
 }
 
 #[test]
@@ -178,19 +178,19 @@
     let first = taken(1, 30);
     journal.append(&[Record::Taken(Rc::new(first))], 1).unwrap();
     // A body that holds a copy of the frame before it, and of this folder's file as a whole.
-    let file = disk.get(&segments(&disk)[0]).unwrap();
+    let file = disk.file_bytes(&segments(&disk)[0]).unwrap();
     let mut sly = taken(2, 0);
     sly.body = file.clone().into();
     journal.append(&[Record::Ended(1)], 1).unwrap();
     journal.append(&[Record::Taken(Rc::new(sly))], 1).unwrap();
     journal.append(&[Record::Taken(Rc::new(taken(3, 5)))], 1).unwrap();
     drop(journal);
-    disk.restart();
+    disk.restart_process();
     let name = segments(&disk).remove(0);
-    let mut bytes = disk.get(&name).unwrap();
+    let mut bytes = disk.file_bytes(&name).unwrap();
     let inner = bytes.windows(file.len()).rposition(|w| w == file).unwrap();
     bytes[inner - 5] ^= 1;
-    disk.put(&name, &bytes);
+    disk.put_durable(&name, &bytes);
     let (journal, found) = open(&disk, options(Durability::Process));
     assert_eq!(found.damage.len(), 1);
     assert_eq!(
@@ -204,18 +204,18 @@
 fn a_newer_versions_folder_is_left_as_it_is() {
     let (disk, _, _) = folder(options(Durability::Process), 2);
     let name = segments(&disk).pop().unwrap();
-    let mut bytes = disk.get(&name).unwrap();
+    let mut bytes = disk.file_bytes(&name).unwrap();
     for block in [0, 32] {
         bytes[block + 4] = VERSION as u8 + 1;
         let sum = crc32fast::hash(&bytes[block..block + 28]);
         bytes[block + 28..block + 32].copy_from_slice(&sum.to_le_bytes());
     }
-    disk.put(&name, &bytes);
-    let before: Vec<_> = disk.names().into_iter().map(|n| (n.clone(), disk.get(&n))).collect();
+    disk.put_durable(&name, &bytes);
+    let before: Vec<_> = disk.file_names().into_iter().map(|n| (n.clone(), disk.file_bytes(&n))).collect();
     let Err(error) = try_open(&disk, options(Durability::Process)) else { panic!("opened") };
     assert!(matches!(error, OpenError::Newer { version: 2, .. }), "{error}");
     assert!(error.to_string().contains("Nothing was changed"), "{error}");
-    let after: Vec<_> = disk.names().into_iter().map(|n| (n.clone(), disk.get(&n))).collect();
+    let after: Vec<_> = disk.file_names().into_iter().map(|n| (n.clone(), disk.file_bytes(&n))).collect();
     assert!(before == after);
 }
 
--- a/crates/serve/nickelshed-journal/tests/full.rs
+++ b/crates/serve/nickelshed-journal/tests/full.rs
@@ -60,7 +60,7 @@
                 }
             }
             most = most.max(held.len());
-            assert!(disk.used() <= disk_size, "{} of {disk_size}", disk.used());
+            assert!(disk.used_bytes() <= disk_size, "{} of {disk_size}", disk.used_bytes());
             assert!(journal.stats().disk <= disk_size);
         }
         assert!(refused > 0 && most > 0, "{disk_size} {body} {durability:?}: {refused} refused, {most} held");
@@ -114,7 +114,7 @@
             rounds += 1;
         }
         // Full from here on, perhaps in the middle of a copy or of a round.
-        disk.capacity(disk.used() + seed * 37);
+        disk.set_capacity(disk.used_bytes() + seed * 37);
         let mut failed = 0;
         for _ in 0..200 {
             failed += usize::from(work.round().is_err());
@@ -131,7 +131,7 @@
         // Everything can be read, now and by a process that starts on the full disk.
         assert_eq!(says(&work.journal), work.now);
         // Empty again: it takes on without being told so.
-        disk.capacity(u64::MAX);
+        disk.set_capacity(u64::MAX);
         // It looks for room once a second.
         for _ in 0..12 {
             let _ = work.round();
@@ -144,7 +144,7 @@
         assert!(!work.journal.is_short() && taken_on > 5, "{taken_on} taken on");
         let now = work.now.clone();
         drop(work);
-        disk.restart();
+        disk.restart_process();
         let (journal, found) = open(&disk, options(Durability::Process));
         assert_eq!(says(&journal), now);
         assert!(found.damage.is_empty(), "{found:?}");
@@ -161,19 +161,19 @@
             for _ in 0..60 + seed {
                 work.round().unwrap();
             }
-            disk.fault(0, Fault::FailOn(kind));
+            disk.inject_fault(0, Fault::FailChangesFrom(kind));
             let held = work.now.clone();
             for _ in 0..100 {
                 let _ = work.round();
             }
             assert_eq!(work.now, held, "nothing was taken on or lost");
-            disk.lift();
+            disk.clear_fault();
             for _ in 0..100 {
                 work.round().unwrap();
             }
             let now = work.now.clone();
             drop(work);
-            disk.restart();
+            disk.restart_process();
             let (journal, found) = open(&disk, options(Durability::Process));
             assert_eq!(says(&journal), now, "{kind} {seed}");
             assert!(found.damage.is_empty(), "{found:?}");
@@ -231,12 +231,12 @@
     assert_eq!(format!("{:?}", journal.stats().room), room, "its room counts from the start");
     for part in [0, 1, 100, 255] {
         drop(journal);
-        disk.restart();
+        disk.restart_process();
         let (mut next, found) = open(&disk, options(Durability::Process));
         assert_eq!(next.note().unwrap(), b"shorter", "the one before");
         assert!(found.damage.is_empty());
         // Opening is the first operation, and the process ends in the second one.
-        disk.fault(1, Fault::Crash(part));
+        disk.inject_fault(1, Fault::Crash(part));
         assert!(next.keep_note(&[9; 300]).is_err());
         journal = next;
     }
--- a/crates/serve/nickelshed-journal/tests/upgrade.rs
+++ b/crates/serve/nickelshed-journal/tests/upgrade.rs
@@ -51,8 +51,8 @@
 fn everything_is_taken_over_once_and_the_old_file_goes() {
     let (file, live) = old_folder();
     let disk = Disk::new();
-    disk.put("journal", &file);
-    disk.put("journal.new", b"a rewrite that was cut short");
+    disk.put_durable("journal", &file);
+    disk.put_durable("journal.new", b"a rewrite that was cut short");
     let (journal, found) = open(&disk, options(Durability::Process));
     assert_eq!(found.imported, live);
     let all = by_trace(&journal);
@@ -65,9 +65,9 @@
         let expected = [None, None, Some(Ending::HandedBack(Some(5))), Some(Ending::GivenUp)];
         assert_eq!(*ending, expected[id as usize % 4]);
     }
-    assert!(!disk.names().iter().any(|n| n.starts_with("journal")), "{:?}", disk.names());
+    assert!(!disk.file_names().iter().any(|n| n.starts_with("journal")), "{:?}", disk.file_names());
     drop(journal);
-    disk.restart();
+    disk.restart_process();
     let (journal, found) = open(&disk, options(Durability::Process));
     assert_eq!((found.imported, by_trace(&journal)), (0, all));
 }
@@ -77,7 +77,7 @@
     let (file, _) = old_folder();
     let fresh = || {
         let disk = Disk::new();
-        disk.put("journal", &file);
+        disk.put_durable("journal", &file);
         disk
     };
     let disk = fresh();
@@ -85,13 +85,13 @@
     for durability in [Durability::Process, Durability::Machine] {
         let disk = fresh();
         open(&disk, options(durability));
-        for at in 0..disk.operations() {
+        for at in 0..disk.operation_count() {
             for part in [0, 200, 256] {
                 let disk = fresh();
-                disk.fault(at, Fault::Crash(part));
+                disk.inject_fault(at, Fault::Crash(part));
                 let _ = try_open(&disk, options(durability));
                 match durability {
-                    Durability::Process => disk.restart(),
+                    Durability::Process => disk.restart_process(),
                     Durability::Machine => disk.lose_power(&mut fastrand::Rng::with_seed(at)),
                 }
                 let (journal, found) = open(&disk, options(durability));
@@ -108,7 +108,7 @@
 fn a_torn_end_of_the_old_file_is_cut_and_damage_inside_it_doubts() {
     let (file, live) = old_folder();
     let disk = Disk::new();
-    disk.put("journal", &file[..file.len() - 3]);
+    disk.put_durable("journal", &file[..file.len() - 3]);
     let (journal, found) = open(&disk, options(Durability::Process));
     assert_eq!(found.torn.map(|t| t.cut > 0), Some(true));
     assert_eq!(journal.live().len(), live);
@@ -117,7 +117,7 @@
     let disk = Disk::new();
     let mut spoilt = file.clone();
     spoilt[file.len() / 2] ^= 1;
-    disk.put("journal", &spoilt);
+    disk.put_durable("journal", &spoilt);
     let (journal, _) = open(&disk, options(Durability::Process));
     assert!(journal.live().len() > live / 3);
     assert!(by_trace(&journal).iter().all(|(_, attempts, ..)| attempts.last().unwrap().endpoint.is_empty()));
@@ -129,9 +129,9 @@
     let (mut journal, _) = open(&disk, options(Durability::Process));
     journal.append(&[Record::Taken(std::rc::Rc::new(taken(500, 9)))], 1).unwrap();
     drop(journal);
-    disk.restart();
+    disk.restart_process();
     let (file, live) = old_folder();
-    disk.put("journal", &file);
+    disk.put_durable("journal", &file);
     let (journal, _) = open(&disk, options(Durability::Process));
     assert_eq!(journal.live().len(), live + 1);
 }
--- a/crates/serve/nickelshed/benches/sidecar.rs
+++ b/crates/serve/nickelshed/benches/sidecar.rs
@@ -1,7 +1,7 @@
 //! What a sidecar costs: its check, its start, its idle memory, and what it adds to a call. Side by side in one run, on
 //! loopback: `cargo bench -p nickelshed --bench sidecar`. Ratios count; the machine is printed. With NICKELSHED_OTHER set
 //! to another build of the sender, both carry the same messages by turns, and their processor time is compared.
-use nickelshed_testkit::{ask, offer, read_message};
+use nickelshed_testkit::{read_http_message, send_request, submission_request};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -49,7 +49,7 @@
 }
 
 fn ready(listen: SocketAddr) {
-    while !ask(listen, HEALTH).is_some_and(|a| a.first.contains(" 200")) {
+    while !send_request(listen, HEALTH).is_some_and(|a| a.start_line.contains(" 200")) {
         std::thread::sleep(Duration::from_micros(200));
     }
 }
@@ -84,7 +84,7 @@
         for (i, (started, client)) in senders.iter_mut().enumerate() {
             let before = spent(started);
             for n in 0..MESSAGES {
-                client.ask(&offer("alert", &format!("p-{round}-{n}"), 7, 16_000, &[b'x'; 200]));
+                client.ask(&submission_request("alert", &format!("p-{round}-{n}"), 7, 16_000, &[b'x'; 200]));
                 let _ = calls.recv();
             }
             let each = (spent(started) - before).as_secs_f64() * 1e6 / MESSAGES as f64;
@@ -106,8 +106,8 @@
                 let _ = stream.set_nodelay(true);
                 let Ok(mut writer) = stream.try_clone() else { return };
                 let mut reader = BufReader::new(stream);
-                while let Some(request) = read_message(&mut reader, 0) {
-                    let _ = came.send(request.at);
+                while let Some(request) = read_http_message(&mut reader, 0) {
+                    let _ = came.send(request.received_at);
                     if writer.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").is_err() {
                         return;
                     }
@@ -132,8 +132,8 @@
     fn ask(&mut self, bytes: &[u8]) -> (Instant, Instant) {
         let from = Instant::now();
         self.0.get_mut().write_all(bytes).expect("it reads");
-        let answer = read_message(&mut self.0, 0).expect("it answers");
-        assert!(answer.first.contains(" 20"), "{}", answer.first);
+        let answer = read_http_message(&mut self.0, 0).expect("it answers");
+        assert!(answer.start_line.contains(" 20"), "{}", answer.start_line);
         (from, Instant::now())
     }
 }
@@ -201,7 +201,7 @@
     let (mut to_endpoint, mut by_sidecar, mut answered, mut back) =
         (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     for i in 0..MESSAGES {
-        let bytes = offer("alert", &format!("m-{i}"), 7, 16_000, &[b'x'; 200]);
+        let bytes = submission_request("alert", &format!("m-{i}"), 7, 16_000, &[b'x'; 200]);
         let (from, heard) = direct.ask(&bytes);
         to_endpoint.push(calls.recv().expect("the call came") - from);
         back.push(heard - from);
--- a/crates/serve/nickelshed/tests/bad_input.rs
+++ b/crates/serve/nickelshed/tests/bad_input.rs
@@ -7,9 +7,9 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nickelshed");
 
-fn delivers(node: &Node, endpoint: &Peer, id: &str) {
-    assert_eq!(node.hand_in("order", id, 7, 16_000, b"x"), 202, "{id}");
-    assert_eq!(endpoint.wait_for(id, 1).len(), 1);
+fn delivers(node: &SenderProcess, endpoint: &FakeServer, id: &str) {
+    assert_eq!(node.submit("order", id, 7, 16_000, b"x"), 202, "{id}");
+    assert_eq!(endpoint.wait_for_message(id, 1).len(), 1);
 }
 
 /// Has discovery answer every ask with these bytes, and waits until it has done so twice: what the first one said has
@@ -17,13 +17,13 @@
 fn misled(discovery: &Discovery, bytes: &str) {
     let (count, text) = (Arc::new(AtomicUsize::new(0)), bytes.to_string());
     let counted = count.clone();
-    discovery.peer.also(move |r| {
-        r.first.starts_with("GET ").then(|| {
+    discovery.server.prepend_script(move |r| {
+        r.start_line.starts_with("GET ").then(|| {
             counted.fetch_add(1, Ordering::SeqCst);
             Reply::Bytes(text.clone())
         })
     });
-    discovery.peer.wait("it to ask twice", |_| count.load(Ordering::SeqCst) >= 2);
+    discovery.server.wait_until("it to ask twice", |_| count.load(Ordering::SeqCst) >= 2);
 }
 
 fn list(generation: u64, reset: bool, instances: Value) -> String {
@@ -32,9 +32,9 @@
 
 #[test]
 fn a_list_that_is_cut_off_too_long_or_none_leaves_the_one_held_in_force() {
-    let endpoint = Peer::new(|_| ok());
-    let entry = ready("e-1", endpoint.address, 7);
-    let whole = list(9, true, json!([closed(7)]));
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let entry = ready_instance("e-1", endpoint.address, 7);
+    let whole = list(9, true, json!([terminating_instance(7)]));
     let half =
         format!("{}\r\nConnection: close\r\n\r\n{{\"generation\":9,\"reset\":true,\"inst", "HTTP/1.1 200 OK");
     let bad = [
@@ -51,7 +51,7 @@
     ];
     for (number, bytes) in bad.iter().enumerate() {
         let discovery = Discovery::new(json!([entry]));
-        let mut node = Node::start(PROGRAM, &discovery);
+        let mut node = SenderProcess::start(PROGRAM, &discovery);
         delivers(&node, &endpoint, &format!("before-{number}"));
         misled(&discovery, bytes);
         delivers(&node, &endpoint, &format!("after-{number}"));
@@ -66,29 +66,30 @@
 /// Asked on at once it would be asked as fast as it can answer, with all of the sender's core.
 #[test]
 fn a_watch_answered_early_with_nothing_again_and_again_is_asked_on_in_measure_and_still_heard() {
-    let (endpoint, other) = (Peer::new(|_| ok()), Peer::new(|_| ok()));
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let node = Node::start(PROGRAM, &discovery);
+    let (endpoint, other) = (FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply()));
+    let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
+    let node = SenderProcess::start(PROGRAM, &discovery);
     delivers(&node, &endpoint, "before");
-    let watches = |r: &Request| r.first.contains("index=");
+    let watches = |r: &HttpMessage| r.start_line.contains("index=");
     let lies = Arc::new(AtomicBool::new(true));
     let still = lies.clone();
-    discovery.peer.also(move |r| {
+    discovery.server.prepend_script(move |r| {
         (watches(r) && still.load(Ordering::SeqCst)).then(|| Reply::Bytes(list(1, false, json!([]))))
     });
-    let asked = |seen: &[Request]| seen.iter().filter(|r| watches(r)).map(|r| r.at).collect::<Vec<_>>();
-    let first = asked(&discovery.peer.seen()).len();
-    let seen = discovery.peer.wait("it to ask on", |seen| asked(seen).len() >= first + 12);
+    let asked =
+        |seen: &[HttpMessage]| seen.iter().filter(|r| watches(r)).map(|r| r.received_at).collect::<Vec<_>>();
+    let first = asked(&discovery.server.received()).len();
+    let seen = discovery.server.wait_until("it to ask on", |seen| asked(seen).len() >= first + 12);
     let at = asked(&seen);
     // The first of these may have been under way.
     let took = at[first + 11].duration_since(at[first + 1]);
     assert!(took >= Duration::from_millis(900), "ten asks in {took:?}");
     lies.store(false, Ordering::SeqCst);
-    discovery.set(json!([
+    discovery.set_instances(json!([
         instance("e-1", endpoint.address, 7, "plain", "Terminating"),
-        ready("e-2", other.address, 7)
+        ready_instance("e-2", other.address, 7)
     ]));
-    discovery.peer.wait("the watch to go on", |s| s.iter().any(|r| r.first.contains("index=2")));
+    discovery.server.wait_until("the watch to go on", |s| s.iter().any(|r| r.start_line.contains("index=2")));
     delivers(&node, &other, "after");
 }
 
@@ -96,24 +97,24 @@
 #[test]
 fn a_class_with_another_effect_than_at_the_last_start_goes_by_the_new_one() {
     for (class, now, calls) in [("alert", "unsafe", 1), ("order", "safe", 2)] {
-        let endpoint = Peer::new(|r| if r.id() == "m" { Reply::Hang } else { ok() });
-        let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-        let mut node = Node::start(PROGRAM, &discovery);
-        assert_eq!(node.hand_in(class, "m", 7, 16_000, b"x"), 202);
-        endpoint.wait_for("m", 1);
+        let endpoint = FakeServer::new(|r| if r.message_id() == "m" { Reply::Hang } else { ok_reply() });
+        let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
+        let mut node = SenderProcess::start(PROGRAM, &discovery);
+        assert_eq!(node.submit(class, "m", 7, 16_000, b"x"), 202);
+        endpoint.wait_for_message("m", 1);
         node.kill();
-        endpoint.script(|_| ok());
+        endpoint.set_script(|_| ok_reply());
         for service in node.config["settings"]["Services"].as_array_mut().unwrap() {
             service["Effect"] = json!(now);
         }
         node.restart();
         if calls == 1 {
-            assert_eq!(discovery.wait_notice("m")["outcome"], "given_up", "{class} as {now}");
+            assert_eq!(discovery.wait_for_notice("m")["outcome"], "given_up", "{class} as {now}");
         } else {
-            endpoint.wait_for("m", calls);
+            endpoint.wait_for_message("m", calls);
         }
         delivers(&node, &endpoint, "after");
-        assert_eq!(endpoint.wait_for("m", calls).len(), calls, "{class} as {now}");
+        assert_eq!(endpoint.wait_for_message("m", calls).len(), calls, "{class} as {now}");
         assert_eq!(discovery.notices().len(), 2 - calls, "{class} as {now}");
     }
 }
@@ -121,50 +122,50 @@
 /// An agent that was set back tells an older version as a whole list: that is what there is.
 #[test]
 fn a_whole_list_counts_whatever_its_version_and_an_empty_one_is_one() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let node = Node::start(PROGRAM, &discovery);
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
+    let node = SenderProcess::start(PROGRAM, &discovery);
     delivers(&node, &endpoint, "first");
     misled(&discovery, &list(0, true, json!([])));
-    assert_eq!(node.hand_in("alert", "nowhere", 7, 500, b"x"), 202);
-    assert_eq!(discovery.wait_notice("nowhere")["outcome"], "handed_back");
-    misled(&discovery, &list(0, true, json!([ready("e-1", endpoint.address, 7)])));
+    assert_eq!(node.submit("alert", "nowhere", 7, 500, b"x"), 202);
+    assert_eq!(discovery.wait_for_notice("nowhere")["outcome"], "handed_back");
+    misled(&discovery, &list(0, true, json!([ready_instance("e-1", endpoint.address, 7)])));
     delivers(&node, &endpoint, "again");
-    assert!(endpoint.seen().iter().all(|r| r.id() != "nowhere"));
+    assert!(endpoint.received().iter().all(|r| r.message_id() != "nowhere"));
 }
 
 /// Of two words on one endpoint the one that closes it counts, whichever comes first: new work at one that drains breaks
 /// its drain, and work that waits a moment breaks nothing.
 #[test]
 fn a_list_that_contradicts_itself_closes_what_it_contradicts() {
-    let (torn, other) = (Peer::new(|_| ok()), Peer::new(|_| ok()));
+    let (torn, other) = (FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply()));
     let says = |lifecycle| instance("e-1", torn.address, 7, "plain", lifecycle);
     for order in [["Ready", "Terminating"], ["Terminating", "Ready"], ["Gone", "Ready"], ["Ready", "Gone"]] {
         let discovery =
-            Discovery::new(json!([says(order[0]), ready("e-2", other.address, 7), says(order[1])]));
-        let node = Node::start(PROGRAM, &discovery);
+            Discovery::new(json!([says(order[0]), ready_instance("e-2", other.address, 7), says(order[1])]));
+        let node = SenderProcess::start(PROGRAM, &discovery);
         for i in 0..6 {
             delivers(&node, &other, &format!("{}-{}-{i}", order[0], order[1]));
         }
-        assert!(torn.seen().is_empty(), "{order:?}");
+        assert!(torn.received().is_empty(), "{order:?}");
     }
 }
 
 /// Entries that can't be read cost only themselves, also among very many.
 #[test]
 fn of_a_list_of_thousands_what_can_be_read_counts() {
-    let endpoint = Peer::new(|_| ok());
+    let endpoint = FakeServer::new(|_| ok_reply());
     let mut instances: Vec<Value> = (0..4_000u64)
         .map(|i| match i % 4 {
             0 => json!({"instanceId": format!("x-{i}"), "hostPort": "nowhere", "cell": 7, "lifecycle": "Ready"}),
             1 => json!({"instanceId": i, "cell": "seven"}),
             2 => json!(null),
-            _ => ready(&format!("x-{i}"), endpoint.address, i),
+            _ => ready_instance(&format!("x-{i}"), endpoint.address, i),
         })
         .collect();
-    instances.push(ready("e-1", endpoint.address, 7));
+    instances.push(ready_instance("e-1", endpoint.address, 7));
     let discovery = Discovery::new(json!(instances));
-    let mut node = Node::start(PROGRAM, &discovery);
+    let mut node = SenderProcess::start(PROGRAM, &discovery);
     delivers(&node, &endpoint, "m");
     assert!(node.is_running());
 }
@@ -173,17 +174,18 @@
 #[test]
 fn settings_that_name_no_sender_or_very_many_start_and_deliver() {
     for (senders, part) in [(json!(0), 40.0), (json!(1), 40.0), (json!(100_000), 0.0004)] {
-        let endpoint = Peer::new(|_| answer("200 OK", "Endpoint-Load-Metrics: TEXT x0=0.9, x1=40\r\n", ""));
-        let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
+        let endpoint =
+            FakeServer::new(|_| http_reply("200 OK", "Endpoint-Load-Metrics: TEXT x0=0.9, x1=40\r\n", ""));
+        let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
         let change = |c: &mut Value| c["settings"]["NInstances"] = senders.clone();
-        let node = Node::with(PROGRAM, &discovery, json!([]), change);
+        let node = SenderProcess::start_with(PROGRAM, &discovery, json!([]), change);
         delivers(&node, &endpoint, "first");
         if part > 1.0 {
             delivers(&node, &endpoint, "second");
         } else {
             // Its next one is due in most of an hour: the client hears in time that it does not go.
-            assert_eq!(node.hand_in("order", "second", 7, 500, b"x"), 202);
-            assert_eq!(discovery.wait_notice("second")["outcome"], "handed_back");
+            assert_eq!(node.submit("order", "second", 7, 500, b"x"), 202);
+            assert_eq!(discovery.wait_for_notice("second")["outcome"], "handed_back");
         }
     }
 }
@@ -219,16 +221,17 @@
         }),
     ];
     for (edge, change) in rows {
-        let endpoint = Peer::new(|_| ok());
-        let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-        let mut node = Node::with(PROGRAM, &discovery, json!([]), |c| change(&mut c["settings"]));
+        let endpoint = FakeServer::new(|_| ok_reply());
+        let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
+        let mut node =
+            SenderProcess::start_with(PROGRAM, &discovery, json!([]), |c| change(&mut c["settings"]));
         for n in 0..3 {
             let id = format!("m{n}");
-            let status = node.hand_in("order", &id, 7, 700, b"x");
+            let status = node.submit("order", &id, 7, 700, b"x");
             assert!([202, 404, 503].contains(&status), "{edge}: {status}");
             if status == 202 {
-                node.until(edge, || {
-                    let called = endpoint.seen().iter().any(|r| r.id() == id);
+                node.wait_until(edge, || {
+                    let called = endpoint.received().iter().any(|r| r.message_id() == id);
                     called || discovery.notices().iter().any(|notice| notice["message"] == id.as_str())
                 });
             }
@@ -249,14 +252,14 @@
         ("settings: Limits.MaxAttempts is out of range: 0", |s| s["Limits"]["MaxAttempts"] = json!(0)),
     ];
     let discovery = Discovery::new(json!([]));
-    let mut node = Node::start(PROGRAM, &discovery);
+    let mut node = SenderProcess::start(PROGRAM, &discovery);
     node.terminate();
     assert!(node.wait_exit().success());
     let good = node.config["settings"].clone();
     for (line, change) in rows {
         node.config["settings"] = good.clone();
         change(&mut node.config["settings"]);
-        assert!(!node.ready());
+        assert!(!node.try_start());
         assert!(node.log().contains(&format!("config.json: {line}")), "{}", node.log());
     }
 }
@@ -264,12 +267,12 @@
 /// Lists may come indented.
 #[test]
 fn a_list_that_is_indented_counts_like_any_other() {
-    let (endpoint, other) = (Peer::new(|_| ok()), Peer::new(|_| ok()));
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let node = Node::start(PROGRAM, &discovery);
+    let (endpoint, other) = (FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply()));
+    let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
+    let node = SenderProcess::start(PROGRAM, &discovery);
     delivers(&node, &endpoint, "before");
     let list = json!({"generation": 9, "reset": true, "instances": [
-        instance("e-1", endpoint.address, 7, "plain", "Terminating"), ready("e-2", other.address, 7)]});
+        instance("e-1", endpoint.address, 7, "plain", "Terminating"), ready_instance("e-2", other.address, 7)]});
     misled(&discovery, &answer_of(&serde_json::to_string_pretty(&list).unwrap()));
     delivers(&node, &other, "after");
 }
--- a/crates/serve/nickelshed/tests/fleet.rs
+++ b/crates/serve/nickelshed/tests/fleet.rs
@@ -71,7 +71,8 @@
 
 #[test]
 fn thirty_applications_of_one_fleet_check_clean_start_and_deliver() {
-    let peers = [Peer::new(|_| ok()), Peer::new(|_| ok()), Peer::new(|_| ok())];
+    let peers =
+        [FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply())];
     let scratch = Scratch::new("fleet");
     let files = write_fleet(&scratch.0, &[peers[0].address, peers[1].address, peers[2].address]);
     let checked = nickelshed_ctl::check(&files);
@@ -83,19 +84,21 @@
     };
     let mut started: Vec<Started> = files.iter().map(start).collect();
     for (i, (sidecar, _)) in checked.files.iter().flatten().enumerate() {
-        let until = Instant::now() + BOUND;
+        let until = Instant::now() + WAIT_TIMEOUT;
         let log = || std::fs::read_to_string(files[i].with_extension("log")).unwrap_or_default();
-        while !ask(sidecar.listen, b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-            .is_some_and(|r| r.first.contains(" 200"))
+        while !send_request(sidecar.listen, b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+            .is_some_and(|r| r.start_line.contains(" 200"))
         {
             assert!(started[i].0.try_wait().unwrap().is_none(), "{}", log());
             assert!(Instant::now() < until, "{}", log());
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
         let id = format!("of-{}", sidecar.application);
-        let answer = ask(sidecar.listen, &offer("alert", &id, (i % 3) as u64, 9_000, b"x")).unwrap();
-        assert!(answer.first.contains(" 202"), "{}: {}", answer.first, log());
-        peers[i % 3].wait_for(&id, 1);
+        let answer =
+            send_request(sidecar.listen, &submission_request("alert", &id, (i % 3) as u64, 9_000, b"x"))
+                .unwrap();
+        assert!(answer.start_line.contains(" 202"), "{}: {}", answer.start_line, log());
+        peers[i % 3].wait_for_message(&id, 1);
     }
     assert_eq!(started.len(), APPLICATIONS);
 }
--- a/crates/serve/nickelshed/tests/moments.rs
+++ b/crates/serve/nickelshed/tests/moments.rs
@@ -22,7 +22,7 @@
 
     fn wait(&self) {
         let held = self.0 .0.lock().unwrap();
-        drop(self.0 .1.wait_timeout_while(held, BOUND, |open| !*open).unwrap());
+        drop(self.0 .1.wait_timeout_while(held, WAIT_TIMEOUT, |open| !*open).unwrap());
     }
 }
 
@@ -32,36 +32,36 @@
 fn a_batch_names_first_the_message_with_most_time_and_delivers_it_after_another_has_left() {
     let gate = Gate::default();
     let held = gate.clone();
-    let endpoint = Peer::new(move |request| {
-        if !request.first.contains(":batch") {
-            return answer("429 Wait", "Retry-After: 1\r\n", "");
+    let endpoint = FakeServer::new(move |request| {
+        if !request.start_line.contains(":batch") {
+            return http_reply("429 Wait", "Retry-After: 1\r\n", "");
         }
         held.wait();
         let list: Vec<Value> = serde_json::from_slice(&request.body).unwrap();
         let ends: Vec<Value> = list.iter().map(|m| json!({"id": m["id"], "state": "done"})).collect();
-        answer("200 OK", "", &json!(ends).to_string())
+        http_reply("200 OK", "", &json!(ends).to_string())
     });
     let discovery = Discovery::new(json!([instance("e-1", endpoint.address, 7, "many", "Ready")]));
     // Worth most, and soon over: the module would name it first.
-    let mut node = Node::with(PROGRAM, &discovery, json!([]), |config| {
+    let mut node = SenderProcess::start_with(PROGRAM, &discovery, json!([]), |config| {
         let services = config["settings"]["Services"].as_array_mut().unwrap();
         let mut brief = services[1].clone();
         (brief["Name"], brief["Worth"], brief["DeadlineNs"]) =
             (json!("brief"), json!(4), json!(2_500_000_000u64));
         services.push(brief);
     });
-    assert_eq!(node.hand_in("order", "first", 7, 2_500, b"0"), 202);
-    endpoint.wait_for("first", 1);
+    assert_eq!(node.submit("order", "first", 7, 2_500, b"0"), 202);
+    endpoint.wait_for_message("first", 1);
     for (class, id, expires) in
         [("brief", "short", 2_500), ("order", "long", 16_000), ("order", "middle", 9_000)]
     {
-        assert_eq!(node.hand_in(class, id, 7, expires, id.as_bytes()), 202);
+        assert_eq!(node.submit(class, id, 7, expires, id.as_bytes()), 202);
     }
     // It has left its call, which is still out: the answer has not begun.
-    assert_eq!(discovery.wait_notice("short")["outcome"], "given_up");
+    assert_eq!(discovery.wait_for_notice("short")["outcome"], "given_up");
     gate.open();
-    let seen = endpoint.wait("the batch", |s| s.iter().any(|r| r.first.contains(":batch")));
-    let batch = seen.iter().find(|r| r.first.contains(":batch")).unwrap();
+    let seen = endpoint.wait_until("the batch", |s| s.iter().any(|r| r.start_line.contains(":batch")));
+    let batch = seen.iter().find(|r| r.start_line.contains(":batch")).unwrap();
     let list: Vec<Value> = serde_json::from_slice(&batch.body).unwrap();
     let ids: Vec<&str> = list.iter().filter_map(|m| m["id"].as_str()).collect();
     assert!(ids.contains(&"short"), "{ids:?}");
@@ -74,22 +74,22 @@
 }
 
 /// Room for twenty; eighteen are held for an endpoint that is shut, so that the next is past the bound.
-fn full_to_the_bound(discovery: &Discovery) -> Node {
-    let mut node = Node::with(PROGRAM, discovery, json!([]), |config| {
+fn full_to_the_bound(discovery: &Discovery) -> SenderProcess {
+    let mut node = SenderProcess::start_with(PROGRAM, discovery, json!([]), |config| {
         config["settings"]["Limits"]["MaxOpen"] = json!(20);
     });
     node.terminate();
     assert!(node.wait_exit().success());
-    node.environment("RUST_LOG", "debug");
+    node.set_environment("RUST_LOG", "debug");
     node.restart();
     for n in 0..18 {
-        assert_eq!(node.hand_in("order", &format!("held-{n}"), 7, 16_000, b"x"), 202);
+        assert_eq!(node.submit("order", &format!("held-{n}"), 7, 16_000, b"x"), 202);
     }
     node
 }
 
-fn ids_seen(endpoint: &Peer) -> Vec<String> {
-    let mut ids: Vec<String> = endpoint.seen().iter().map(|r| r.id().to_string()).collect();
+fn ids_seen(endpoint: &FakeServer) -> Vec<String> {
+    let mut ids: Vec<String> = endpoint.received().iter().map(|r| r.message_id().to_string()).collect();
     ids.sort();
     ids
 }
@@ -98,32 +98,32 @@
 /// told to both; turned away it leaves no notice and no record.
 #[test]
 fn past_the_bound_what_is_turned_away_was_never_taken_on() {
-    let (shut, open) = (Peer::new(|_| ok()), Peer::new(|_| ok()));
+    let (shut, open) = (FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply()));
     let list = |lifecycle| {
-        json!([instance("e-1", shut.address, 7, "plain", lifecycle), ready("e-2", open.address, 8)])
+        json!([instance("e-1", shut.address, 7, "plain", lifecycle), ready_instance("e-2", open.address, 8)])
     };
     let discovery = Discovery::new(list("Terminating"));
     let mut node = full_to_the_bound(&discovery);
     let both: Vec<TcpStream> = (0..2)
         .map(|_| {
             let mut client = TcpStream::connect(node.address).unwrap();
-            client.write_all(&offer("order", "over", 7, 16_000, b"x")).unwrap();
+            client.write_all(&submission_request("order", "over", 7, 16_000, b"x")).unwrap();
             client
         })
         .collect();
     for client in both {
-        let heard = read_message(&mut BufReader::new(client), 0).unwrap();
-        assert!(heard.first.contains(" 503 ") && heard.headers.contains_key("retry-after"), "{heard:?}");
+        let heard = read_http_message(&mut BufReader::new(client), 0).unwrap();
+        assert!(heard.start_line.contains(" 503 ") && heard.headers.contains_key("retry-after"), "{heard:?}");
     }
     // What can be called for at once is taken on at once, full or not. Keyed: the kill may come before its answer is read.
-    assert_eq!(node.hand_in("alert", "goes", 8, 16_000, b"x"), 202);
-    open.wait_for("goes", 1);
+    assert_eq!(node.submit("alert", "goes", 8, 16_000, b"x"), 202);
+    open.wait_for_message("goes", 1);
     node.kill();
-    discovery.set(list("Ready"));
+    discovery.set_instances(list("Ready"));
     node.restart();
-    shut.wait("all that was held", |seen| seen.len() >= 18);
-    assert_eq!(node.hand_in("order", "last", 7, 16_000, b"x"), 202);
-    shut.wait_for("last", 1);
+    shut.wait_until("all that was held", |seen| seen.len() >= 18);
+    assert_eq!(node.submit("order", "last", 7, 16_000, b"x"), 202);
+    shut.wait_for_message("last", 1);
     assert!(!ids_seen(&shut).contains(&"over".to_string()), "{:?}", ids_seen(&shut));
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
@@ -132,34 +132,34 @@
 /// nothing, hands it in again.
 #[test]
 fn a_kill_while_a_message_waits_to_be_taken_on_leaves_it_to_its_client() {
-    let endpoint = Peer::new(|_| ok());
+    let endpoint = FakeServer::new(|_| ok_reply());
     let list = |lifecycle| json!([instance("e-1", endpoint.address, 7, "plain", lifecycle)]);
     let discovery = Discovery::new(list("Terminating"));
     let mut node = full_to_the_bound(&discovery);
     let mut client = TcpStream::connect(node.address).unwrap();
-    client.write_all(&offer("order", "waits", 7, 16_000, b"x")).unwrap();
-    node.until("it has come", || node.log().contains("trace=\"waits\""));
+    client.write_all(&submission_request("order", "waits", 7, 16_000, b"x")).unwrap();
+    node.wait_until("it has come", || node.log().contains("trace=\"waits\""));
     node.kill();
-    discovery.set(list("Ready"));
+    discovery.set_instances(list("Ready"));
     node.restart();
-    endpoint.wait("all that was held", |seen| seen.len() >= 18);
-    assert_eq!(node.hand_in("order", "waits", 7, 16_000, b"x"), 202);
-    assert_eq!(endpoint.wait_for("waits", 1).len(), 1);
+    endpoint.wait_until("all that was held", |seen| seen.len() >= 18);
+    assert_eq!(node.submit("order", "waits", 7, 16_000, b"x"), 202);
+    assert_eq!(endpoint.wait_for_message("waits", 1).len(), 1);
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
 
 /// Told to end while a client waits for its answer: it gets one, and the end is no later for it.
 #[test]
 fn sigterm_while_a_message_waits_to_be_taken_on_is_answered() {
-    let endpoint = Peer::new(|_| ok());
+    let endpoint = FakeServer::new(|_| ok_reply());
     let discovery = Discovery::new(json!([instance("e-1", endpoint.address, 7, "plain", "Terminating")]));
     let mut node = full_to_the_bound(&discovery);
     let mut client = TcpStream::connect(node.address).unwrap();
-    client.write_all(&offer("order", "waits", 7, 16_000, b"x")).unwrap();
-    node.until("it has come", || node.log().contains("trace=\"waits\""));
+    client.write_all(&submission_request("order", "waits", 7, 16_000, b"x")).unwrap();
+    node.wait_until("it has come", || node.log().contains("trace=\"waits\""));
     node.terminate();
-    let heard = read_message(&mut BufReader::new(client), 0).unwrap();
-    assert!(heard.first.contains(" 503 "), "{heard:?}");
+    let heard = read_http_message(&mut BufReader::new(client), 0).unwrap();
+    assert!(heard.start_line.contains(" 503 "), "{heard:?}");
     assert!(node.wait_exit().success());
 }
 
@@ -176,15 +176,15 @@
             drop(stream);
         }
     });
-    let discovery = Discovery::new(json!([ready("e-1", address, 7)]));
-    let mut node = Node::start(PROGRAM, &discovery);
+    let discovery = Discovery::new(json!([ready_instance("e-1", address, 7)]));
+    let mut node = SenderProcess::start(PROGRAM, &discovery);
     node.terminate();
     assert!(node.wait_exit().success());
-    node.environment("RUST_LOG", "debug");
+    node.set_environment("RUST_LOG", "debug");
     node.restart();
     // A keyed one: where the request was out before the end was seen, it may have run.
-    assert_eq!(node.hand_in("alert", "m", 7, 1_500, b"x"), 202);
-    assert_eq!(discovery.wait_notice("m")["outcome"], "handed_back");
+    assert_eq!(node.submit("alert", "m", 7, 1_500, b"x"), 202);
+    assert_eq!(discovery.wait_for_notice("m")["outcome"], "handed_back");
     node.terminate();
     assert!(node.wait_exit().success());
     let attempts = node.log().matches("attempt ended").count();
@@ -197,21 +197,21 @@
 /// same round decided on would run it twice.
 #[test]
 fn a_message_whose_client_has_left_before_its_answer_is_not_called_for() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let node = Node::start(PROGRAM, &discovery);
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
+    let node = SenderProcess::start(PROGRAM, &discovery);
     // The first one shows that all is ready, and leaves a connection that a call could go out on at once.
-    assert_eq!(node.hand_in("order", "before", 7, 16_000, b"x"), 202);
-    endpoint.wait_for("before", 1);
-    node.stop();
+    assert_eq!(node.submit("order", "before", 7, 16_000, b"x"), 202);
+    endpoint.wait_for_message("before", 1);
+    node.pause();
     for n in 0..5 {
         let mut client = TcpStream::connect(node.address).unwrap();
-        client.write_all(&offer("order", &format!("gone-{n}"), 7, 16_000, b"x")).unwrap();
+        client.write_all(&submission_request("order", &format!("gone-{n}"), 7, 16_000, b"x")).unwrap();
     }
-    node.go_on();
-    assert_eq!(node.hand_in("alert", "after", 7, 16_000, b"x"), 202);
-    endpoint.wait_for("after", 1);
-    let called: Vec<String> = endpoint.seen().iter().map(|r| r.id().to_string()).collect();
+    node.resume();
+    assert_eq!(node.submit("alert", "after", 7, 16_000, b"x"), 202);
+    endpoint.wait_for_message("after", 1);
+    let called: Vec<String> = endpoint.received().iter().map(|r| r.message_id().to_string()).collect();
     assert_eq!(called, ["before", "after"]);
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
@@ -220,27 +220,30 @@
 /// has a second.
 #[test]
 fn a_drain_that_discovery_tells_at_its_return_is_heard_within_its_grace() {
-    let (endpoint, other) = (Peer::new(|_| ok()), Peer::new(|_| ok()));
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let node = Node::start(PROGRAM, &discovery);
-    assert_eq!(node.hand_in("order", "before", 7, 16_000, b"x"), 202);
-    endpoint.wait_for("before", 1);
-    discovery.silence();
-    discovery.set(json!([
+    let (endpoint, other) = (FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply()));
+    let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
+    let node = SenderProcess::start(PROGRAM, &discovery);
+    assert_eq!(node.submit("order", "before", 7, 16_000, b"x"), 202);
+    endpoint.wait_for_message("before", 1);
+    discovery.stop_answering();
+    discovery.set_instances(json!([
         instance("e-1", endpoint.address, 7, "plain", "Terminating"),
-        ready("e-2", other.address, 7)
+        ready_instance("e-2", other.address, 7)
     ]));
     // Two asks that were begun in the silence: the second one shows that the first was given up.
-    let asks = |seen: &[Request]| seen.iter().filter(|r| r.first.contains("index=")).count();
-    let before = asks(&discovery.peer.seen());
-    discovery.peer.wait("it to ask in the silence", |seen| asks(seen) >= before + 3);
-    discovery.speak();
+    let asks = |seen: &[HttpMessage]| seen.iter().filter(|r| r.start_line.contains("index=")).count();
+    let before = asks(&discovery.server.received());
+    discovery.server.wait_until("it to ask in the silence", |seen| asks(seen) >= before + 3);
+    discovery.resume_answering();
     let spoke = Instant::now();
-    let seen = discovery.peer.wait("the watch to go on", |s| s.iter().any(|r| r.first.contains("index=2")));
-    let heard = seen.iter().find(|r| r.first.contains("index=2")).unwrap().at.duration_since(spoke);
+    let seen = discovery
+        .server
+        .wait_until("the watch to go on", |s| s.iter().any(|r| r.start_line.contains("index=2")));
+    let heard =
+        seen.iter().find(|r| r.start_line.contains("index=2")).unwrap().received_at.duration_since(spoke);
     assert!(heard < Duration::from_millis(1_000), "{heard:?}");
-    assert_eq!(node.hand_in("order", "after", 7, 16_000, b"x"), 202);
-    other.wait_for("after", 1);
+    assert_eq!(node.submit("order", "after", 7, 16_000, b"x"), 202);
+    other.wait_for_message("after", 1);
 }
 
 /// The answer and the end of the message's time are there in the same turn. Nobody can know whether the answer was written in
@@ -251,26 +254,28 @@
     let held = gate.clone();
     let arrived = Arc::new(AtomicUsize::new(0));
     let count = arrived.clone();
-    let endpoint = Peer::new(move |request| {
-        if request.id() == "m" {
+    let endpoint = FakeServer::new(move |request| {
+        if request.message_id() == "m" {
             count.fetch_add(1, Ordering::SeqCst);
             held.wait();
         }
-        ok()
+        ok_reply()
     });
-    let discovery =
-        Discovery::new(json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 8)]));
-    let node = Node::start(PROGRAM, &discovery);
-    assert_eq!(node.hand_in("order", "early", 8, 16_000, b"x"), 202);
-    endpoint.wait_for("early", 1);
+    let discovery = Discovery::new(json!([
+        ready_instance("e-1", endpoint.address, 7),
+        ready_instance("e-2", endpoint.address, 8)
+    ]));
+    let node = SenderProcess::start(PROGRAM, &discovery);
+    assert_eq!(node.submit("order", "early", 8, 16_000, b"x"), 202);
+    endpoint.wait_for_message("early", 1);
     let until = Instant::now() + Duration::from_millis(1_500);
-    assert_eq!(node.hand_in("order", "m", 7, 1_500, b"x"), 202);
-    node.until("the call is out", || arrived.load(Ordering::SeqCst) == 1);
-    node.stop();
+    assert_eq!(node.submit("order", "m", 7, 1_500, b"x"), 202);
+    node.wait_until("the call is out", || arrived.load(Ordering::SeqCst) == 1);
+    node.pause();
     std::thread::sleep(until.saturating_duration_since(Instant::now()) + Duration::from_millis(20));
     gate.open();
-    endpoint.wait_for("m", 1);
-    node.go_on();
-    assert_eq!(discovery.wait_notice("m")["outcome"], "given_up");
+    endpoint.wait_for_message("m", 1);
+    node.resume();
+    assert_eq!(discovery.wait_for_notice("m")["outcome"], "given_up");
     assert!(discovery.notices().iter().all(|n| n["message"] != "early"));
 }
--- a/crates/serve/nickelshed/tests/notes.rs
+++ b/crates/serve/nickelshed/tests/notes.rs
@@ -10,8 +10,14 @@
 }
 
 /// A sender of that number, whose settings name two senders.
-fn sender(discovery: &Discovery, number: usize, peers: &Value, listen: SocketAddr, allowed: &Value) -> Node {
-    Node::with(PROGRAM, discovery, json!([]), |c| {
+fn sender(
+    discovery: &Discovery,
+    number: usize,
+    peers: &Value,
+    listen: SocketAddr,
+    allowed: &Value,
+) -> SenderProcess {
+    SenderProcess::start_with(PROGRAM, discovery, json!([]), |c| {
         c["name"] = json!(format!("n{number}"));
         c["settings"]["NInstances"] = json!(2);
         c["settings"]["Limits"]["Peers"] = allowed.clone();
@@ -20,7 +26,7 @@
     })
 }
 
-fn meets(node: &Node) -> bool {
+fn meets(node: &SenderProcess) -> bool {
     node.log()
         .lines()
         .any(|line| line.contains("view of the fleet has changed") && line.contains("present=2"))
@@ -28,23 +34,24 @@
 
 #[test]
 fn two_senders_find_one_another_by_the_lists_that_they_are_told() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
     let at = [free(), free()];
     let peers = json!(at.map(|a| a.to_string()));
-    let mut nodes: Vec<Node> = (0..2).map(|n| sender(&discovery, n, &peers, at[n], &json!(true))).collect();
-    nodes[0].until("both are seen by the first", || meets(&nodes[0]));
-    nodes[1].until("both are seen by the second", || meets(&nodes[1]));
+    let mut nodes: Vec<SenderProcess> =
+        (0..2).map(|n| sender(&discovery, n, &peers, at[n], &json!(true))).collect();
+    nodes[0].wait_until("both are seen by the first", || meets(&nodes[0]));
+    nodes[1].wait_until("both are seen by the second", || meets(&nodes[1]));
     // One that is killed comes back under a later start, which the folder has kept.
     nodes[1].kill();
-    nodes[1].forget_log();
+    nodes[1].discard_log();
     nodes[1].restart();
-    nodes[1].until("the second is back", || meets(&nodes[1]));
+    nodes[1].wait_until("the second is back", || meets(&nodes[1]));
     assert!(nodes[1].log().contains("start=2"), "{}", nodes[1].log());
     for (number, node) in nodes.iter().enumerate() {
         let id = format!("m{number}");
-        assert_eq!(node.hand_in("order", &id, 7, 16_000, b"x"), 202);
-        assert_eq!(endpoint.wait_for(&id, 1).len(), 1);
+        assert_eq!(node.submit("order", &id, 7, 16_000, b"x"), 202);
+        assert_eq!(endpoint.wait_for_message(&id, 1).len(), 1);
     }
 }
 
@@ -52,8 +59,8 @@
 /// starts and delivers all the same.
 #[test]
 fn without_leave_or_with_a_list_that_makes_no_fleet_no_socket_is_opened() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
     let (own, other) = (free(), free());
     let both = json!([own.to_string(), other.to_string()]);
     let rows = [
@@ -68,8 +75,8 @@
     for (row, (peers, number, allowed)) in rows.into_iter().enumerate() {
         let node = sender(&discovery, number, peers, own, &allowed);
         let id = format!("m{row}");
-        assert_eq!(node.hand_in("order", &id, 7, 16_000, b"x"), 202);
-        assert_eq!(endpoint.wait_for(&id, 1).len(), 1);
+        assert_eq!(node.submit("order", &id, 7, 16_000, b"x"), 202);
+        assert_eq!(endpoint.wait_for_message(&id, 1).len(), 1);
         assert!(!node.log().contains("member of the fleet"), "row {row}: {}", node.log());
         UdpSocket::bind(own).unwrap_or_else(|e| panic!("row {row}: {e}"));
     }
--- a/crates/serve/nickelshed/tests/sender.rs
+++ b/crates/serve/nickelshed/tests/sender.rs
@@ -11,91 +11,91 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nickelshed");
 
 /// The first call gets `first`, all others 200.
-fn first_then_ok(first: impl Fn() -> Reply + Send + Sync + 'static) -> Peer {
+fn first_then_ok(first: impl Fn() -> Reply + Send + Sync + 'static) -> FakeServer {
     let calls = AtomicUsize::new(0);
-    Peer::new(move |_| if calls.fetch_add(1, Ordering::SeqCst) == 0 { first() } else { ok() })
+    FakeServer::new(move |_| if calls.fetch_add(1, Ordering::SeqCst) == 0 { first() } else { ok_reply() })
 }
 
-fn one_endpoint(endpoint: &Peer) -> (Discovery, Node) {
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let node = Node::start(PROGRAM, &discovery);
+fn one_endpoint(endpoint: &FakeServer) -> (Discovery, SenderProcess) {
+    let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
+    let node = SenderProcess::start(PROGRAM, &discovery);
     (discovery, node)
 }
 
 /// Hands in one more and waits for it: what the sender would have done before has been done by then.
-fn settle(node: &Node, endpoint: &Peer) {
-    assert_eq!(node.hand_in("alert", "settle", 7, 16_000, b"."), 202);
-    endpoint.wait_for("settle", 1);
+fn settle(node: &SenderProcess, endpoint: &FakeServer) {
+    assert_eq!(node.submit("alert", "settle", 7, 16_000, b"."), 202);
+    endpoint.wait_for_message("settle", 1);
 }
 
 /// A message is over once it was called for, and the next process owes nothing for it.
-fn one_call_ends_it_for_good(endpoint: &Peer, class: &str) {
+fn one_call_ends_it_for_good(endpoint: &FakeServer, class: &str) {
     let (discovery, mut node) = one_endpoint(endpoint);
-    assert_eq!(node.hand_in(class, "m", 7, 16_000, b"x"), 202);
-    endpoint.wait_for("m", 1);
+    assert_eq!(node.submit(class, "m", 7, 16_000, b"x"), 202);
+    endpoint.wait_for_message("m", 1);
     settle(&node, endpoint);
     node.kill();
     node.restart();
-    assert_eq!(node.hand_in("alert", "last", 7, 16_000, b"x"), 202);
-    endpoint.wait_for("last", 1);
-    assert_eq!(endpoint.wait_for("m", 1).len(), 1);
+    assert_eq!(node.submit("alert", "last", 7, 16_000, b"x"), 202);
+    endpoint.wait_for_message("last", 1);
+    assert_eq!(endpoint.wait_for_message("m", 1).len(), 1);
     assert!(discovery.notices().is_empty());
 }
 
 #[test]
 fn takes_on_and_delivers_unchanged_over_one_kept_connection() {
-    let endpoint = Peer::new(|_| ok());
+    let endpoint = FakeServer::new(|_| ok_reply());
     let (discovery, node) = one_endpoint(&endpoint);
     let body: Vec<u8> = (0..=255).collect();
     for id in ["a", "b", "c"] {
-        assert_eq!(node.hand_in("alert", id, 7, 9_000, &body), 202);
-        let call = endpoint.wait_for(id, 1).remove(0);
-        assert_eq!(call.first, "POST /v1/messages HTTP/1.1");
+        assert_eq!(node.submit("alert", id, 7, 9_000, &body), 202);
+        let call = endpoint.wait_for_message(id, 1).remove(0);
+        assert_eq!(call.start_line, "POST /v1/messages HTTP/1.1");
         assert_eq!(call.headers["idempotency-key"], format!("key-{id}"));
         assert_eq!(call.body, body);
         let wait: u64 = call.headers["x-expires-in-ms"].parse().unwrap();
         assert!((1..=9_000).contains(&wait), "{wait}");
     }
-    assert_eq!(endpoint.connections(), 1);
+    assert_eq!(endpoint.connection_count(), 1);
     assert!(discovery.notices().is_empty());
 }
 
 #[test]
 fn what_never_ran_goes_again_even_if_unsafe() {
-    let rows: [Row; 4] = [
-        ("503", || answer("503 Full", "", "")),
-        ("line busy", || answer("503 Busy", "X-Line-Busy: 1\r\n", "")),
-        ("504", || answer("504 Used up", "", "")),
-        ("429", || answer("429 Wait", "Retry-After: 0.05\r\n", "")),
+    let rows: [ReplyCase; 4] = [
+        ("503", || http_reply("503 Full", "", "")),
+        ("line busy", || http_reply("503 Busy", "X-Line-Busy: 1\r\n", "")),
+        ("504", || http_reply("504 Used up", "", "")),
+        ("429", || http_reply("429 Wait", "Retry-After: 0.05\r\n", "")),
     ];
     for (row, reply) in rows {
         let endpoint = first_then_ok(reply);
         let (discovery, node) = one_endpoint(&endpoint);
-        assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
-        endpoint.wait_for("m", 2);
+        assert_eq!(node.submit("order", "m", 7, 16_000, b"x"), 202);
+        endpoint.wait_for_message("m", 2);
         assert!(discovery.notices().is_empty(), "{row}");
     }
 }
 
 #[test]
 fn what_may_have_run_goes_again_only_if_keyed() {
-    let rows: [Row; 3] = [
-        ("500", || answer("500 Error", "", "")),
-        ("unknown", || answer("418 Teapot", "", "")),
+    let rows: [ReplyCase; 3] = [
+        ("500", || http_reply("500 Error", "", "")),
+        ("unknown", || http_reply("418 Teapot", "", "")),
         ("reset", || Reply::Close),
     ];
     for (row, reply) in rows {
         let endpoint = first_then_ok(reply);
         let (discovery, node) = one_endpoint(&endpoint);
-        assert_eq!(node.hand_in("order", "unsafe", 7, 16_000, b"x"), 202);
-        assert_eq!(discovery.wait_notice("unsafe")["outcome"], "given_up", "{row}");
+        assert_eq!(node.submit("order", "unsafe", 7, 16_000, b"x"), 202);
+        assert_eq!(discovery.wait_for_notice("unsafe")["outcome"], "given_up", "{row}");
         settle(&node, &endpoint);
-        assert_eq!(endpoint.wait_for("unsafe", 1).len(), 1, "{row}");
+        assert_eq!(endpoint.wait_for_message("unsafe", 1).len(), 1, "{row}");
 
         let endpoint = first_then_ok(reply);
         let (discovery, node) = one_endpoint(&endpoint);
-        assert_eq!(node.hand_in("alert", "keyed", 7, 16_000, b"x"), 202);
-        let calls = endpoint.wait_for("keyed", 2);
+        assert_eq!(node.submit("alert", "keyed", 7, 16_000, b"x"), 202);
+        let calls = endpoint.wait_for_message("keyed", 2);
         assert_eq!(calls[0].headers["idempotency-key"], calls[1].headers["idempotency-key"]);
         assert!(discovery.notices().is_empty(), "{row}");
     }
@@ -103,7 +103,7 @@
 
 #[test]
 fn a_withdrawn_message_is_over_without_a_notice() {
-    one_call_ends_it_for_good(&first_then_ok(|| answer("410 Gone", "", "")), "alert");
+    one_call_ends_it_for_good(&first_then_ok(|| http_reply("410 Gone", "", "")), "alert");
 }
 
 #[test]
@@ -111,35 +111,37 @@
 {
     let endpoint = first_then_ok(|| Reply::Hang);
     let (discovery, node) = one_endpoint(&endpoint);
-    assert_eq!(node.hand_in("order", "unsafe", 7, 600, b"x"), 202);
-    assert_eq!(discovery.wait_notice("unsafe")["outcome"], "given_up");
+    assert_eq!(node.submit("order", "unsafe", 7, 600, b"x"), 202);
+    assert_eq!(discovery.wait_for_notice("unsafe")["outcome"], "given_up");
 
     let endpoint = first_then_ok(|| Reply::Hang);
     let (_discovery, node) = one_endpoint(&endpoint);
-    assert_eq!(node.hand_in("alert", "keyed", 7, 16_000, b"x"), 202);
-    let calls = endpoint.wait_for("keyed", 2);
+    assert_eq!(node.submit("alert", "keyed", 7, 16_000, b"x"), 202);
+    let calls = endpoint.wait_for_message("keyed", 2);
     assert_ne!(calls[0].connection, calls[1].connection);
-    node.until("the first connection is closed", || endpoint.has_ended(calls[0].connection));
+    node.wait_until("the first connection is closed", || endpoint.is_connection_closed(calls[0].connection));
 }
 
 #[test]
 fn a_refused_connection_never_ran_so_the_message_is_handed_back() {
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let discovery = Discovery::new(json!([ready("e-1", closed, 7)]));
-    let node = Node::start(PROGRAM, &discovery);
-    assert_eq!(node.hand_in("order", "m", 7, 1_000, b"x"), 202);
-    assert_eq!(discovery.wait_notice("m")["outcome"], "handed_back");
+    let discovery = Discovery::new(json!([ready_instance("e-1", closed, 7)]));
+    let node = SenderProcess::start(PROGRAM, &discovery);
+    assert_eq!(node.submit("order", "m", 7, 1_000, b"x"), 202);
+    assert_eq!(discovery.wait_for_notice("m")["outcome"], "handed_back");
 }
 
 #[test]
 fn a_told_wait_binds_every_message_of_the_destination() {
-    let endpoint = first_then_ok(|| answer("429 Wait", "Retry-After: 1.2\r\n", ""));
+    let endpoint = first_then_ok(|| http_reply("429 Wait", "Retry-After: 1.2\r\n", ""));
     let (_discovery, node) = one_endpoint(&endpoint);
-    assert_eq!(node.hand_in("alert", "told", 7, 16_000, b"x"), 202);
-    let told = endpoint.wait_for("told", 1).remove(0).at;
-    assert_eq!(node.hand_in("alert", "other", 7, 16_000, b"x"), 202);
-    let (again, other) =
-        (endpoint.wait_for("told", 2).remove(1).at, endpoint.wait_for("other", 1).remove(0).at);
+    assert_eq!(node.submit("alert", "told", 7, 16_000, b"x"), 202);
+    let told = endpoint.wait_for_message("told", 1).remove(0).received_at;
+    assert_eq!(node.submit("alert", "other", 7, 16_000, b"x"), 202);
+    let (again, other) = (
+        endpoint.wait_for_message("told", 2).remove(1).received_at,
+        endpoint.wait_for_message("other", 1).remove(0).received_at,
+    );
     assert!(again.min(other) - told >= Duration::from_millis(1_200));
 }
 
@@ -147,12 +149,12 @@
 #[test]
 fn a_batch_ends_each_message_by_its_own_state() {
     let calls = Arc::new(AtomicUsize::new(0));
-    let endpoint = Peer::new(move |request| {
+    let endpoint = FakeServer::new(move |request| {
         if calls.fetch_add(1, Ordering::SeqCst) == 0 {
-            return answer("429 Wait", "Retry-After: 1.5\r\n", "");
+            return http_reply("429 Wait", "Retry-After: 1.5\r\n", "");
         }
-        if !request.first.contains(":batch") {
-            return ok();
+        if !request.start_line.contains(":batch") {
+            return ok_reply();
         }
         let ends: Vec<Value> = serde_json::from_slice::<Vec<Value>>(&request.body)
             .unwrap()
@@ -165,31 +167,31 @@
                 json!({"id": id, "state": state})
             })
             .collect();
-        answer("200 OK", "", &json!(ends).to_string())
+        http_reply("200 OK", "", &json!(ends).to_string())
     });
     let discovery = Discovery::new(json!([instance("e-1", endpoint.address, 7, "many", "Ready")]));
-    let node = Node::start(PROGRAM, &discovery);
-    assert_eq!(node.hand_in("alert", "done.first", 7, 16_000, b"0"), 202);
-    endpoint.wait_for("done.first", 1);
+    let node = SenderProcess::start(PROGRAM, &discovery);
+    assert_eq!(node.submit("alert", "done.first", 7, 16_000, b"0"), 202);
+    endpoint.wait_for_message("done.first", 1);
     for id in ["done.1", "failed.2", "void.3", "busy.4", "used_up.5"] {
-        assert_eq!(node.hand_in("order", id, 7, 6_000, id.as_bytes()), 202);
+        assert_eq!(node.submit("order", id, 7, 6_000, id.as_bytes()), 202);
     }
-    let batches = |seen: &[Request]| -> Vec<Vec<Value>> {
-        let batch = seen.iter().filter(|r| r.first.contains(":batch"));
+    let batches = |seen: &[HttpMessage]| -> Vec<Vec<Value>> {
+        let batch = seen.iter().filter(|r| r.start_line.contains(":batch"));
         batch.map(|r| serde_json::from_slice(&r.body).unwrap()).collect()
     };
-    let seen = endpoint.wait("a batch", |s| !batches(s).is_empty());
+    let seen = endpoint.wait_until("a batch", |s| !batches(s).is_empty());
     let batch = batches(&seen).remove(0);
     let failed = batch.iter().find(|m| m["id"] == "failed.2").expect("all that were held are in one call");
     let body = base64::engine::general_purpose::STANDARD.encode("failed.2");
     assert_eq!((&failed["body"], &failed["key"]), (&json!(body), &json!("key-failed.2")));
-    assert_eq!(discovery.wait_notice("failed.2")["outcome"], "given_up");
-    let count = |seen: &[Request], id: &str| {
+    assert_eq!(discovery.wait_for_notice("failed.2")["outcome"], "given_up");
+    let count = |seen: &[HttpMessage], id: &str| {
         let inside = batches(seen).iter().flatten().filter(|m| m["id"] == id).count();
-        inside + seen.iter().filter(|r| r.id() == id).count()
+        inside + seen.iter().filter(|r| r.message_id() == id).count()
     };
-    let seen =
-        endpoint.wait("the two that never ran", |s| count(s, "busy.4") > 1 && count(s, "used_up.5") > 1);
+    let seen = endpoint
+        .wait_until("the two that never ran", |s| count(s, "busy.4") > 1 && count(s, "used_up.5") > 1);
     for id in ["done.1", "failed.2", "void.3"] {
         assert_eq!(count(&seen, id), 1, "{id}");
     }
@@ -197,8 +199,8 @@
 }
 
 /// The answer to a batch of which every message is done.
-fn all_done(request: &Request) -> Option<String> {
-    let many = request.first.contains(":batch");
+fn all_done(request: &HttpMessage) -> Option<String> {
+    let many = request.start_line.contains(":batch");
     let list: Vec<Value> = if many { serde_json::from_slice(&request.body).unwrap() } else { Vec::new() };
     let ends: Vec<Value> = list.iter().map(|m| json!({"id": m["id"], "state": "done"})).collect();
     many.then(|| json!(ends).to_string())
@@ -206,23 +208,23 @@
 
 #[test]
 fn what_is_too_much_for_one_body_goes_in_parts() {
-    let endpoint = first_then_ok(|| answer("429 Wait", "Retry-After: 1.5\r\n", ""));
-    endpoint.also(|request| all_done(request).map(|ends| answer("200 OK", "", &ends)));
+    let endpoint = first_then_ok(|| http_reply("429 Wait", "Retry-After: 1.5\r\n", ""));
+    endpoint.prepend_script(|request| all_done(request).map(|ends| http_reply("200 OK", "", &ends)));
     let discovery = Discovery::new(json!([instance("e-1", endpoint.address, 7, "many", "Ready")]));
-    let node = Node::start(PROGRAM, &discovery);
-    assert_eq!(node.hand_in("order", "0", 7, 16_000, b"0"), 202);
-    endpoint.wait_for("0", 1);
+    let node = SenderProcess::start(PROGRAM, &discovery);
+    assert_eq!(node.submit("order", "0", 7, 16_000, b"0"), 202);
+    endpoint.wait_for_message("0", 1);
     for id in ["1", "2", "3", "4"] {
-        assert_eq!(node.hand_in("order", id, 7, 16_000, &[7; 20_000]), 202);
+        assert_eq!(node.submit("order", id, 7, 16_000, &[7; 20_000]), 202);
     }
-    let delivered = |seen: &[Request], id: &str| {
+    let delivered = |seen: &[HttpMessage], id: &str| {
         let named = format!("\"id\":\"{id}\"");
-        let batches = seen.iter().filter(|r| r.first.contains(":batch"));
+        let batches = seen.iter().filter(|r| r.start_line.contains(":batch"));
         let inside = batches.filter(|r| String::from_utf8_lossy(&r.body).contains(&named)).count();
-        inside + seen.iter().filter(|r| r.id() == id).count()
+        inside + seen.iter().filter(|r| r.message_id() == id).count()
     };
-    let all = |s: &[Request]| ["1", "2", "3", "4"].iter().all(|id| delivered(s, id) == 1);
-    let seen = endpoint.wait("all four", all);
+    let all = |s: &[HttpMessage]| ["1", "2", "3", "4"].iter().all(|id| delivered(s, id) == 1);
+    let seen = endpoint.wait_until("all four", all);
     assert!(seen.iter().all(|r| r.body.len() <= 64 << 10));
     assert!(discovery.notices().is_empty());
 }
@@ -230,45 +232,46 @@
 /// The first part hangs for longer than the second one's message has.
 #[test]
 fn a_message_whose_time_is_up_while_another_part_of_its_call_is_out_is_told_at_once() {
-    let endpoint = Peer::new(|_| Reply::Hang);
-    let discovery = Discovery::new(json!([closed(7)]));
-    let node = Node::start(PROGRAM, &discovery);
+    let endpoint = FakeServer::new(|_| Reply::Hang);
+    let discovery = Discovery::new(json!([terminating_instance(7)]));
+    let node = SenderProcess::start(PROGRAM, &discovery);
     let body = vec![b'x'; 40_000];
     for (id, expires) in [("long", 16_000), ("short", 2_000)] {
-        assert_eq!(node.hand_in("order", id, 7, expires, &body), 202);
+        assert_eq!(node.submit("order", id, 7, expires, &body), 202);
     }
-    discovery.set(json!([instance("e-1", endpoint.address, 7, "many", "Ready")]));
-    endpoint.wait_for("long", 1);
-    assert_eq!(discovery.wait_notice("short")["outcome"], "handed_back");
+    discovery.set_instances(json!([instance("e-1", endpoint.address, 7, "many", "Ready")]));
+    endpoint.wait_for_message("long", 1);
+    assert_eq!(discovery.wait_for_notice("short")["outcome"], "handed_back");
     assert_eq!(discovery.notices().len(), 1, "the other one is still out: {:?}", discovery.notices());
 }
 
 #[test]
 fn the_same_message_handed_in_again_while_it_is_held_is_taken_on_once() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([closed(7)]));
-    let node = Node::start(PROGRAM, &discovery);
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery = Discovery::new(json!([terminating_instance(7)]));
+    let node = SenderProcess::start(PROGRAM, &discovery);
     for _ in 0..2 {
-        assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
+        assert_eq!(node.submit("order", "m", 7, 16_000, b"x"), 202);
     }
-    discovery.set(json!([ready("e-1", endpoint.address, 7)]));
-    endpoint.wait_for("m", 1);
+    discovery.set_instances(json!([ready_instance("e-1", endpoint.address, 7)]));
+    endpoint.wait_for_message("m", 1);
     settle(&node, &endpoint);
-    assert_eq!(endpoint.wait_for("m", 1).len(), 1);
+    assert_eq!(endpoint.wait_for_message("m", 1).len(), 1);
 }
 
 #[test]
 fn past_the_bound_what_waited_is_handed_back_with_a_time_for_what_is_worth_more_and_the_rest_refused() {
-    let endpoint = Peer::new(|_| Reply::Hang);
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7), closed(8)]));
-    let node = Node::with(PROGRAM, &discovery, json!([]), |c| {
+    let endpoint = FakeServer::new(|_| Reply::Hang);
+    let discovery =
+        Discovery::new(json!([ready_instance("e-1", endpoint.address, 7), terminating_instance(8)]));
+    let node = SenderProcess::start_with(PROGRAM, &discovery, json!([]), |c| {
         c["settings"]["Limits"]["MaxOpen"] = json!(30);
         c["settings"]["FamilyInfo"]["CallsOut"] = json!(4);
         c["settings"]["Services"][0]["Worth"] = json!(5);
     });
     let mut refused = None;
     for i in 0..200 {
-        let (status, headers) = node.hand_in_full("order", &format!("m{i}"), 7, 16_000, b"x");
+        let (status, headers) = node.submit_with_headers("order", &format!("m{i}"), 7, 16_000, b"x");
         if status == 503 {
             refused = Some(headers);
             break;
@@ -278,9 +281,10 @@
     let after: f64 = refused.expect("a bound on what is held")["retry-after"].parse().unwrap();
     assert!(after > 0.0);
     assert!(discovery.notices().is_empty(), "nothing that was taken on made room for more of the same");
-    assert_eq!(node.hand_in("alert", "worth-more", 8, 16_000, b"x"), 202);
-    let seen =
-        discovery.peer.wait("a message handed back", |s| s.iter().any(|r| r.first.contains("/reports")));
+    assert_eq!(node.submit("alert", "worth-more", 8, 16_000, b"x"), 202);
+    let seen = discovery
+        .server
+        .wait_until("a message handed back", |s| s.iter().any(|r| r.start_line.contains("/reports")));
     assert!(!seen.is_empty());
     let notices = discovery.notices();
     assert!(notices.iter().all(|n| n["outcome"] == "handed_back"), "{notices:?}");
@@ -290,14 +294,14 @@
 
 #[test]
 fn a_kill_before_any_attempt_leaves_the_message_to_the_next_process() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([closed(7)]));
-    let mut node = Node::start(PROGRAM, &discovery);
-    assert_eq!(node.hand_in("order", "m", 7, 16_000, b"body"), 202);
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery = Discovery::new(json!([terminating_instance(7)]));
+    let mut node = SenderProcess::start(PROGRAM, &discovery);
+    assert_eq!(node.submit("order", "m", 7, 16_000, b"body"), 202);
     node.kill();
-    discovery.set(json!([ready("e-1", endpoint.address, 7)]));
+    discovery.set_instances(json!([ready_instance("e-1", endpoint.address, 7)]));
     node.restart();
-    let calls = endpoint.wait_for("m", 1);
+    let calls = endpoint.wait_for_message("m", 1);
     assert_eq!(calls[0].body, b"body");
     assert!(discovery.notices().is_empty());
 }
@@ -306,21 +310,21 @@
 fn a_kill_during_an_attempt_ends_an_unsafe_message_and_repeats_a_keyed_one_under_its_key() {
     let endpoint = first_then_ok(|| Reply::Hang);
     let (discovery, mut node) = one_endpoint(&endpoint);
-    assert_eq!(node.hand_in("order", "unsafe", 7, 16_000, b"x"), 202);
-    endpoint.wait_for("unsafe", 1);
+    assert_eq!(node.submit("order", "unsafe", 7, 16_000, b"x"), 202);
+    endpoint.wait_for_message("unsafe", 1);
     node.kill();
     node.restart();
-    assert_eq!(discovery.wait_notice("unsafe")["outcome"], "given_up");
+    assert_eq!(discovery.wait_for_notice("unsafe")["outcome"], "given_up");
     settle(&node, &endpoint);
-    assert_eq!(endpoint.wait_for("unsafe", 1).len(), 1);
+    assert_eq!(endpoint.wait_for_message("unsafe", 1).len(), 1);
 
     let endpoint = first_then_ok(|| Reply::Hang);
     let (discovery, mut node) = one_endpoint(&endpoint);
-    assert_eq!(node.hand_in("alert", "keyed", 7, 16_000, b"x"), 202);
-    endpoint.wait_for("keyed", 1);
+    assert_eq!(node.submit("alert", "keyed", 7, 16_000, b"x"), 202);
+    endpoint.wait_for_message("keyed", 1);
     node.kill();
     node.restart();
-    let calls = endpoint.wait_for("keyed", 2);
+    let calls = endpoint.wait_for_message("keyed", 2);
     assert_eq!(calls[1].headers["idempotency-key"], "key-keyed");
     assert!(discovery.notices().is_empty());
 }
@@ -328,85 +332,90 @@
 #[test]
 fn the_window_of_a_key_counts_from_the_first_attempt_over_a_restart() {
     let endpoint = first_then_ok(|| Reply::Hang);
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let mut node = Node::with(PROGRAM, &discovery, json!([]), |c| {
+    let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
+    let mut node = SenderProcess::start_with(PROGRAM, &discovery, json!([]), |c| {
         c["settings"]["Services"][0]["WindowNs"] = json!(300_000_000);
     });
-    assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
-    endpoint.wait_for("m", 1);
+    assert_eq!(node.submit("alert", "m", 7, 16_000, b"x"), 202);
+    endpoint.wait_for_message("m", 1);
     node.kill();
     std::thread::sleep(Duration::from_millis(400));
     node.restart();
-    discovery.wait_notice("m");
+    discovery.wait_for_notice("m");
     settle(&node, &endpoint);
-    assert_eq!(endpoint.wait_for("m", 1).len(), 1);
+    assert_eq!(endpoint.wait_for_message("m", 1).len(), 1);
 }
 
 #[test]
 fn a_kill_after_the_delivery_does_not_repeat_it() {
-    one_call_ends_it_for_good(&Peer::new(|_| ok()), "order");
+    one_call_ends_it_for_good(&FakeServer::new(|_| ok_reply()), "order");
 }
 
 #[test]
 fn what_ran_out_of_time_while_the_sender_was_down_ends_at_once_and_a_notice_is_repeated_until_it_is_answered()
 {
-    let discovery = Discovery::new(json!([closed(7)]));
-    let mut node = Node::start(PROGRAM, &discovery);
-    assert_eq!(node.hand_in("order", "m", 7, 300, b"x"), 202);
+    let discovery = Discovery::new(json!([terminating_instance(7)]));
+    let mut node = SenderProcess::start(PROGRAM, &discovery);
+    assert_eq!(node.submit("order", "m", 7, 300, b"x"), 202);
     node.kill();
     std::thread::sleep(Duration::from_millis(400));
     node.restart();
-    assert_eq!(discovery.wait_notice("m")["outcome"], "handed_back");
+    assert_eq!(discovery.wait_for_notice("m")["outcome"], "handed_back");
 
     // This platform takes notices badly: closed once, then an error, then as it should be.
     let calls = AtomicUsize::new(0);
-    let list = json!({"generation": 1, "reset": true, "instances": [closed(7)]}).to_string();
-    let platform = Peer::new(move |r| match (r.first.starts_with("POST"), calls.load(Ordering::SeqCst)) {
-        (false, _) => answer("200 OK", "", &list),
-        (true, tries) => {
-            calls.fetch_add(1, Ordering::SeqCst);
-            match tries {
-                0 => Reply::Close,
-                1 => answer("500 Error", "", ""),
-                _ => answer("204 No Content", "", ""),
+    let list = json!({"generation": 1, "reset": true, "instances": [terminating_instance(7)]}).to_string();
+    let platform =
+        FakeServer::new(move |r| match (r.start_line.starts_with("POST"), calls.load(Ordering::SeqCst)) {
+            (false, _) => http_reply("200 OK", "", &list),
+            (true, tries) => {
+                calls.fetch_add(1, Ordering::SeqCst);
+                match tries {
+                    0 => Reply::Close,
+                    1 => http_reply("500 Error", "", ""),
+                    _ => http_reply("204 No Content", "", ""),
+                }
             }
-        }
-    });
-    let discovery = Discovery { peer: platform, ..discovery };
-    let node = Node::start(PROGRAM, &discovery);
-    assert_eq!(node.hand_in("order", "n", 7, 300, b"x"), 202);
-    let posts = |s: &[Request]| s.iter().filter(|r| r.first.starts_with("POST")).count();
-    discovery.peer.wait("the notice three times", |s| posts(s) == 3);
+        });
+    let discovery = Discovery { server: platform, ..discovery };
+    let node = SenderProcess::start(PROGRAM, &discovery);
+    assert_eq!(node.submit("order", "n", 7, 300, b"x"), 202);
+    let posts = |s: &[HttpMessage]| s.iter().filter(|r| r.start_line.starts_with("POST")).count();
+    discovery.server.wait_until("the notice three times", |s| posts(s) == 3);
     assert!(discovery.notices().iter().all(|n| n["message"] == "n"));
 }
 
 /// With durability `machine` everything that a round decided waits for a sync, and then happens as ever.
 #[test]
 fn with_durability_machine_messages_are_taken_on_delivered_and_held_over_a_kill() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7), closed(9)]));
-    let mut node = Node::start(PROGRAM, &discovery);
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery =
+        Discovery::new(json!([ready_instance("e-1", endpoint.address, 7), terminating_instance(9)]));
+    let mut node = SenderProcess::start(PROGRAM, &discovery);
     let file = node.folder.join("operator.toml");
     std::fs::write(&file, "[journal]\ndurability = \"machine\"\n").unwrap();
-    node.arguments(&["--operator", file.to_str().unwrap()]);
+    node.set_arguments(&["--operator", file.to_str().unwrap()]);
     node.kill();
     node.restart();
     for i in 0..20 {
-        assert_eq!(node.hand_in("order", &format!("m{i}"), 7, 16_000, b"x"), 202);
-        assert_eq!(node.hand_in("order", &format!("held{i}"), 9, 16_000, b"y"), 202);
+        assert_eq!(node.submit("order", &format!("m{i}"), 7, 16_000, b"x"), 202);
+        assert_eq!(node.submit("order", &format!("held{i}"), 9, 16_000, b"y"), 202);
     }
-    (0..20).for_each(|i| _ = endpoint.wait_for(&format!("m{i}"), 1));
+    (0..20).for_each(|i| _ = endpoint.wait_for_message(&format!("m{i}"), 1));
     settle(&node, &endpoint);
     node.kill();
-    discovery.set(json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 9)]));
+    discovery.set_instances(json!([
+        ready_instance("e-1", endpoint.address, 7),
+        ready_instance("e-2", endpoint.address, 9)
+    ]));
     node.restart();
     for i in 0..20 {
-        assert_eq!(endpoint.wait_for(&format!("held{i}"), 1)[0].body, b"y");
+        assert_eq!(endpoint.wait_for_message(&format!("held{i}"), 1)[0].body, b"y");
     }
-    assert_eq!(node.hand_in("order", "short", 7, 600, b"x"), 202);
-    endpoint.wait_for("short", 1);
-    let seen = endpoint.seen();
-    assert!((0..20).all(|i| seen.iter().filter(|r| r.id() == format!("m{i}")).count() == 1));
+    assert_eq!(node.submit("order", "short", 7, 600, b"x"), 202);
+    endpoint.wait_for_message("short", 1);
+    let seen = endpoint.received();
+    assert!((0..20).all(|i| seen.iter().filter(|r| r.message_id() == format!("m{i}")).count() == 1));
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
     node.terminate();
     assert!(node.wait_exit().success(), "{}", node.log());
@@ -415,42 +424,42 @@
 #[test]
 fn a_misspelt_key_in_the_operators_file_stops_the_start_and_is_named() {
     let discovery = Discovery::new(json!([]));
-    let mut node = Node::start(PROGRAM, &discovery);
+    let mut node = SenderProcess::start(PROGRAM, &discovery);
     let file = node.folder.join("operator.toml");
     std::fs::write(&file, "[journal]\ndurabilty = \"machine\"\n").unwrap();
     node.kill();
-    node.arguments(&["--operator", file.to_str().unwrap()]);
-    let (success, log) = node.start_second();
+    node.set_arguments(&["--operator", file.to_str().unwrap()]);
+    let (success, log) = node.run_second();
     assert!(!success && log.contains("durabilty") && log.contains("durability"), "{log}");
 }
 
 #[test]
 fn a_torn_tail_is_cut_and_what_is_before_it_lives() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([closed(7)]));
-    let mut node = Node::start(PROGRAM, &discovery);
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery = Discovery::new(json!([terminating_instance(7)]));
+    let mut node = SenderProcess::start(PROGRAM, &discovery);
     for id in ["whole", "torn"] {
-        assert_eq!(node.hand_in("order", id, 7, 16_000, &[7; 300]), 202);
+        assert_eq!(node.submit("order", id, 7, 16_000, &[7; 300]), 202);
     }
     node.kill();
     let path = node.segments().pop().unwrap();
     let bytes = std::fs::read(&path).unwrap();
     std::fs::write(&path, &bytes[..bytes.len() - 5]).unwrap();
-    discovery.set(json!([ready("e-1", endpoint.address, 7)]));
+    discovery.set_instances(json!([ready_instance("e-1", endpoint.address, 7)]));
     node.restart();
-    endpoint.wait_for("whole", 1);
+    endpoint.wait_for_message("whole", 1);
     settle(&node, &endpoint);
-    assert!(!endpoint.seen().iter().any(|r| r.id() == "torn"));
+    assert!(!endpoint.received().iter().any(|r| r.message_id() == "torn"));
     // What is written after the cut can be read again.
-    discovery.set(json!([closed(7)]));
-    let seen = discovery.peer.seen().len();
-    discovery.peer.wait("the change to be told", |s| s.len() >= seen + 3);
-    assert_eq!(node.hand_in("order", "later", 7, 16_000, b"x"), 202);
+    discovery.set_instances(json!([terminating_instance(7)]));
+    let seen = discovery.server.received().len();
+    discovery.server.wait_until("the change to be told", |s| s.len() >= seen + 3);
+    assert_eq!(node.submit("order", "later", 7, 16_000, b"x"), 202);
     node.kill();
-    discovery.set(json!([ready("e-1", endpoint.address, 7)]));
+    discovery.set_instances(json!([ready_instance("e-1", endpoint.address, 7)]));
     node.restart();
-    endpoint.wait_for("later", 1);
-    assert_eq!(endpoint.wait_for("whole", 1).len(), 1);
+    endpoint.wait_for_message("later", 1);
+    assert_eq!(endpoint.wait_for_message("whole", 1).len(), 1);
 }
 
 /// The record of an attempt is spoilt, with good records behind it: the attempt is supposed, so an unsafe message is
@@ -458,77 +467,83 @@
 #[test]
 fn a_spoilt_record_of_an_attempt_does_not_let_an_unsafe_message_run_twice() {
     let endpoint = first_then_ok(|| Reply::Hang);
-    let discovery = Discovery::new(json!([closed(7), closed(9)]));
-    let mut node = Node::start(PROGRAM, &discovery);
-    assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
-    let at = |node: &Node| std::fs::metadata(node.segments().pop().unwrap()).unwrap().len() as usize;
+    let discovery = Discovery::new(json!([terminating_instance(7), terminating_instance(9)]));
+    let mut node = SenderProcess::start(PROGRAM, &discovery);
+    assert_eq!(node.submit("order", "m", 7, 16_000, b"x"), 202);
+    let at = |node: &SenderProcess| std::fs::metadata(node.segments().pop().unwrap()).unwrap().len() as usize;
     let begun = at(&node);
-    discovery.set(json!([ready("e-1", endpoint.address, 7), closed(9)]));
-    endpoint.wait_for("m", 1);
+    discovery.set_instances(json!([ready_instance("e-1", endpoint.address, 7), terminating_instance(9)]));
+    endpoint.wait_for_message("m", 1);
     assert!(at(&node) > begun, "the attempt is written down before it is made");
-    assert_eq!(node.hand_in("order", "behind", 9, 16_000, b"y"), 202);
+    assert_eq!(node.submit("order", "behind", 9, 16_000, b"y"), 202);
     node.kill();
     let path = node.segments().pop().unwrap();
     let mut bytes = std::fs::read(&path).unwrap();
     // Behind the head of the frame that holds the attempt.
     bytes[begun + 26] ^= 1;
     std::fs::write(&path, bytes).unwrap();
-    discovery.set(json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 9)]));
+    discovery.set_instances(json!([
+        ready_instance("e-1", endpoint.address, 7),
+        ready_instance("e-2", endpoint.address, 9)
+    ]));
     node.restart();
-    assert_eq!(discovery.wait_notice("m")["outcome"], "given_up");
-    assert_eq!(endpoint.wait_for("behind", 1)[0].body, b"y");
+    assert_eq!(discovery.wait_for_notice("m")["outcome"], "given_up");
+    assert_eq!(endpoint.wait_for_message("behind", 1)[0].body, b"y");
     settle(&node, &endpoint);
-    assert_eq!(endpoint.wait_for("m", 1).len(), 1);
+    assert_eq!(endpoint.wait_for_message("m", 1).len(), 1);
     assert!(node.log().contains("the journal is damaged"), "{}", node.log());
-    assert!(node.state().join("damaged-0000000000000001").exists());
+    assert!(node.state_folder().join("damaged-0000000000000001").exists());
 }
 
 #[test]
 fn a_damaged_journal_is_never_fatal() {
-    let discovery = Discovery::new(json!([closed(7)]));
-    let mut node = Node::start(PROGRAM, &discovery);
+    let discovery = Discovery::new(json!([terminating_instance(7)]));
+    let mut node = SenderProcess::start(PROGRAM, &discovery);
     node.kill();
     let noise: Vec<u8> = (0..5_000u32).map(|i| (i.wrapping_mul(2_654_435_761) >> 13) as u8).collect();
     for name in ["journal", "segment-0000000000000001", "segment-0000000000000007"] {
-        std::fs::write(node.state().join(name), &noise).unwrap();
+        std::fs::write(node.state_folder().join(name), &noise).unwrap();
     }
     node.restart();
-    assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m", 7, 16_000, b"x"), 202);
 }
 
 #[test]
 fn the_journal_is_rewritten_within_its_limit_and_refuses_what_does_not_fit() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7), closed(9)]));
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery =
+        Discovery::new(json!([ready_instance("e-1", endpoint.address, 7), terminating_instance(9)]));
     let limit = 400_000;
-    let mut node = Node::with(PROGRAM, &discovery, json!([]), |c| c["limits"]["disk_mb"] = json!(0.4));
+    let mut node =
+        SenderProcess::start_with(PROGRAM, &discovery, json!([]), |c| c["limits"]["disk_mb"] = json!(0.4));
     // Far more than fits, were nothing dropped.
     for i in 0..60 {
         let id = format!("m{i}");
-        assert_eq!(node.hand_in("alert", &id, 7, 16_000, &[1; 20_000]), 202);
-        endpoint.wait_for(&id, 1);
-        assert!(node.on_disk() <= limit, "{}", node.on_disk());
+        assert_eq!(node.submit("alert", &id, 7, 16_000, &[1; 20_000]), 202);
+        endpoint.wait_for_message(&id, 1);
+        assert!(node.disk_usage() <= limit, "{}", node.disk_usage());
     }
     // And nothing that lives is dropped: these wait for a list that names their destination.
     let mut held = Vec::new();
     loop {
         let id = format!("held{}", held.len());
-        match node.hand_in("order", &id, 9, 16_000, &[2; 20_000]) {
+        match node.submit("order", &id, 9, 16_000, &[2; 20_000]) {
             202 => held.push(id),
             status => break assert_eq!(status, 503),
         }
-        assert!(node.on_disk() <= limit && held.len() < 50, "{}", node.on_disk());
+        assert!(node.disk_usage() <= limit && held.len() < 50, "{}", node.disk_usage());
     }
     assert!(held.len() >= 3, "{}", held.len());
     node.kill();
-    let both = json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 9)]);
-    discovery.set(both);
+    let both =
+        json!([ready_instance("e-1", endpoint.address, 7), ready_instance("e-2", endpoint.address, 9)]);
+    discovery.set_instances(both);
     node.restart();
     for id in &held {
-        assert_eq!(endpoint.wait_for(id, 1)[0].body, [2; 20_000]);
+        assert_eq!(endpoint.wait_for_message(id, 1)[0].body, [2; 20_000]);
     }
-    assert_eq!(node.hand_in("order", "room again", 7, 16_000, b"x"), 202);
-    assert!(node.on_disk() <= limit);
+    assert_eq!(node.submit("order", "room again", 7, 16_000, b"x"), 202);
+    assert!(node.disk_usage() <= limit);
 }
 
 #[test]
@@ -537,29 +552,33 @@
     let gate = std::sync::Mutex::new(gate);
     let arrived = Arc::new(AtomicUsize::new(0));
     let count = arrived.clone();
-    let endpoint = Peer::new(move |_| {
+    let endpoint = FakeServer::new(move |_| {
         count.fetch_add(1, Ordering::SeqCst);
-        let _ = gate.lock().unwrap().recv_timeout(BOUND);
-        ok()
+        let _ = gate.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
+        ok_reply()
     });
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7), closed(9)]));
-    let mut node = Node::start(PROGRAM, &discovery);
-    assert_eq!(node.hand_in("order", "out", 7, 16_000, b"x"), 202);
-    assert_eq!(node.hand_in("order", "held", 9, 16_000, b"x"), 202);
-    node.until("the call is out", || arrived.load(Ordering::SeqCst) == 1);
+    let discovery =
+        Discovery::new(json!([ready_instance("e-1", endpoint.address, 7), terminating_instance(9)]));
+    let mut node = SenderProcess::start(PROGRAM, &discovery);
+    assert_eq!(node.submit("order", "out", 7, 16_000, b"x"), 202);
+    assert_eq!(node.submit("order", "held", 9, 16_000, b"x"), 202);
+    node.wait_until("the call is out", || arrived.load(Ordering::SeqCst) == 1);
     node.terminate();
     // New connections go on coming for a while and are served.
-    assert_eq!(node.hand_in("order", "late", 9, 16_000, b"x"), 202);
+    assert_eq!(node.submit("order", "late", 9, 16_000, b"x"), 202);
     release.send(()).unwrap();
-    endpoint.wait_for("out", 1);
+    endpoint.wait_for_message("out", 1);
     assert!(node.wait_exit().success(), "{}", node.log());
-    discovery.set(json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 9)]));
+    discovery.set_instances(json!([
+        ready_instance("e-1", endpoint.address, 7),
+        ready_instance("e-2", endpoint.address, 9)
+    ]));
     drop(release);
     node.restart();
-    endpoint.wait_for("held", 1);
-    endpoint.wait_for("late", 1);
+    endpoint.wait_for_message("held", 1);
+    endpoint.wait_for_message("late", 1);
     settle(&node, &endpoint);
-    assert_eq!(endpoint.wait_for("out", 1).len(), 1);
+    assert_eq!(endpoint.wait_for_message("out", 1).len(), 1);
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
 
@@ -567,32 +586,33 @@
 fn sigterm_does_not_wait_for_a_call_that_hangs_and_the_next_process_goes_on() {
     let endpoint = first_then_ok(|| Reply::Hang);
     let (discovery, mut node) = one_endpoint(&endpoint);
-    assert_eq!(node.hand_in("order", "hangs", 7, 16_000, b"x"), 202);
-    endpoint.wait_for("hangs", 1);
+    assert_eq!(node.submit("order", "hangs", 7, 16_000, b"x"), 202);
+    endpoint.wait_for_message("hangs", 1);
     node.terminate();
     assert!(node.wait_exit().success());
     node.restart();
-    assert_eq!(discovery.wait_notice("hangs")["outcome"], "given_up");
+    assert_eq!(discovery.wait_for_notice("hangs")["outcome"], "given_up");
 }
 
 #[test]
 fn out_of_sockets_it_turns_clients_away_and_goes_on() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let node = Node::with(PROGRAM, &discovery, json!([]), |c| c["limits"]["sockets"] = json!(64));
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
+    let node =
+        SenderProcess::start_with(PROGRAM, &discovery, json!([]), |c| c["limits"]["sockets"] = json!(64));
     // 40 are left to share: 15 for calls, 23 for clients, two more that are only told to come again.
     let full: Vec<TcpStream> = (0..23).map(|_| TcpStream::connect(node.address).unwrap()).collect();
-    let (status, headers) = node.hand_in_full("alert", "one more", 7, 16_000, b"x");
+    let (status, headers) = node.submit_with_headers("alert", "one more", 7, 16_000, b"x");
     assert_eq!((status, headers.get("connection").map(String::as_str)), (503, Some("close")), "{headers:?}");
     assert!(headers.contains_key("retry-after"));
     drop(full);
-    node.until("there is room again", || node.hand_in("alert", "settle", 7, 16_000, b"x") == 202);
-    endpoint.wait_for("settle", 1);
+    node.wait_until("there is room again", || node.submit("alert", "settle", 7, 16_000, b"x") == 202);
+    endpoint.wait_for_message("settle", 1);
 }
 
 #[test]
 fn a_client_that_leaves_in_the_middle_harms_nothing() {
-    let endpoint = Peer::new(|_| ok());
+    let endpoint = FakeServer::new(|_| ok_reply());
     let (discovery, node) = one_endpoint(&endpoint);
     for part in
         ["PO", "POST /alert HTTP/1.1\r\nHost: x\r\n", "POST /alert HTTP/1.1\r\nContent-Length: 9\r\n\r\nx"]
@@ -601,14 +621,14 @@
         client.write_all(part.as_bytes()).unwrap();
     }
     settle(&node, &endpoint);
-    assert_eq!(endpoint.seen().len(), 1);
+    assert_eq!(endpoint.received().len(), 1);
     assert!(discovery.notices().is_empty());
 }
 
 #[test]
 fn an_idle_sender_ends_after_sigterm() {
     let discovery = Discovery::new(json!([]));
-    let mut node = Node::start(PROGRAM, &discovery);
+    let mut node = SenderProcess::start(PROGRAM, &discovery);
     // A client's idle connection must not hold it up.
     let _idle = TcpStream::connect(node.address).unwrap();
     node.terminate();
@@ -641,7 +661,7 @@
     }
 
     /// Serves from now on, and remembers what is written.
-    fn open(self) -> Peer {
+    fn open(self) -> FakeServer {
         let Slow { runtime, listener, fill, .. } = self;
         for _ in &fill {
             runtime.block_on(listener.accept()).unwrap();
@@ -650,42 +670,44 @@
         let _inside = runtime.enter();
         let listener = listener.into_std().unwrap();
         listener.set_nonblocking(false).unwrap();
-        Peer::on(listener, |_| ok())
+        FakeServer::with_listener(listener, |_| ok_reply())
     }
 }
 
 #[test]
 fn a_drain_met_while_connecting_stops_the_call() {
-    let (slow, other) = (Slow::new(), Peer::new(|_| ok()));
-    let discovery = Discovery::new(json!([ready("e-1", slow.address, 7)]));
+    let (slow, other) = (Slow::new(), FakeServer::new(|_| ok_reply()));
+    let discovery = Discovery::new(json!([ready_instance("e-1", slow.address, 7)]));
     let patient = |c: &mut Value| c["settings"]["Limits"]["DialTimeoutNs"] = json!(20_000_000_000u64);
-    let node = Node::with(PROGRAM, &discovery, json!([]), patient);
+    let node = SenderProcess::start_with(PROGRAM, &discovery, json!([]), patient);
     let address = slow.address;
-    assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
-    discovery
-        .set(json!([instance("e-1", address, 7, "plain", "Terminating"), ready("e-2", other.address, 7)]));
+    assert_eq!(node.submit("order", "m", 7, 16_000, b"x"), 202);
+    discovery.set_instances(json!([
+        instance("e-1", address, 7, "plain", "Terminating"),
+        ready_instance("e-2", other.address, 7)
+    ]));
     // The change has been told once the sender watches on from it; this message can only go to the new one.
-    discovery.peer.wait("the watch to go on", |s| s.iter().any(|r| r.first.contains("index=2")));
+    discovery.server.wait_until("the watch to go on", |s| s.iter().any(|r| r.start_line.contains("index=2")));
     let slow = slow.open();
-    node.until("the connection comes up", || slow.connections() > 0);
-    other.wait_for("m", 1);
-    assert!(slow.seen().is_empty(), "{:?}", slow.seen());
+    node.wait_until("the connection comes up", || slow.connection_count() > 0);
+    other.wait_for_message("m", 1);
+    assert!(slow.received().is_empty(), "{:?}", slow.received());
 }
 
 /// Of a call with several messages whose connection comes up late, one whose time runs out before hears so when it is due.
 #[test]
 fn a_message_whose_time_is_up_while_its_call_is_connecting_is_told_at_once() {
     let slow = Slow::new();
-    let discovery = Discovery::new(json!([closed(7)]));
+    let discovery = Discovery::new(json!([terminating_instance(7)]));
     let patient = |c: &mut Value| c["settings"]["Limits"]["DialTimeoutNs"] = json!(60_000_000_000u64);
-    let node = Node::with(PROGRAM, &discovery, json!([]), patient);
+    let node = SenderProcess::start_with(PROGRAM, &discovery, json!([]), patient);
     for (id, expires) in [("short", 2_000), ("long", 16_000), ("other", 16_000)] {
-        assert_eq!(node.hand_in("order", id, 7, expires, b"x"), 202);
+        assert_eq!(node.submit("order", id, 7, expires, b"x"), 202);
     }
-    discovery.set(json!([instance("e-1", slow.address, 7, "many", "Ready")]));
-    assert_eq!(discovery.wait_notice("short")["outcome"], "handed_back");
+    discovery.set_instances(json!([instance("e-1", slow.address, 7, "many", "Ready")]));
+    assert_eq!(discovery.wait_for_notice("short")["outcome"], "handed_back");
     let slow = slow.open();
-    let seen = slow.wait("the others", |s| s.iter().any(|r| r.first.contains(":batch")));
+    let seen = slow.wait_until("the others", |s| s.iter().any(|r| r.start_line.contains(":batch")));
     let list: Vec<Value> = serde_json::from_slice(&seen[0].body).unwrap();
     let mut ids: Vec<&str> = list.iter().filter_map(|m| m["id"].as_str()).collect();
     ids.sort();
@@ -694,42 +716,45 @@
 
 #[test]
 fn a_wait_met_while_connecting_holds_the_call() {
-    let (slow, other) = (Slow::new(), first_then_ok(|| answer("429 Wait", "Retry-After: 3\r\n", "")));
-    let discovery = Discovery::new(json!([ready("e-1", slow.address, 7), ready("e-2", other.address, 7)]));
+    let (slow, other) = (Slow::new(), first_then_ok(|| http_reply("429 Wait", "Retry-After: 3\r\n", "")));
+    let discovery = Discovery::new(json!([
+        ready_instance("e-1", slow.address, 7),
+        ready_instance("e-2", other.address, 7)
+    ]));
     let patient = |c: &mut Value| c["settings"]["Limits"]["DialTimeoutNs"] = json!(20_000_000_000u64);
-    let node = Node::with(PROGRAM, &discovery, json!([]), patient);
-    assert_eq!(node.hand_in("order", "connecting", 7, 16_000, b"x"), 202);
-    assert_eq!(node.hand_in("order", "told", 7, 16_000, b"x"), 202);
-    let told = other.wait_for("told", 1).remove(0).at;
+    let node = SenderProcess::start_with(PROGRAM, &discovery, json!([]), patient);
+    assert_eq!(node.submit("order", "connecting", 7, 16_000, b"x"), 202);
+    assert_eq!(node.submit("order", "told", 7, 16_000, b"x"), 202);
+    let told = other.wait_for_message("told", 1).remove(0).received_at;
     let slow = slow.open();
-    node.until("the connection comes up", || slow.connections() > 0);
+    node.wait_until("the connection comes up", || slow.connection_count() > 0);
     let calls = |id: &str| {
-        let all = slow.seen().into_iter().chain(other.seen());
-        all.filter(|r| r.id() == id).map(|r| r.at).collect::<Vec<_>>()
+        let all = slow.received().into_iter().chain(other.received());
+        all.filter(|r| r.message_id() == id).map(|r| r.received_at).collect::<Vec<_>>()
     };
-    node.until("both are delivered", || calls("connecting").len() == 1 && calls("told").len() == 2);
+    node.wait_until("both are delivered", || calls("connecting").len() == 1 && calls("told").len() == 2);
     assert!(calls("connecting")[0] - told >= Duration::from_secs(3));
 }
 
 #[test]
 fn a_silent_discovery_leaves_the_old_list_in_force() {
-    let endpoint = Peer::new(|_| ok());
+    let endpoint = FakeServer::new(|_| ok_reply());
     let discovery = Discovery::new(json!([]));
-    discovery.silence();
-    let known = json!([ready("e-1", endpoint.address, 7), closed(8), {"instanceId": "unreadable"}]);
-    let mut node = Node::with(PROGRAM, &discovery, known, |_| {});
-    assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
-    endpoint.wait_for("m", 1);
+    discovery.stop_answering();
+    let known = json!([ready_instance("e-1", endpoint.address, 7), terminating_instance(8), {"instanceId": "unreadable"}]);
+    let mut node = SenderProcess::start_with(PROGRAM, &discovery, known, |_| {});
+    assert_eq!(node.submit("alert", "m", 7, 16_000, b"x"), 202);
+    endpoint.wait_for_message("m", 1);
     // Another destination's endpoint is none of this one's, however few there are.
-    assert_eq!(node.hand_in("alert", "elsewhere", 8, 500, b"x"), 202);
-    assert_eq!(discovery.wait_notice("elsewhere")["outcome"], "handed_back");
-    assert_eq!(endpoint.seen().len(), 1);
+    assert_eq!(node.submit("alert", "elsewhere", 8, 500, b"x"), 202);
+    assert_eq!(discovery.wait_for_notice("elsewhere")["outcome"], "handed_back");
+    assert_eq!(endpoint.received().len(), 1);
     assert!(node.is_running());
 }
 
 #[test]
 fn malformed_input_is_answered_and_harms_nothing() {
-    let endpoint = Peer::new(|_| ok());
+    let endpoint = FakeServer::new(|_| ok_reply());
     let (_discovery, node) = one_endpoint(&endpoint);
     let full = [
         ("X-Trace-Id", "t"),
@@ -749,8 +774,8 @@
         }
         let mut bytes = (text + "\r\n").into_bytes();
         bytes.resize(bytes.len() + length, b'x');
-        let answer = node.ask(&bytes).unwrap_or_else(|| panic!("no answer to {first} {change:?}"));
-        answer.first.split(' ').nth(1).unwrap().parse::<u16>().unwrap()
+        let answer = node.send_request(&bytes).unwrap_or_else(|| panic!("no answer to {first} {change:?}"));
+        answer.start_line.split(' ').nth(1).unwrap().parse::<u16>().unwrap()
     };
     for (name, value) in [
         ("X-Trace-Id", None),
@@ -777,53 +802,56 @@
     assert_eq!(ask("POST /alert", ("", None), (64 << 10) + 1), 413);
     assert_eq!(ask("POST /alert", ("X-Consignee", Some("dest=18446744073709551615")), 1), 404);
     assert_eq!(ask("POST /alert", ("X-Trace-Id", Some("largest")), 64 << 10), 202);
-    assert_eq!(endpoint.wait_for("largest", 1)[0].body.len(), 64 << 10);
+    assert_eq!(endpoint.wait_for_message("largest", 1)[0].body.len(), 64 << 10);
     settle(&node, &endpoint);
 }
 
 #[test]
 fn a_new_configuration_moves_watch_and_notices_and_holds_over_a_restart() {
-    let endpoint = Peer::new(|_| ok());
-    let old = Discovery::new(json!([ready("e-1", endpoint.address, 7), closed(8)]));
-    let mut node = Node::start(PROGRAM, &old);
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let old = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7), terminating_instance(8)]));
+    let mut node = SenderProcess::start(PROGRAM, &old);
     // The old platform reads a notice and never answers it.
-    old.peer.also(|r| r.first.starts_with("POST").then_some(Reply::Hang));
-    assert_eq!(node.hand_in("order", "unanswered", 8, 300, b"x"), 202);
-    old.wait_notice("unanswered");
+    old.server.prepend_script(|r| r.start_line.starts_with("POST").then_some(Reply::Hang));
+    assert_eq!(node.submit("order", "unanswered", 8, 300, b"x"), 202);
+    old.wait_for_notice("unanswered");
 
     // A file that can't be read, or names no address, changes nothing.
     node.reload("{");
-    node.until("the bad file is logged", || node.log().contains("the old configuration is kept"));
-    assert_eq!(node.hand_in("order", "as before", 7, 16_000, b"x"), 202);
-    endpoint.wait_for("as before", 1);
+    node.wait_until("the bad file is logged", || node.log().contains("the old configuration is kept"));
+    assert_eq!(node.submit("order", "as before", 7, 16_000, b"x"), 202);
+    endpoint.wait_for_message("as before", 1);
 
     let new = Discovery::new(json!([]));
-    new.silence();
-    node.config["discovery"] = json!(new.peer.address.to_string());
+    new.stop_answering();
+    node.config["discovery"] = json!(new.server.address.to_string());
     node.reload(&node.config.to_string());
-    let whole = |s: &[Request]| s.iter().filter(|r| r.first == "GET /v1/servers HTTP/1.1").count();
-    new.peer.wait("a whole list asked for at the new address", |s| whole(s) > 0);
+    let whole = |s: &[HttpMessage]| s.iter().filter(|r| r.start_line == "GET /v1/servers HTTP/1.1").count();
+    new.server.wait_until("a whole list asked for at the new address", |s| whole(s) > 0);
     // No list has come from there yet: the old one holds.
-    assert_eq!(node.hand_in("order", "old list", 7, 16_000, b"x"), 202);
-    endpoint.wait_for("old list", 1);
-    assert_eq!(new.wait_notice("unanswered")["outcome"], "handed_back");
-    new.set(json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 9)]));
-    new.speak();
-    node.until("the new list is told", || node.hand_in("order", "new list", 9, 16_000, b"x") == 202);
-    endpoint.wait_for("new list", 1);
+    assert_eq!(node.submit("order", "old list", 7, 16_000, b"x"), 202);
+    endpoint.wait_for_message("old list", 1);
+    assert_eq!(new.wait_for_notice("unanswered")["outcome"], "handed_back");
+    new.set_instances(json!([
+        ready_instance("e-1", endpoint.address, 7),
+        ready_instance("e-2", endpoint.address, 9)
+    ]));
+    new.resume_answering();
+    node.wait_until("the new list is told", || node.submit("order", "new list", 9, 16_000, b"x") == 202);
+    endpoint.wait_for_message("new list", 1);
 
     // The environment still names the old address.
     node.kill();
-    let (before, asked) = (old.peer.connections(), whole(&new.peer.seen()));
+    let (before, asked) = (old.server.connection_count(), whole(&new.server.received()));
     node.restart();
-    new.peer.wait("a whole list after the restart", |s| whole(s) > asked);
-    assert_eq!(old.peer.connections(), before);
+    new.server.wait_until("a whole list after the restart", |s| whole(s) > asked);
+    assert_eq!(old.server.connection_count(), before);
 }
 
 /// What the sender sends back on a new connection until it closes it; None if that does not come.
-fn all_of(node: &Node, bytes: &[u8]) -> Option<String> {
+fn all_of(node: &SenderProcess, bytes: &[u8]) -> Option<String> {
     let mut stream = TcpStream::connect(node.address).unwrap();
-    stream.set_read_timeout(Some(BOUND)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(bytes).unwrap();
     let mut answer = Vec::new();
     let end = stream.read_to_end(&mut answer);
@@ -842,7 +870,7 @@
 /// No byte behind a request whose length is in doubt may be read as another request.
 #[test]
 fn a_request_hidden_in_another_is_never_sent_on() {
-    let endpoint = Peer::new(|_| ok());
+    let endpoint = FakeServer::new(|_| ok_reply());
     let (_discovery, node) = one_endpoint(&endpoint);
     let hidden = message("hidden", "Content-Length: 1\r\n") + "h";
     let (length, chunks) =
@@ -860,52 +888,53 @@
     let bytes = message("outer", "Content-Length: 70000\r\n") + &hidden;
     assert!(all_of(&node, bytes.as_bytes()).expect("closed").starts_with("HTTP/1.1 413"));
     settle(&node, &endpoint);
-    assert_eq!(endpoint.seen().len(), 1);
+    assert_eq!(endpoint.received().len(), 1);
 }
 
 #[test]
 fn what_is_silent_or_never_ends_is_closed() {
-    let endpoint = Peer::new(|_| ok());
+    let endpoint = FakeServer::new(|_| ok_reply());
     let (_discovery, node) = one_endpoint(&endpoint);
     let endless = "POST /alert HTTP/1.1\r\n".to_string() + &"X-More: x\r\n".repeat(9_000);
     for bytes in ["", "PO", &message("m", "Content-Length: 9\r\n"), &endless, &"x".repeat(100_000)] {
         assert!(all_of(&node, bytes.as_bytes()).is_some(), "{}", &bytes[..bytes.len().min(40)]);
     }
     settle(&node, &endpoint);
-    assert_eq!(endpoint.seen().len(), 1);
+    assert_eq!(endpoint.received().len(), 1);
 }
 
 /// Clients that ask once and keep their connections don't keep others out.
 #[test]
 fn connections_that_ask_once_and_stay_take_no_place_from_others() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
     // 23 places for clients; past three quarters of them an answer ends its connection.
-    let node = Node::with(PROGRAM, &discovery, json!([]), |c| c["limits"]["sockets"] = json!(64));
+    let node =
+        SenderProcess::start_with(PROGRAM, &discovery, json!([]), |c| c["limits"]["sockets"] = json!(64));
     let kept: Vec<TcpStream> = (0..17)
         .map(|i| {
             let mut stream = TcpStream::connect(node.address).unwrap();
             stream.write_all((message(&format!("m{i}"), "Content-Length: 1\r\n") + "x").as_bytes()).unwrap();
-            endpoint.wait_for(&format!("m{i}"), 1);
+            endpoint.wait_for_message(&format!("m{i}"), 1);
             stream
         })
         .collect();
     for i in 0..20 {
-        let (status, headers) = node.hand_in_full("alert", &format!("n{i}"), 7, 16_000, b"x");
+        let (status, headers) = node.submit_with_headers("alert", &format!("n{i}"), 7, 16_000, b"x");
         assert_eq!((status, headers.get("connection").map(String::as_str)), (202, Some("close")));
     }
     // Silent ones take all places: the one that has stood longest without a request goes.
     let _silent: Vec<TcpStream> = (0..6).map(|_| TcpStream::connect(node.address).unwrap()).collect();
-    node.until("there is a place", || node.hand_in("alert", "settle", 7, 16_000, b"x") == 202);
+    node.wait_until("there is a place", || node.submit("alert", "settle", 7, 16_000, b"x") == 202);
     let mut last = &kept[16];
     last.write_all((message("again", "Content-Length: 1\r\nConnection: close\r\n") + "x").as_bytes())
         .unwrap();
-    endpoint.wait_for("again", 1);
+    endpoint.wait_for_message("again", 1);
     assert_eq!(all_read(last).matches("HTTP/1.1 202").count(), 2);
 }
 
 fn all_read(mut stream: &TcpStream) -> String {
-    stream.set_read_timeout(Some(BOUND)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
     answer
@@ -914,38 +943,39 @@
 /// The id of an open message with other contents is another message: neither is disturbed.
 #[test]
 fn an_open_id_from_another_client_is_a_conflict_and_a_deadline_is_held_to_its_class() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([closed(7)]));
-    let node = Node::with(PROGRAM, &discovery, json!([]), |c| {
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery = Discovery::new(json!([terminating_instance(7)]));
+    let node = SenderProcess::start_with(PROGRAM, &discovery, json!([]), |c| {
         c["settings"]["Services"][1]["DeadlineNs"] = json!(300_000_000u64);
     });
-    assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"mine"), 202);
-    assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"other"), 409);
-    assert_eq!(node.hand_in("order", "m", 7, 16_000, b"mine"), 409);
-    assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"mine"), 202);
-    assert_eq!(node.hand_in("order", "long", 7, 4_000_000_000, b"x"), 202);
-    assert_eq!(discovery.wait_notice("long")["outcome"], "handed_back");
-    discovery.set(json!([ready("e-1", endpoint.address, 7)]));
-    assert_eq!(endpoint.wait_for("m", 1)[0].body, b"mine");
+    assert_eq!(node.submit("alert", "m", 7, 16_000, b"mine"), 202);
+    assert_eq!(node.submit("alert", "m", 7, 16_000, b"other"), 409);
+    assert_eq!(node.submit("order", "m", 7, 16_000, b"mine"), 409);
+    assert_eq!(node.submit("alert", "m", 7, 16_000, b"mine"), 202);
+    assert_eq!(node.submit("order", "long", 7, 4_000_000_000, b"x"), 202);
+    assert_eq!(discovery.wait_for_notice("long")["outcome"], "handed_back");
+    discovery.set_instances(json!([ready_instance("e-1", endpoint.address, 7)]));
+    assert_eq!(endpoint.wait_for_message("m", 1)[0].body, b"mine");
     settle(&node, &endpoint);
-    assert_eq!(endpoint.wait_for("m", 1).len(), 1);
+    assert_eq!(endpoint.wait_for_message("m", 1).len(), 1);
 }
 
 /// Large bodies are bounded by the memory limit, and never keep the usual messages out.
 #[test]
 fn bodies_are_held_to_a_budget_of_memory() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([closed(7)]));
-    let node = Node::with(PROGRAM, &discovery, json!([]), |c| c["limits"]["memory_mb"] = json!(5));
-    let large = |i: u32| node.hand_in_full("alert", &format!("large{i}"), 7, 16_000, &[1; 60_000]);
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery = Discovery::new(json!([terminating_instance(7)]));
+    let node =
+        SenderProcess::start_with(PROGRAM, &discovery, json!([]), |c| c["limits"]["memory_mb"] = json!(5));
+    let large = |i: u32| node.submit_with_headers("alert", &format!("large{i}"), 7, 16_000, &[1; 60_000]);
     let refused = (0..40).map(large).find(|(status, _)| *status != 202).expect("a bound");
     assert_eq!(refused.0, 503);
     assert!(refused.1.contains_key("retry-after"));
-    assert_eq!(node.hand_in("alert", "small", 7, 16_000, b"x"), 202);
-    discovery.set(json!([ready("e-1", endpoint.address, 7)]));
-    endpoint.wait_for("small", 1);
+    assert_eq!(node.submit("alert", "small", 7, 16_000, b"x"), 202);
+    discovery.set_instances(json!([ready_instance("e-1", endpoint.address, 7)]));
+    endpoint.wait_for_message("small", 1);
     // What ends gives its bytes back.
-    node.until("there is room again", || large(99).0 == 202);
+    node.wait_until("there is room again", || large(99).0 == 202);
 }
 
 /// A first line with 200 is true for a call with one message, whatever follows; else it may have run.
@@ -965,16 +995,16 @@
     for (text, delivered) in rows {
         let endpoint = first_then_ok(move || Reply::Bytes(text.to_string()));
         let (discovery, node) = one_endpoint(&endpoint);
-        assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
+        assert_eq!(node.submit("order", "m", 7, 16_000, b"x"), 202);
         if delivered {
-            endpoint.wait_for("m", 1);
+            endpoint.wait_for_message("m", 1);
         } else {
-            assert_eq!(discovery.wait_notice("m")["outcome"], "given_up", "{text}");
+            assert_eq!(discovery.wait_for_notice("m")["outcome"], "given_up", "{text}");
         }
         // The connection is of no further use.
-        node.until("it is closed", || endpoint.has_ended(0));
+        node.wait_until("it is closed", || endpoint.is_connection_closed(0));
         settle(&node, &endpoint);
-        assert_eq!(endpoint.wait_for("m", 1).len(), 1, "{text}");
+        assert_eq!(endpoint.wait_for_message("m", 1).len(), 1, "{text}");
         assert_eq!(discovery.notices().len(), usize::from(!delivered), "{text}");
     }
 }
@@ -983,18 +1013,20 @@
 fn what_comes_behind_a_good_answer_is_never_the_answer_to_the_next_call() {
     let good = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     for more in [good, "noise", "HTTP/1.1 200 OK\r\n"] {
-        let endpoint = Peer::new(|_| ok());
-        endpoint.also(move |r| (r.id() == "first").then(|| Reply::Bytes(good.to_string() + more)));
+        let endpoint = FakeServer::new(|_| ok_reply());
+        endpoint.prepend_script(move |r| {
+            (r.message_id() == "first").then(|| Reply::Bytes(good.to_string() + more))
+        });
         let (discovery, node) = one_endpoint(&endpoint);
         let calls = AtomicUsize::new(0);
-        endpoint.also(move |r| {
-            let busy = r.id() == "second" && calls.fetch_add(1, Ordering::SeqCst) == 0;
-            busy.then(|| answer("503 Full", "", ""))
+        endpoint.prepend_script(move |r| {
+            let busy = r.message_id() == "second" && calls.fetch_add(1, Ordering::SeqCst) == 0;
+            busy.then(|| http_reply("503 Full", "", ""))
         });
-        assert_eq!(node.hand_in("order", "first", 7, 16_000, b"x"), 202);
-        endpoint.wait_for("first", 1);
-        assert_eq!(node.hand_in("order", "second", 7, 16_000, b"x"), 202);
-        let calls = endpoint.wait_for("second", 2);
+        assert_eq!(node.submit("order", "first", 7, 16_000, b"x"), 202);
+        endpoint.wait_for_message("first", 1);
+        assert_eq!(node.submit("order", "second", 7, 16_000, b"x"), 202);
+        let calls = endpoint.wait_for_message("second", 2);
         assert_ne!(calls[0].connection, 0, "{more}");
         assert!(discovery.notices().is_empty(), "{more}");
     }
@@ -1002,8 +1034,8 @@
 
 #[test]
 fn of_a_batch_only_a_whole_answer_counts() {
-    let endpoint = first_then_ok(|| answer("429 Wait", "Retry-After: 1.5\r\n", ""));
-    endpoint.also(|request| {
+    let endpoint = first_then_ok(|| http_reply("429 Wait", "Retry-After: 1.5\r\n", ""));
+    endpoint.prepend_script(|request| {
         let cut = |ends: String| {
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", ends.len() + 1);
             Reply::Bytes(head + &ends)
@@ -1011,15 +1043,15 @@
         all_done(request).map(cut)
     });
     let discovery = Discovery::new(json!([instance("e-1", endpoint.address, 7, "many", "Ready")]));
-    let node = Node::start(PROGRAM, &discovery);
-    assert_eq!(node.hand_in("order", "0", 7, 16_000, b"0"), 202);
-    endpoint.wait_for("0", 1);
+    let node = SenderProcess::start(PROGRAM, &discovery);
+    assert_eq!(node.submit("order", "0", 7, 16_000, b"0"), 202);
+    endpoint.wait_for_message("0", 1);
     for id in ["1", "2"] {
-        assert_eq!(node.hand_in("order", id, 7, 16_000, b"x"), 202);
+        assert_eq!(node.submit("order", id, 7, 16_000, b"x"), 202);
     }
-    endpoint.wait("a batch", |seen| seen.iter().any(|r| r.first.contains(":batch")));
+    endpoint.wait_until("a batch", |seen| seen.iter().any(|r| r.start_line.contains(":batch")));
     for id in ["1", "2"] {
-        assert_eq!(discovery.wait_notice(id)["outcome"], "given_up");
+        assert_eq!(discovery.wait_for_notice(id)["outcome"], "given_up");
     }
 }
 
@@ -1027,28 +1059,30 @@
 fn reports_that_make_no_sense_are_ignored_and_a_long_wait_binds() {
     let reports = ["x0=NaN, x1=inf", "x0=-1, x1=-5", "x0=0.5", "x1=", "x0=0.5, x1=1e999", "\u{7f}"];
     let calls = AtomicUsize::new(0);
-    let endpoint = Peer::new(move |r| {
+    let endpoint = FakeServer::new(move |r| {
         let report = reports[calls.fetch_add(1, Ordering::SeqCst) % reports.len()];
-        match r.id() {
-            "long" => answer("429 Wait", "Retry-After: 90000000000\r\n", ""),
-            _ => {
-                answer("200 OK", &format!("Retry-After: NaN\r\nEndpoint-Load-Metrics: TEXT {report}\r\n"), "")
-            }
+        match r.message_id() {
+            "long" => http_reply("429 Wait", "Retry-After: 90000000000\r\n", ""),
+            _ => http_reply(
+                "200 OK",
+                &format!("Retry-After: NaN\r\nEndpoint-Load-Metrics: TEXT {report}\r\n"),
+                "",
+            ),
         }
     });
     let (discovery, mut node) = one_endpoint(&endpoint);
     for i in 0..2 * reports.len() {
         let id = format!("m{i}");
-        assert_eq!(node.hand_in("alert", &id, 7, 16_000, b"x"), 202);
-        endpoint.wait_for(&id, 1);
+        assert_eq!(node.submit("alert", &id, 7, 16_000, b"x"), 202);
+        endpoint.wait_for_message(&id, 1);
     }
-    assert_eq!(node.hand_in("alert", "long", 7, 1_000, b"x"), 202);
-    endpoint.wait_for("long", 1);
-    assert_eq!(node.hand_in("alert", "after", 7, 1_000, b"x"), 202);
+    assert_eq!(node.submit("alert", "long", 7, 1_000, b"x"), 202);
+    endpoint.wait_for_message("long", 1);
+    assert_eq!(node.submit("alert", "after", 7, 1_000, b"x"), 202);
     for id in ["long", "after"] {
-        assert_eq!(discovery.wait_notice(id)["outcome"], "handed_back");
+        assert_eq!(discovery.wait_for_notice(id)["outcome"], "handed_back");
     }
-    assert!(!endpoint.seen().iter().any(|r| r.id() == "after"));
+    assert!(!endpoint.received().iter().any(|r| r.message_id() == "after"));
     assert!(node.is_running());
 }
 
@@ -1057,16 +1091,20 @@
 fn resets_of_kept_connections_are_no_outage() {
     let used = std::sync::Mutex::new(std::collections::HashSet::new());
     let endpoint =
-        Peer::new(move |r| if used.lock().unwrap().insert(r.connection) { ok() } else { Reply::Close });
+        FakeServer::new(
+            move |r| if used.lock().unwrap().insert(r.connection) { ok_reply() } else { Reply::Close },
+        );
     let (discovery, node) = one_endpoint(&endpoint);
     for i in 0..8 {
         let id = format!("m{i}");
-        assert_eq!(node.hand_in("alert", &id, 7, 16_000, b"x"), 202);
+        assert_eq!(node.submit("alert", &id, 7, 16_000, b"x"), 202);
         // The first request on a connection is the one that is answered.
-        let fresh =
-            |seen: &[Request], r: &Request| !seen.iter().any(|o| o.connection == r.connection && o.at < r.at);
-        endpoint.wait(&id, |seen| seen.iter().any(|r| r.id() == id && fresh(seen, r)));
-        let mut connections: Vec<_> = endpoint.wait_for(&id, 1).iter().map(|r| r.connection).collect();
+        let fresh = |seen: &[HttpMessage], r: &HttpMessage| {
+            !seen.iter().any(|o| o.connection == r.connection && o.received_at < r.received_at)
+        };
+        endpoint.wait_until(&id, |seen| seen.iter().any(|r| r.message_id() == id && fresh(seen, r)));
+        let mut connections: Vec<_> =
+            endpoint.wait_for_message(&id, 1).iter().map(|r| r.connection).collect();
         let calls = connections.len();
         connections.dedup();
         assert_eq!(connections.len(), calls);
--- a/crates/tools/nickelshed-quickstart/src/main.rs
+++ b/crates/tools/nickelshed-quickstart/src/main.rs
@@ -5,7 +5,7 @@
 use nickelshed_config::sidecar::EndpointForm;
 use nickelshed_config::{load, write, Sidecar};
 use nickelshed_journal::Folder;
-use nickelshed_testkit::{answer, ask, ok, Peer, Reply, Request};
+use nickelshed_testkit::{http_reply, ok_reply, send_request, FakeServer, HttpMessage, Reply};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::fs::{self, File};
@@ -79,32 +79,32 @@
 }
 
 /// An endpoint of a customer system. Number 2 fails the first try of each alert, number 3 takes nothing.
-fn stand_in(name: &str, number: u64, listener: TcpListener, seen: Seen) -> Peer {
+fn stand_in(name: &str, number: u64, listener: TcpListener, seen: Seen) -> FakeServer {
     let name = name.to_string();
-    Peer::on(listener, move |request: &Request| -> Reply {
-        let id = request.id();
+    FakeServer::with_listener(listener, move |request: &HttpMessage| -> Reply {
+        let id = request.message_id();
         let fails = number == 2 && seen.of(id).0 == 0;
         seen.note(id, !fails && number != 3);
         match number {
             _ if fails => {
                 say(&format!("  {name:16} got {id}, and answers 500: it may have run"));
-                answer("500 Internal Server Error", "", "")
+                http_reply("500 Internal Server Error", "", "")
             }
             3 => {
                 say(&format!("  {name:16} got {id}, and answers 503: it is shut"));
-                answer("503 Service Unavailable", "", "")
+                http_reply("503 Service Unavailable", "", "")
             }
             _ => {
                 let body = String::from_utf8_lossy(&request.body);
                 say(&format!("  {name:16} got {id}, and takes it: {body}"));
-                ok()
+                ok_reply()
             }
         }
     })
 }
 
 /// The example with addresses that are free here, and stand-ins at those of its customer systems.
-fn set_up(folder: &Path, seen: &Seen) -> Result<(Sidecar, PathBuf, Vec<Peer>), Failed> {
+fn set_up(folder: &Path, seen: &Seen) -> Result<(Sidecar, PathBuf, Vec<FakeServer>), Failed> {
     let mut sidecar = load(EXAMPLE.as_bytes()).sound().map_err(|_| "the example is not sound")?;
     let mut peers = Vec::new();
     for destination in &mut sidecar.destinations {
@@ -134,8 +134,8 @@
         .spawn()?;
     let mut running = Running(child);
     let until = Instant::now() + PATIENCE;
-    while !ask(listen, b"GET /healthz HTTP/1.1\r\nHost: sidecar\r\n\r\n")
-        .is_some_and(|a| a.first.contains(" 200"))
+    while !send_request(listen, b"GET /healthz HTTP/1.1\r\nHost: sidecar\r\n\r\n")
+        .is_some_and(|a| a.start_line.contains(" 200"))
     {
         if running.0.try_wait()?.is_some() || Instant::now() > until {
             return Err(format!("the sidecar did not start; see {}", log.display()).into());
@@ -161,8 +161,8 @@
          Content-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    let answer = ask(listen, bytes.as_bytes()).ok_or("the sidecar does not answer")?;
-    let status = answer.first.split_once(' ').map_or("", |(_, status)| status);
+    let answer = send_request(listen, bytes.as_bytes()).ok_or("the sidecar does not answer")?;
+    let status = answer.start_line.split_once(' ').map_or("", |(_, status)| status);
     say(&format!("{id}: handed in for {number}, answered {status}"));
     Ok(())
 }
