--- a/crates/proof/nickelshed-testkit/src/disk.rs
+++ b/crates/proof/nickelshed-testkit/src/disk.rs
@@ -1,29 +1,32 @@
-//! A folder in memory whose every operation can be made to fail, be cut short, or be the last one; and what is left
-//! of it when the process or the machine is lost.
+//! An in-memory implementation of the journal's storage with fault injection. Each operation can be made to
+//! fail, to be done in part, or to be the last one of the process. A simulated power loss drops a random part
+//! of the changes that have not been synced.
 use nickelshed_journal::{Handle, Storage};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex};
 
-/// What goes wrong.
+/// A fault to inject into one operation, or into all operations from one on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process ends in this operation. Of a write, this part (in 256ths) has been done.
+    /// The process ends during this operation. The number is the part of it, in 256ths, that has been done: a
+    /// write stores that part of its bytes, any other operation is done at 256 and not done below that.
     Crash(u16),
-    /// This operation fails; of a write, this part (in 256ths) has been done.
+    /// This operation fails. The number is the part of it, in 256ths, that has been done, as for `Crash`.
     Fail(u16, io::ErrorKind),
-    /// Like `Fail`, with all operations after it that change anything, until it is lifted.
+    /// From this operation on, every operation that changes files or names fails and does nothing, until the
+    /// fault is cleared.
     FailChangesFrom(io::ErrorKind),
 }
 
 #[derive(Default)]
 struct Inode {
-    /// As every process sees it.
-    seen: Vec<u8>,
-    /// As it is on the medium.
-    kept: Vec<u8>,
-    /// Not synced yet, in order.
-    pending: Vec<Change>,
+    /// Contents that processes read.
+    visible: Vec<u8>,
+    /// Contents that survive a power loss.
+    durable: Vec<u8>,
+    /// Changes since the last sync, in order.
+    unsynced: Vec<Change>,
 }
 
 #[derive(Clone)]
@@ -36,19 +39,20 @@
 struct State {
     inodes: Vec<Inode>,
     names: BTreeMap<String, usize>,
-    kept_names: BTreeMap<String, usize>,
-    /// Names changed since the folder's last sync: what each leads to now. A group is one operation.
-    pending: Vec<Vec<(String, Option<usize>)>>,
+    durable_names: BTreeMap<String, usize>,
+    /// Names changed since the folder's last sync, each with its new inode or `None` if it was removed. The
+    /// inner list holds the changes of one operation, which a power loss keeps or drops together.
+    unsynced_names: Vec<Vec<(String, Option<usize>)>>,
     locked: bool,
     operations: u64,
     fault: Option<(u64, Fault)>,
-    dead: bool,
-    /// Bytes that all files together may take.
+    process_ended: bool,
+    /// Limit on the bytes of all files together.
     capacity: u64,
     trace: Vec<&'static str>,
 }
 
-/// A number of an open file; `None` is the folder.
+/// Handle of an open file, or of the folder if `inode` is `None`.
 #[derive(Clone)]
 pub struct File {
     state: Arc<Mutex<State>>,
@@ -66,44 +70,46 @@
     }
 }
 
-enum Go {
-    On,
-    /// So many 256ths of it are done, and then this.
-    Part(u16, io::Error),
+enum Progress {
+    Complete,
+    /// The operation stops with this error after the given part of it, in 256ths, is done.
+    Partial(u16, io::Error),
 }
 
-fn died() -> io::Error {
+fn process_ended_error() -> io::Error {
     io::Error::other("the process has ended")
 }
 
 impl State {
-    /// Counts an operation and says how it goes.
-    fn begin(&mut self, what: &'static str, changes: bool) -> io::Result<Go> {
-        if self.dead {
-            return Err(died());
+    /// Counts an operation, records it in the trace and returns how far it gets under the injected fault.
+    fn begin_operation(&mut self, operation: &'static str, is_change: bool) -> io::Result<Progress> {
+        if self.process_ended {
+            return Err(process_ended_error());
         }
         let number = self.operations;
         self.operations += 1;
-        self.trace.push(what);
+        self.trace.push(operation);
         match self.fault {
-            Some((at, Fault::Crash(part))) if at == number => {
-                self.dead = true;
-                Ok(Go::Part(part, died()))
+            Some((at, Fault::Crash(done_256ths))) if at == number => {
+                self.process_ended = true;
+                Ok(Progress::Partial(done_256ths, process_ended_error()))
             }
-            Some((at, Fault::Fail(part, kind))) if at == number => Ok(Go::Part(part, kind.into())),
-            Some((at, Fault::FailChangesFrom(kind))) if at <= number && changes => {
-                Ok(Go::Part(0, kind.into()))
+            Some((at, Fault::Fail(done_256ths, kind))) if at == number => {
+                Ok(Progress::Partial(done_256ths, kind.into()))
             }
-            _ => Ok(Go::On),
+            Some((at, Fault::FailChangesFrom(kind))) if at <= number && is_change => {
+                Ok(Progress::Partial(0, kind.into()))
+            }
+            _ => Ok(Progress::Complete),
         }
     }
 
-    fn whole(&mut self, what: &'static str, changes: bool) -> io::Result<()> {
-        match self.begin(what, changes)? {
-            Go::On => Ok(()),
-            // These are done or not, never in part.
-            Go::Part(part, error) => {
-                if part < 256 {
+    fn run_atomic_operation(&mut self, operation: &'static str, is_change: bool) -> io::Result<()> {
+        match self.begin_operation(operation, is_change)? {
+            Progress::Complete => Ok(()),
+            // Only writes can be done in part; all other operations are done completely or not at all.
+            Progress::Partial(done_256ths, error) => {
+                if done_256ths < 256 {
                     return Err(error);
                 }
                 Ok(())
@@ -111,25 +117,25 @@
         }
     }
 
-    fn used(&self) -> u64 {
-        self.names.values().map(|&i| self.inodes[i].seen.len() as u64).sum()
+    fn used_bytes(&self) -> u64 {
+        self.names.values().map(|&i| self.inodes[i].visible.len() as u64).sum()
     }
 
-    fn rename(&mut self, changes: &[(&str, Option<usize>)]) {
+    fn change_names(&mut self, changes: &[(&str, Option<usize>)]) {
         let changes: Vec<_> = changes.iter().map(|(name, to)| (name.to_string(), *to)).collect();
-        changes.iter().for_each(|change| lead(&mut self.names, change));
-        self.pending.push(changes);
+        changes.iter().for_each(|change| apply_name_change(&mut self.names, change));
+        self.unsynced_names.push(changes);
     }
 }
 
-fn lead(names: &mut BTreeMap<String, usize>, (name, to): &(String, Option<usize>)) {
+fn apply_name_change(names: &mut BTreeMap<String, usize>, (name, to): &(String, Option<usize>)) {
     match to {
         Some(inode) => _ = names.insert(name.clone(), *inode),
         None => _ = names.remove(name),
     }
 }
 
-fn apply(bytes: &mut Vec<u8>, change: &Change) {
+fn apply_change(bytes: &mut Vec<u8>, change: &Change) {
     match change {
         Change::Write(offset, written) => {
             let end = *offset as usize + written.len();
@@ -142,7 +148,7 @@
     }
 }
 
-const SECTOR: usize = 512;
+const SECTOR_BYTES: usize = 512;
 
 impl Disk {
     pub fn new() -> Disk {
@@ -154,10 +160,11 @@
         self.state.lock().unwrap()
     }
 
-    /// Lets the operation of this number, counted from now, go wrong.
-    pub fn inject_fault(&self, after: u64, fault: Fault) {
+    /// Injects a fault into the operation that follows after `operations_from_now` others. Replaces an
+    /// earlier fault.
+    pub fn inject_fault(&self, operations_from_now: u64, fault: Fault) {
         let mut state = self.state();
-        state.fault = Some((state.operations + after, fault));
+        state.fault = Some((state.operations + operations_from_now, fault));
     }
 
     pub fn clear_fault(&self) {
@@ -168,66 +175,70 @@
         self.state().operations
     }
 
-    /// What the operations so far were.
+    /// Names of all operations so far, in order.
     pub fn trace(&self) -> Vec<&'static str> {
         self.state().trace.clone()
     }
 
     pub fn has_crashed(&self) -> bool {
-        self.state().dead
+        self.state().process_ended
     }
 
-    /// Bytes that all files together may take from now on.
+    /// Sets the limit on the bytes of all files together.
     pub fn set_capacity(&self, bytes: u64) {
         self.state().capacity = bytes;
     }
 
     pub fn used_bytes(&self) -> u64 {
-        self.state().used()
+        self.state().used_bytes()
     }
 
-    /// The process has ended; what it wrote is all there.
+    /// Simulates a restart of the process: all changes that it made are kept, synced or not. Clears the fault
+    /// and the lock.
     pub fn restart_process(&self) {
         let mut state = self.state();
-        (state.dead, state.locked, state.fault) = (false, false, None);
+        (state.process_ended, state.locked, state.fault) = (false, false, None);
     }
 
-    /// The machine was lost: of what was not synced any part may be there, in sectors and in any order.
+    /// Simulates a power loss: each unsynced change may be kept or lost, independently of earlier ones; of a
+    /// write, each sector.
     pub fn lose_power(&self, random: &mut fastrand::Rng) {
         let mut state = self.state();
         let state = &mut *state;
         for inode in &mut state.inodes {
-            // Often nothing or all of it, as real disks have it.
-            let mood = random.u8(..4);
-            for change in std::mem::take(&mut inode.pending) {
+            // Real disks often lose all unsynced changes of a file or none: 0 drops all, 1 keeps all, 2 and 3
+            // draw for each sector.
+            let loss = random.u8(..4);
+            for change in std::mem::take(&mut inode.unsynced) {
                 match change {
                     Change::Write(offset, bytes) => {
                         let mut at = 0;
                         while at < bytes.len() {
-                            let next = (at + SECTOR - (offset as usize + at) % SECTOR).min(bytes.len());
-                            if mood == 1 || (mood > 1 && random.bool()) {
-                                let part = Change::Write(offset + at as u64, bytes[at..next].to_vec());
-                                apply(&mut inode.kept, &part);
+                            let next =
+                                (at + SECTOR_BYTES - (offset as usize + at) % SECTOR_BYTES).min(bytes.len());
+                            if loss == 1 || (loss > 1 && random.bool()) {
+                                let sector = Change::Write(offset + at as u64, bytes[at..next].to_vec());
+                                apply_change(&mut inode.durable, &sector);
                             }
                             at = next;
                         }
                     }
-                    length => {
-                        if mood == 1 || (mood > 1 && random.bool()) {
-                            apply(&mut inode.kept, &length);
+                    length_change => {
+                        if loss == 1 || (loss > 1 && random.bool()) {
+                            apply_change(&mut inode.durable, &length_change);
                         }
                     }
                 }
             }
-            inode.seen = inode.kept.clone();
+            inode.visible = inode.durable.clone();
         }
-        for changes in std::mem::take(&mut state.pending) {
+        for changes in std::mem::take(&mut state.unsynced_names) {
             if random.bool() {
-                changes.iter().for_each(|change| lead(&mut state.kept_names, change));
+                changes.iter().for_each(|change| apply_name_change(&mut state.durable_names, change));
             }
         }
-        state.names = state.kept_names.clone();
-        (state.dead, state.locked, state.fault) = (false, false, None);
+        state.names = state.durable_names.clone();
+        (state.process_ended, state.locked, state.fault) = (false, false, None);
     }
 
     pub fn file_names(&self) -> Vec<String> {
@@ -236,19 +247,19 @@
 
     pub fn file_bytes(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.state();
-        state.names.get(name).map(|&i| state.inodes[i].seen.clone())
+        state.names.get(name).map(|&i| state.inodes[i].visible.clone())
     }
 
-    /// Puts a file there, for good.
+    /// Adds a file whose name and contents are already durable.
     pub fn put_durable(&self, name: &str, bytes: &[u8]) {
         let mut state = self.state();
         let inode = state.inodes.len();
-        state.inodes.push(Inode { seen: bytes.to_vec(), kept: bytes.to_vec(), pending: Vec::new() });
+        state.inodes.push(Inode { visible: bytes.to_vec(), durable: bytes.to_vec(), unsynced: Vec::new() });
         state.names.insert(name.to_string(), inode);
-        state.kept_names.insert(name.to_string(), inode);
+        state.durable_names.insert(name.to_string(), inode);
     }
 
-    /// A second folder with the same files.
+    /// Returns an independent disk with the same files, all durable.
     pub fn copy(&self) -> Disk {
         let copy = Disk::new();
         for name in self.file_names() {
@@ -262,23 +273,24 @@
     fn sync(&self) -> io::Result<()> {
         let mut state = self.state.lock().unwrap();
         let state = &mut *state;
-        match (self.inode, state.begin("sync", true)?) {
-            (_, Go::Part(part, error)) if part < 256 => {
-                // As Linux has it: what could not be written counts as clean from now on, and is lost.
-                if let Some(inode) = self.inode.filter(|_| !state.dead) {
-                    state.inodes[inode].pending.clear();
+        match (self.inode, state.begin_operation("sync", true)?) {
+            (_, Progress::Partial(done_256ths, error)) if done_256ths < 256 => {
+                // Linux marks pages as clean after a failed write-back, so a later sync succeeds without
+                // having written them: the changes are lost at a power loss.
+                if let Some(inode) = self.inode.filter(|_| !state.process_ended) {
+                    state.inodes[inode].unsynced.clear();
                 }
                 Err(error)
             }
             (Some(inode), _) => {
                 let inode = &mut state.inodes[inode];
-                inode.pending.clear();
-                inode.kept = inode.seen.clone();
+                inode.unsynced.clear();
+                inode.durable = inode.visible.clone();
                 Ok(())
             }
             (None, _) => {
-                state.pending.clear();
-                state.kept_names = state.names.clone();
+                state.unsynced_names.clear();
+                state.durable_names = state.names.clone();
                 Ok(())
             }
         }
@@ -290,7 +302,7 @@
 
     fn lock(&mut self) -> io::Result<()> {
         let mut state = self.state();
-        state.whole("lock", false)?;
+        state.run_atomic_operation("lock", false)?;
         if std::mem::replace(&mut state.locked, true) {
             return Err(io::ErrorKind::WouldBlock.into());
         }
@@ -299,101 +311,105 @@
 
     fn list(&self) -> io::Result<Vec<(String, u64)>> {
         let mut state = self.state();
-        state.whole("list", false)?;
-        Ok(state.names.iter().map(|(n, &i)| (n.clone(), state.inodes[i].seen.len() as u64)).collect())
+        state.run_atomic_operation("list", false)?;
+        Ok(state.names.iter().map(|(n, &i)| (n.clone(), state.inodes[i].visible.len() as u64)).collect())
     }
 
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>> {
         let mut state = self.state();
-        state.whole("read", false)?;
+        state.run_atomic_operation("read", false)?;
         let inode = *state.names.get(name).ok_or(io::ErrorKind::NotFound)?;
-        let bytes = &state.inodes[inode].seen;
-        Ok(bytes[..bytes.len().min(most as usize)].to_vec())
+        let bytes = &state.inodes[inode].visible;
+        Ok(bytes[..bytes.len().min(max_bytes as usize)].to_vec())
     }
 
     fn create(&self, name: &str) -> io::Result<File> {
         let mut state = self.state();
-        state.whole("create", true)?;
+        state.run_atomic_operation("create", true)?;
         if state.names.contains_key(name) {
             return Err(io::ErrorKind::AlreadyExists.into());
         }
         let inode = state.inodes.len();
         state.inodes.push(Inode::default());
-        state.rename(&[(name, Some(inode))]);
+        state.change_names(&[(name, Some(inode))]);
         Ok(File { state: self.state.clone(), inode: Some(inode) })
     }
 
     fn open(&self, name: &str) -> io::Result<File> {
         let mut state = self.state();
-        state.whole("open", false)?;
+        state.run_atomic_operation("open", false)?;
         let inode = *state.names.get(name).ok_or(io::ErrorKind::NotFound)?;
         Ok(File { state: self.state.clone(), inode: Some(inode) })
     }
 
     fn write_at(&self, file: &File, bytes: &[u8], offset: u64) -> io::Result<usize> {
         let mut state = self.state();
-        let go = state.begin("write", true)?;
+        let progress = state.begin_operation("write", true)?;
         let inode = file.inode.ok_or(io::ErrorKind::IsADirectory)?;
-        let grows = (offset + bytes.len() as u64).saturating_sub(state.inodes[inode].seen.len() as u64);
-        let free = state.capacity.saturating_sub(state.used());
+        let grows = (offset + bytes.len() as u64).saturating_sub(state.inodes[inode].visible.len() as u64);
+        let free = state.capacity.saturating_sub(state.used_bytes());
         let fits = bytes.len() - grows.saturating_sub(free).min(bytes.len() as u64) as usize;
-        let (length, error) = match go {
-            Go::On if fits == 0 && !bytes.is_empty() => (0, Some(io::ErrorKind::StorageFull.into())),
-            Go::On => (fits, None),
-            Go::Part(part, error) => (bytes.len() * usize::from(part) / 256, Some(error)),
+        let (length, error) = match progress {
+            Progress::Complete if fits == 0 && !bytes.is_empty() => {
+                (0, Some(io::ErrorKind::StorageFull.into()))
+            }
+            Progress::Complete => (fits, None),
+            Progress::Partial(done_256ths, error) => {
+                (bytes.len() * usize::from(done_256ths) / 256, Some(error))
+            }
         };
         let change = Change::Write(offset, bytes[..length].to_vec());
         if length > 0 {
             let inode = &mut state.inodes[inode];
-            apply(&mut inode.seen, &change);
-            inode.pending.push(change);
+            apply_change(&mut inode.visible, &change);
+            inode.unsynced.push(change);
         }
         error.map_or(Ok(length), Err)
     }
 
     fn reserve(&self, file: &File, length: u64) -> io::Result<()> {
         let mut state = self.state();
-        state.whole("reserve", true)?;
+        state.run_atomic_operation("reserve", true)?;
         let inode = file.inode.ok_or(io::ErrorKind::IsADirectory)?;
-        if length > state.capacity.saturating_sub(state.used()) {
+        if length > state.capacity.saturating_sub(state.used_bytes()) {
             return Err(io::ErrorKind::StorageFull.into());
         }
         let change = Change::Length(length);
-        apply(&mut state.inodes[inode].seen, &change);
-        state.inodes[inode].pending.push(change);
+        apply_change(&mut state.inodes[inode].visible, &change);
+        state.inodes[inode].unsynced.push(change);
         Ok(())
     }
 
     fn truncate(&self, file: &File, length: u64) -> io::Result<()> {
         let mut state = self.state();
-        state.whole("truncate", true)?;
+        state.run_atomic_operation("truncate", true)?;
         let inode = file.inode.ok_or(io::ErrorKind::IsADirectory)?;
         let change = Change::Length(length);
-        apply(&mut state.inodes[inode].seen, &change);
-        state.inodes[inode].pending.push(change);
+        apply_change(&mut state.inodes[inode].visible, &change);
+        state.inodes[inode].unsynced.push(change);
         Ok(())
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.whole("rename", true)?;
+        state.run_atomic_operation("rename", true)?;
         let inode = *state.names.get(from).ok_or(io::ErrorKind::NotFound)?;
-        state.rename(&[(to, Some(inode)), (from, None)]);
+        state.change_names(&[(to, Some(inode)), (from, None)]);
         Ok(())
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.whole("remove", true)?;
+        state.run_atomic_operation("remove", true)?;
         if !state.names.contains_key(name) {
             return Err(io::ErrorKind::NotFound.into());
         }
-        state.rename(&[(name, None)]);
+        state.change_names(&[(name, None)]);
         Ok(())
     }
 
     fn folder(&self) -> io::Result<File> {
-        self.state().whole("open folder", false)?;
+        self.state().run_atomic_operation("open folder", false)?;
         Ok(File { state: self.state.clone(), inode: None })
     }
 }
--- a/crates/proof/nickelshed-testkit/src/lib.rs
+++ b/crates/proof/nickelshed-testkit/src/lib.rs
@@ -1,5 +1,7 @@
-//! Stand-ins for tests, on loopback ports that the kernel gives: scripted endpoints, discovery, and the sender as
-//! a process with its folder; and a disk whose every operation can fail. Every wait is for an event, with a bound far longer than it takes.
+//! Test support: fake servers with scripted replies, a fake discovery service, the sender as a child process
+//! with its own folder, and an in-memory disk with fault injection. Everything listens on loopback, the
+//! servers on ports that the kernel picks. Waits end when the awaited event occurs; their timeout is far
+//! longer than the event takes.
 mod discovery;
 mod disk;
 mod node;
@@ -12,5 +14,6 @@
 
 use std::time::Duration;
 
-/// Far longer than anything here takes: a bound for what would otherwise never end.
+/// Timeout of every wait. It is far longer than any awaited event takes, so only a wait that would never end
+/// fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/proof/nickelshed-testkit/src/node.rs
+++ b/crates/proof/nickelshed-testkit/src/node.rs
@@ -1,4 +1,4 @@
-//! The sender as a process with its folder, and a client that hands messages in.
+//! The sender as a child process with its own folder, and a client that submits messages to it.
 use crate::discovery::Discovery;
 use crate::peer::{read_http_message, HttpMessage};
 use crate::WAIT_TIMEOUT;
@@ -11,7 +11,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Sends bytes to a sender on a new connection and reads one answer.
+/// Sends bytes to an address on a new connection and reads one response. Returns `None` if the connection
+/// fails or none comes.
 pub fn send_request(address: SocketAddr, bytes: &[u8]) -> Option<HttpMessage> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
@@ -19,7 +20,7 @@
     read_http_message(&mut BufReader::new(stream), 0)
 }
 
-/// A message as a client hands it in.
+/// The bytes of a request by which a client submits a message.
 pub fn submission_request(class: &str, id: &str, dest: u64, expires_ms: u64, body: &[u8]) -> Vec<u8> {
     let mut bytes = format!(
         "POST /{class} HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: {id}\r\nX-Qos: {class}\r\n\
@@ -32,24 +33,27 @@
     bytes
 }
 
-static FOLDERS: AtomicUsize = AtomicUsize::new(0);
+static PROCESS_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// A folder for tests beside the build's own, so that it lies on a disk and goes with `cargo clean`.
-fn scratch(program: &str) -> PathBuf {
-    let build = Path::new(program).ancestors().nth(2).expect("a program lies in the build's folder");
-    build.join("tmp")
+/// The folder for test data, inside the build's target folder: it is on a disk, not on a memory file system,
+/// and `cargo clean` removes it.
+fn scratch_folder(program: &str) -> PathBuf {
+    let target_folder = Path::new(program).ancestors().nth(2).expect("the program is in the target folder");
+    target_folder.join("tmp")
 }
 
-/// Where a sender may listen: a loopback address of its own, at a port that the system gives to nobody. One that was asked of
-/// the system and given back could be another's by the start: another test's sender, a connection on its way out, or a
-/// process just being started that has inherited it.
-fn free_address(number: usize) -> SocketAddr {
+/// The address at which a sender listens: a loopback address of its own and a port below the ephemeral range,
+/// which the kernel assigns to no socket. A port that was obtained from the kernel and released could be
+/// taken again before the sender starts: by another test's sender, by an outgoing connection, or by a child
+/// process that has inherited the listener.
+fn unique_address(number: usize) -> SocketAddr {
     let process = std::process::id();
-    let own = [127, 100 + (process % 100) as u8, (process / 100 % 250) as u8, 1 + (number % 250) as u8];
-    SocketAddr::from((own, 20_000 + (number % 10_000) as u16))
+    let ip = [127, 100 + (process % 100) as u8, (process / 100 % 250) as u8, 1 + (number % 250) as u8];
+    SocketAddr::from((ip, 20_000 + (number % 10_000) as u16))
 }
 
-/// The sender with its folder; restarts keep folder, name and address.
+/// A sender process with its folder. A restart keeps the folder, name and address. Dropping it kills the
+/// process and removes the folder, which stays if the test panics.
 pub struct SenderProcess {
     program: PathBuf,
     pub folder: PathBuf,
@@ -57,19 +61,23 @@
     discovery: Option<SocketAddr>,
     child: Option<Child>,
     pub config: Value,
-    /// The file of a sidecar, in place of the platform's form.
+    /// Text of the sidecar's configuration file; `None` for a sender configured by the platform.
     pub sidecar_config: Option<String>,
     environment: Vec<(String, String)>,
     arguments: Vec<String>,
-    /// Bytes of the log that are no longer looked at.
-    old_log: usize,
+    /// Bytes at the start of the log that `log` leaves out.
+    log_offset: usize,
 }
 
 impl SenderProcess {
+    /// Starts a sender configured by the platform, with the settings that most tests use: class `alert` is
+    /// keyed, class `order` unsafe.
     pub fn start(program: &str, discovery: &Discovery) -> SenderProcess {
         SenderProcess::start_with(program, discovery, json!([]), |_| {})
     }
 
+    /// Like `start`, with a list that is known before discovery answers, and after `change` has edited the
+    /// configuration.
     pub fn start_with(
         program: &str,
         discovery: &Discovery,
@@ -93,52 +101,53 @@
                     "OverloadForNs": 2_000_000_000},
                 "Services": [class("alert", "keyed"), class("order", "unsafe")]}});
         change(&mut config);
-        let mut node = SenderProcess::new(program);
-        std::fs::create_dir_all(node.state_folder()).unwrap();
-        node.discovery = Some(discovery.server.address);
-        node.config = config;
-        node.restart();
-        node
+        let mut sender = SenderProcess::new(program);
+        std::fs::create_dir_all(sender.state_folder()).unwrap();
+        sender.discovery = Some(discovery.server.address);
+        sender.config = config;
+        sender.restart();
+        sender
     }
 
-    /// A sidecar; its file is made of the address that it listens at. Its folder of state is `state` beside it.
-    pub fn start_sidecar(program: &str, file: impl Fn(SocketAddr) -> String) -> SenderProcess {
-        let mut node = SenderProcess::new(program);
-        node.sidecar_config = Some(file(node.address));
-        node.restart();
-        node
+    /// Starts a sidecar. `config` returns its configuration file for the address at which it is to listen;
+    /// the state folder must be `state`, next to that file.
+    pub fn start_sidecar(program: &str, config: impl Fn(SocketAddr) -> String) -> SenderProcess {
+        let mut sender = SenderProcess::new(program);
+        sender.sidecar_config = Some(config(sender.address));
+        sender.restart();
+        sender
     }
 
-    /// The same, with its folder made ready before it starts.
+    /// Like `start_sidecar`, after `prepare` has put files into its folder.
     pub fn start_prepared_sidecar(
         program: &str,
-        file: impl Fn(SocketAddr) -> String,
+        config: impl Fn(SocketAddr) -> String,
         prepare: impl Fn(&Path),
     ) -> SenderProcess {
-        let mut node = SenderProcess::new(program);
-        prepare(&node.folder);
-        node.sidecar_config = Some(file(node.address));
-        node.restart();
-        node
+        let mut sender = SenderProcess::new(program);
+        prepare(&sender.folder);
+        sender.sidecar_config = Some(config(sender.address));
+        sender.restart();
+        sender
     }
 
-    /// Not started yet.
+    /// Creates the folder without starting the process.
     pub fn new(program: &str) -> SenderProcess {
-        let number = FOLDERS.fetch_add(1, Ordering::SeqCst);
-        let folder = scratch(program).join(format!("node-{}-{number}", std::process::id()));
+        let number = PROCESS_COUNT.fetch_add(1, Ordering::SeqCst);
+        let folder = scratch_folder(program).join(format!("node-{}-{number}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         SenderProcess {
             program: PathBuf::from(program),
             folder,
-            address: free_address(number),
+            address: unique_address(number),
             discovery: None,
             child: None,
             config: Value::Null,
             sidecar_config: None,
             environment: Vec::new(),
             arguments: Vec::new(),
-            old_log: 0,
+            log_offset: 0,
         }
     }
 
@@ -146,32 +155,32 @@
         self.folder.join("state")
     }
 
-    /// The journal's segments, oldest first.
+    /// Paths of the journal's segments, oldest first.
     pub fn segments(&self) -> Vec<PathBuf> {
-        let files = std::fs::read_dir(self.state_folder()).unwrap().flatten().map(|f| f.path());
-        let is_segment = |p: &PathBuf| p.file_name().unwrap().to_string_lossy().starts_with("segment-");
+        let files = std::fs::read_dir(self.state_folder()).unwrap().flatten().map(|file| file.path());
+        let is_segment = |path: &PathBuf| path.file_name().unwrap().to_string_lossy().starts_with("segment-");
         let mut segments: Vec<PathBuf> = files.filter(is_segment).collect();
         segments.sort();
         segments
     }
 
-    /// Bytes in the lasting folder, in whole blocks.
+    /// Bytes that the files of the state folder take, each rounded up to whole blocks of 512 bytes.
     pub fn disk_usage(&self) -> u64 {
         let files = std::fs::read_dir(self.state_folder()).unwrap().flatten();
-        files.filter_map(|f| f.metadata().ok()).map(|m| m.len().div_ceil(512) * 512).sum()
+        files.filter_map(|file| file.metadata().ok()).map(|metadata| metadata.len().div_ceil(512) * 512).sum()
     }
 
     fn config_path(&self) -> PathBuf {
         self.folder.join(if self.sidecar_config.is_some() { "sidecar.toml" } else { "config.json" })
     }
 
-    /// Replaces the file of the configuration and tells the process so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         std::fs::write(self.config_path(), text).unwrap();
         self.signal("-HUP");
     }
 
-    /// The process stands still until it is told to go on.
+    /// Stops the process with SIGSTOP until `resume`.
     pub fn pause(&self) {
         self.signal("-STOP");
     }
@@ -181,8 +190,8 @@
     }
 
     fn signal(&self, signal: &str) {
-        let id = self.child.as_ref().unwrap().id().to_string();
-        assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
+        let process_id = self.child.as_ref().unwrap().id().to_string();
+        assert!(Command::new("kill").args([signal, &process_id]).status().unwrap().success());
     }
 
     fn command(&self) -> Command {
@@ -205,29 +214,31 @@
         command
     }
 
-    /// For the starts from now on.
+    /// Sets an environment variable for later starts.
     pub fn set_environment(&mut self, name: &str, value: &str) {
-        self.environment.retain(|(n, _)| n != name);
+        self.environment.retain(|(other, _)| other != name);
         self.environment.push((name.to_string(), value.to_string()));
     }
 
-    /// For the starts from now on.
+    /// Sets the additional command line arguments of later starts.
     pub fn set_arguments(&mut self, arguments: &[&str]) {
-        self.arguments = arguments.iter().map(|a| a.to_string()).collect();
+        self.arguments = arguments.iter().map(|argument| argument.to_string()).collect();
     }
 
-    /// Starts another process on the same folder and waits for its end: whether it ended well, and what it logged.
+    /// Runs another process on the same folder until it exits. Returns whether it exited with success, and
+    /// its log.
     pub fn run_second(&self) -> (bool, String) {
         let output = self.command().env("EDGE_LISTEN", "127.0.0.1:0").stderr(Stdio::piped()).output();
-        let output = output.expect("a second process starts");
+        let output = output.expect("the second process starts");
         (output.status.success(), String::from_utf8_lossy(&output.stderr).into_owned())
     }
 
     pub fn restart(&mut self) {
-        assert!(self.try_start(), "ended before it was ready: {}", self.log());
+        assert!(self.try_start(), "exited before it was ready: {}", self.log());
     }
 
-    /// Starts the process. Whether it came to answer; false if it has ended before.
+    /// Starts the process and waits until /healthz answers 200. Returns false if the process exits before
+    /// that.
     pub fn try_start(&mut self) -> bool {
         assert!(self.child.is_none(), "still running");
         let text = self.sidecar_config.clone().unwrap_or_else(|| self.config.to_string());
@@ -236,49 +247,56 @@
             std::fs::OpenOptions::new().create(true).append(true).open(self.folder.join("log")).unwrap();
         let child = self.command().stderr(log).spawn().expect("the sender starts");
         self.child = Some(child);
-        let until = Instant::now() + WAIT_TIMEOUT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-            if self.send_request(health.as_bytes()).is_some_and(|r| r.start_line.contains(" 200")) {
+            let health_request = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+            if self
+                .send_request(health_request.as_bytes())
+                .is_some_and(|response| response.start_line.contains(" 200"))
+            {
                 return true;
             }
             if !self.is_running() {
                 self.child = None;
                 return false;
             }
-            assert!(Instant::now() < until, "never ready: {}", self.log());
+            assert!(Instant::now() < deadline, "not ready in time: {}", self.log());
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
+    /// Returns what the process has logged over all its starts, without the part that was discarded.
     pub fn log(&self) -> String {
         let log = std::fs::read_to_string(self.folder.join("log")).unwrap_or_default();
-        log.get(self.old_log..).unwrap_or_default().to_string()
+        log.get(self.log_offset..).unwrap_or_default().to_string()
     }
 
-    /// Leaves out of the log what is there now.
+    /// Makes `log` leave out what has been logged so far.
     pub fn discard_log(&mut self) {
-        self.old_log += self.log().len();
+        self.log_offset += self.log().len();
     }
 
-    /// None where the answer does not come, as from a process that is killed; it is not waited for long.
+    /// Submits a message and returns the status of the response. Returns `None` if no response comes within
+    /// 2 s, for example because the process has been killed.
     pub fn try_submit(&self, class: &str, id: &str, dest: u64, expires_ms: u64, body: &[u8]) -> Option<u16> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
         stream.write_all(&submission_request(class, id, dest, expires_ms, body)).ok()?;
-        let answer = read_http_message(&mut BufReader::new(stream), 0)?;
-        answer.start_line.split(' ').nth(1)?.parse().ok()
+        let response = read_http_message(&mut BufReader::new(stream), 0)?;
+        response.start_line.split(' ').nth(1)?.parse().ok()
     }
 
-    /// Sends bytes on a new connection and reads one answer.
+    /// Sends bytes on a new connection and reads one response.
     pub fn send_request(&self, bytes: &[u8]) -> Option<HttpMessage> {
         send_request(self.address, bytes)
     }
 
+    /// Submits a message and returns the status of the response.
     pub fn submit(&self, class: &str, id: &str, dest: u64, expires_ms: u64, body: &[u8]) -> u16 {
         self.submit_with_headers(class, id, dest, expires_ms, body).0
     }
 
+    /// Submits a message and returns the status and headers of the response.
     pub fn submit_with_headers(
         &self,
         class: &str,
@@ -288,17 +306,19 @@
         body: &[u8],
     ) -> (u16, HashMap<String, String>) {
         let bytes = submission_request(class, id, dest, expires_ms, body);
-        let answer =
-            self.send_request(&bytes).unwrap_or_else(|| panic!("no answer for {id}: {}", self.log()));
-        (answer.start_line.split(' ').nth(1).unwrap().parse().unwrap(), answer.headers)
+        let response =
+            self.send_request(&bytes).unwrap_or_else(|| panic!("no response for {id}: {}", self.log()));
+        (response.start_line.split(' ').nth(1).unwrap().parse().unwrap(), response.headers)
     }
 
+    /// Kills the process with SIGKILL and waits for its exit.
     pub fn kill(&mut self) {
         let mut child = self.child.take().unwrap();
         child.kill().unwrap();
         child.wait().unwrap();
     }
 
+    /// Sends SIGTERM without waiting for the exit.
     pub fn terminate(&mut self) {
         self.signal("-TERM");
     }
@@ -311,17 +331,17 @@
         self.child.as_mut().is_some_and(|c| c.try_wait().unwrap().is_none())
     }
 
-    /// Files and sockets that the process has open; Linux only.
+    /// Number of files and sockets that the process has open. Linux only: 0 elsewhere.
     pub fn open_descriptors(&self) -> usize {
-        let process = self.child.as_ref().expect("it runs").id();
-        std::fs::read_dir(format!("/proc/{process}/fd")).map_or(0, |open| open.count())
+        let process_id = self.child.as_ref().expect("the process is running").id();
+        std::fs::read_dir(format!("/proc/{process_id}/fd")).map_or(0, |entries| entries.count())
     }
 
-    /// Waits until something is so.
-    pub fn wait_until(&self, what: &str, so: impl Fn() -> bool) {
-        let until = Instant::now() + WAIT_TIMEOUT;
-        while !so() {
-            assert!(Instant::now() < until, "waited in vain until {what}: {}", self.log());
+    /// Waits until `condition` holds. `expected` describes it in the message of the panic on a timeout.
+    pub fn wait_until(&self, expected: &str, condition: impl Fn() -> bool) {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while !condition() {
+            assert!(Instant::now() < deadline, "timed out waiting until {expected}: {}", self.log());
             std::thread::sleep(Duration::from_millis(10));
         }
     }
--- a/crates/proof/nickelshed-testkit/src/peer.rs
+++ b/crates/proof/nickelshed-testkit/src/peer.rs
@@ -1,4 +1,4 @@
-//! A peer that answers HTTP/1.1 by a script and remembers what it was sent.
+//! A fake HTTP/1.1 server that replies by a script and records the requests that it receives.
 use crate::WAIT_TIMEOUT;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,22 +7,25 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// One HTTP message as it was read.
+/// An HTTP request or response as it was read from a connection. Header names are in lower case.
 #[derive(Clone, Debug)]
 pub struct HttpMessage {
     pub start_line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
+    /// Number of the server's connection that it came over, counted from 0.
     pub connection: usize,
     pub received_at: Instant,
 }
 
 impl HttpMessage {
+    /// Returns the trace id of the message that the request carries, or an empty string if it has none.
     pub fn message_id(&self) -> &str {
         self.headers.get("x-trace-id").map_or("", String::as_str)
     }
 }
 
+/// Returns `None` if the connection ends before the message is complete.
 pub fn read_http_message(reader: &mut BufReader<TcpStream>, connection: usize) -> Option<HttpMessage> {
     let mut line = String::new();
     if reader.read_line(&mut line).ok()? == 0 {
@@ -38,7 +41,7 @@
         let Some((name, value)) = line.trim_end().split_once(':') else { break };
         headers.insert(name.to_ascii_lowercase(), value.trim().to_string());
     }
-    let length = headers.get("content-length").map_or(0, |l| l.parse().unwrap());
+    let length = headers.get("content-length").map_or(0, |value| value.parse().unwrap());
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
     Some(HttpMessage { start_line: first, headers, body, connection, received_at: Instant::now() })
@@ -52,30 +55,31 @@
     http_reply("200 OK", "", "")
 }
 
-/// What a peer does with a request.
+/// What a fake server does with a request.
 pub enum Reply {
+    /// Writes these bytes, which need not be a valid response.
     Bytes(String),
-    /// Ends the connection without an answer.
+    /// Closes the connection without a response.
     Close,
-    /// Never answers, and keeps the connection.
+    /// Sends no response and leaves the connection open.
     Hang,
 }
 
-/// A row of an outcome table.
+/// A named reply in a table-driven test.
 pub type ReplyCase = (&'static str, fn() -> Reply);
 
 type Script = Box<dyn Fn(&HttpMessage) -> Reply + Send + Sync>;
 
 struct Shared {
     script: Mutex<Script>,
-    seen: Mutex<Vec<HttpMessage>>,
-    news: Condvar,
+    received: Mutex<Vec<HttpMessage>>,
+    request_received: Condvar,
     connections: AtomicUsize,
-    /// Numbers of connections that the sender has closed.
-    ended: Mutex<Vec<usize>>,
+    /// Numbers of the connections that the sender has closed.
+    closed_connections: Mutex<Vec<usize>>,
 }
 
-/// A peer that remembers what it was sent and answers by a script.
+/// A fake server, for example an endpoint or a receiver of notices. Clones share one server.
 #[derive(Clone)]
 pub struct FakeServer {
     pub address: SocketAddr,
@@ -94,64 +98,72 @@
         let address = listener.local_addr().unwrap();
         let shared = Arc::new(Shared {
             script: Mutex::new(Box::new(script)),
-            seen: Mutex::default(),
-            news: Condvar::new(),
+            received: Mutex::default(),
+            request_received: Condvar::new(),
             connections: AtomicUsize::new(0),
-            ended: Mutex::default(),
+            closed_connections: Mutex::default(),
         });
-        let peer = FakeServer { address, shared: shared.clone() };
+        let server = FakeServer { address, shared: shared.clone() };
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let number = shared.connections.fetch_add(1, Ordering::SeqCst);
                 let shared = shared.clone();
-                std::thread::spawn(move || serve(stream, number, &shared));
+                std::thread::spawn(move || serve_connection(stream, number, &shared));
             }
         });
-        peer
+        server
     }
 
     pub fn set_script(&self, script: impl Fn(&HttpMessage) -> Reply + Send + Sync + 'static) {
         *self.shared.script.lock().unwrap() = Box::new(script);
     }
 
-    /// Puts a script before the one there is, for the requests that it answers.
+    /// Puts a script before the current one. A request for which it returns `None` goes to the current one.
     pub fn prepend_script(&self, script: impl Fn(&HttpMessage) -> Option<Reply> + Send + Sync + 'static) {
-        let mut held = self.shared.script.lock().unwrap();
-        let old = std::mem::replace(&mut *held, Box::new(|_| Reply::Close));
-        *held = Box::new(move |r| script(r).unwrap_or_else(|| old(r)));
+        let mut current = self.shared.script.lock().unwrap();
+        let previous = std::mem::replace(&mut *current, Box::new(|_| Reply::Close));
+        *current = Box::new(move |request| script(request).unwrap_or_else(|| previous(request)));
     }
 
+    /// Returns all requests so far, in order of their replies.
     pub fn received(&self) -> Vec<HttpMessage> {
-        self.shared.seen.lock().unwrap().clone()
+        self.shared.received.lock().unwrap().clone()
     }
 
+    /// Returns how many connections have been accepted so far, open or closed.
     pub fn connection_count(&self) -> usize {
         self.shared.connections.load(Ordering::SeqCst)
     }
 
+    /// Whether the sender has closed this connection.
     pub fn is_connection_closed(&self, connection: usize) -> bool {
-        self.shared.ended.lock().unwrap().contains(&connection)
+        self.shared.closed_connections.lock().unwrap().contains(&connection)
     }
 
-    /// Waits until what was seen satisfies `enough`.
-    pub fn wait_until(&self, what: &str, enough: impl Fn(&[HttpMessage]) -> bool) -> Vec<HttpMessage> {
-        let until = Instant::now() + WAIT_TIMEOUT;
-        let mut seen = self.shared.seen.lock().unwrap();
-        while !enough(&seen) {
-            assert!(Instant::now() < until, "waited in vain for {what}; seen: {seen:#?}");
-            seen = self.shared.news.wait_timeout(seen, Duration::from_millis(200)).unwrap().0;
+    /// Waits until the received requests satisfy `condition`, and returns them. `expected` names what is
+    /// awaited in the message of the panic on a timeout.
+    pub fn wait_until(&self, expected: &str, condition: impl Fn(&[HttpMessage]) -> bool) -> Vec<HttpMessage> {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        let mut received = self.shared.received.lock().unwrap();
+        while !condition(&received) {
+            assert!(Instant::now() < deadline, "timed out waiting for {expected}; received: {received:#?}");
+            received =
+                self.shared.request_received.wait_timeout(received, Duration::from_millis(200)).unwrap().0;
         }
-        seen.clone()
+        received.clone()
     }
 
+    /// Waits until the message with this trace id has been received at least `times` times, and returns all
+    /// requests with it.
     pub fn wait_for_message(&self, id: &str, times: usize) -> Vec<HttpMessage> {
-        let count = |seen: &[HttpMessage]| seen.iter().filter(|r| r.message_id() == id).count();
-        let seen = self.wait_until(&format!("{times} calls with {id}"), |s| count(s) >= times);
-        seen.into_iter().filter(|r| r.message_id() == id).collect()
+        let count = |requests: &[HttpMessage]| requests.iter().filter(|r| r.message_id() == id).count();
+        let received =
+            self.wait_until(&format!("{times} calls with {id}"), |requests| count(requests) >= times);
+        received.into_iter().filter(|r| r.message_id() == id).collect()
     }
 }
 
-fn serve(stream: TcpStream, number: usize, shared: &Shared) {
+fn serve_connection(stream: TcpStream, number: usize, shared: &Shared) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let mut writer = stream;
     while let Some(request) = read_http_message(&mut reader, number) {
@@ -161,12 +173,13 @@
                 break;
             }
         }
-        // Only now, so that whoever waits for a request knows that its answer is on the way.
-        shared.seen.lock().unwrap().push(request);
-        shared.news.notify_all();
+        // Recorded after the reply is written: a test that has waited for a request may rely on its reply
+        // being sent.
+        shared.received.lock().unwrap().push(request);
+        shared.request_received.notify_all();
         if matches!(reply, Reply::Close) {
             return;
         }
     }
-    shared.ended.lock().unwrap().push(number);
+    shared.closed_connections.lock().unwrap().push(number);
 }
