--- a/crates/serve/nickelshed/tests/bad_input.rs
+++ b/crates/serve/nickelshed/tests/bad_input.rs
@@ -7,8 +7,8 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nickelshed");
 
-fn delivers(node: &SenderProcess, endpoint: &FakeServer, id: &str) {
-    assert_eq!(node.submit("order", id, 7, 16_000, b"x"), 202, "{id}");
+fn delivers(sender: &SenderProcess, endpoint: &FakeServer, id: &str) {
+    assert_eq!(sender.submit("order", id, 7, 16_000, b"x"), 202, "{id}");
     assert_eq!(endpoint.wait_for_message(id, 1).len(), 1);
 }
 
@@ -51,11 +51,11 @@
     ];
     for (number, bytes) in bad.iter().enumerate() {
         let discovery = Discovery::new(json!([entry]));
-        let mut node = SenderProcess::start(PROGRAM, &discovery);
-        delivers(&node, &endpoint, &format!("before-{number}"));
+        let mut sender = SenderProcess::start(PROGRAM, &discovery);
+        delivers(&sender, &endpoint, &format!("before-{number}"));
         misled(&discovery, bytes);
-        delivers(&node, &endpoint, &format!("after-{number}"));
-        assert!(node.is_running() && discovery.notices().is_empty());
+        delivers(&sender, &endpoint, &format!("after-{number}"));
+        assert!(sender.is_running() && discovery.notices().is_empty());
     }
 }
 
@@ -68,19 +68,21 @@
 fn a_watch_answered_early_with_nothing_again_and_again_is_asked_on_in_measure_and_still_heard() {
     let (endpoint, other) = (FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply()));
     let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
-    let node = SenderProcess::start(PROGRAM, &discovery);
-    delivers(&node, &endpoint, "before");
+    let sender = SenderProcess::start(PROGRAM, &discovery);
+    delivers(&sender, &endpoint, "before");
     let watches = |r: &HttpMessage| r.start_line.contains("index=");
     let lies = Arc::new(AtomicBool::new(true));
     let still = lies.clone();
     discovery.server.prepend_script(move |r| {
         (watches(r) && still.load(Ordering::SeqCst)).then(|| Reply::Bytes(list(1, false, json!([]))))
     });
-    let asked =
-        |seen: &[HttpMessage]| seen.iter().filter(|r| watches(r)).map(|r| r.received_at).collect::<Vec<_>>();
+    let asked = |received: &[HttpMessage]| {
+        received.iter().filter(|r| watches(r)).map(|r| r.received_at).collect::<Vec<_>>()
+    };
     let first = asked(&discovery.server.received()).len();
-    let seen = discovery.server.wait_until("it to ask on", |seen| asked(seen).len() >= first + 12);
-    let at = asked(&seen);
+    let received =
+        discovery.server.wait_until("it to ask on", |received| asked(received).len() >= first + 12);
+    let at = asked(&received);
     // The first of these may have been under way.
     let took = at[first + 11].duration_since(at[first + 1]);
     assert!(took >= Duration::from_millis(900), "ten asks in {took:?}");
@@ -89,8 +91,10 @@
         instance("e-1", endpoint.address, 7, "plain", "Terminating"),
         ready_instance("e-2", other.address, 7)
     ]));
-    discovery.server.wait_until("the watch to go on", |s| s.iter().any(|r| r.start_line.contains("index=2")));
-    delivers(&node, &other, "after");
+    discovery.server.wait_until("the watch to go on", |requests| {
+        requests.iter().any(|r| r.start_line.contains("index=2"))
+    });
+    delivers(&sender, &other, "after");
 }
 
 /// What an earlier process began under other settings: the effect that a class has now counts for what may have run.
@@ -99,21 +103,21 @@
     for (class, now, calls) in [("alert", "unsafe", 1), ("order", "safe", 2)] {
         let endpoint = FakeServer::new(|r| if r.message_id() == "m" { Reply::Hang } else { ok_reply() });
         let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
-        let mut node = SenderProcess::start(PROGRAM, &discovery);
-        assert_eq!(node.submit(class, "m", 7, 16_000, b"x"), 202);
+        let mut sender = SenderProcess::start(PROGRAM, &discovery);
+        assert_eq!(sender.submit(class, "m", 7, 16_000, b"x"), 202);
         endpoint.wait_for_message("m", 1);
-        node.kill();
+        sender.kill();
         endpoint.set_script(|_| ok_reply());
-        for service in node.config["settings"]["Services"].as_array_mut().unwrap() {
+        for service in sender.config["settings"]["Services"].as_array_mut().unwrap() {
             service["Effect"] = json!(now);
         }
-        node.restart();
+        sender.restart();
         if calls == 1 {
             assert_eq!(discovery.wait_for_notice("m")["outcome"], "given_up", "{class} as {now}");
         } else {
             endpoint.wait_for_message("m", calls);
         }
-        delivers(&node, &endpoint, "after");
+        delivers(&sender, &endpoint, "after");
         assert_eq!(endpoint.wait_for_message("m", calls).len(), calls, "{class} as {now}");
         assert_eq!(discovery.notices().len(), 2 - calls, "{class} as {now}");
     }
@@ -124,13 +128,13 @@
 fn a_whole_list_counts_whatever_its_version_and_an_empty_one_is_one() {
     let endpoint = FakeServer::new(|_| ok_reply());
     let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
-    let node = SenderProcess::start(PROGRAM, &discovery);
-    delivers(&node, &endpoint, "first");
+    let sender = SenderProcess::start(PROGRAM, &discovery);
+    delivers(&sender, &endpoint, "first");
     misled(&discovery, &list(0, true, json!([])));
-    assert_eq!(node.submit("alert", "nowhere", 7, 500, b"x"), 202);
+    assert_eq!(sender.submit("alert", "nowhere", 7, 500, b"x"), 202);
     assert_eq!(discovery.wait_for_notice("nowhere")["outcome"], "handed_back");
     misled(&discovery, &list(0, true, json!([ready_instance("e-1", endpoint.address, 7)])));
-    delivers(&node, &endpoint, "again");
+    delivers(&sender, &endpoint, "again");
     assert!(endpoint.received().iter().all(|r| r.message_id() != "nowhere"));
 }
 
@@ -143,9 +147,9 @@
     for order in [["Ready", "Terminating"], ["Terminating", "Ready"], ["Gone", "Ready"], ["Ready", "Gone"]] {
         let discovery =
             Discovery::new(json!([says(order[0]), ready_instance("e-2", other.address, 7), says(order[1])]));
-        let node = SenderProcess::start(PROGRAM, &discovery);
+        let sender = SenderProcess::start(PROGRAM, &discovery);
         for i in 0..6 {
-            delivers(&node, &other, &format!("{}-{}-{i}", order[0], order[1]));
+            delivers(&sender, &other, &format!("{}-{}-{i}", order[0], order[1]));
         }
         assert!(torn.received().is_empty(), "{order:?}");
     }
@@ -165,26 +169,26 @@
         .collect();
     instances.push(ready_instance("e-1", endpoint.address, 7));
     let discovery = Discovery::new(json!(instances));
-    let mut node = SenderProcess::start(PROGRAM, &discovery);
-    delivers(&node, &endpoint, "m");
-    assert!(node.is_running());
+    let mut sender = SenderProcess::start(PROGRAM, &discovery);
+    delivers(&sender, &endpoint, "m");
+    assert!(sender.is_running());
 }
 
 /// The number of senders may be none that makes sense: each starts, and delivers what its part of the limit then allows.
 #[test]
 fn settings_that_name_no_sender_or_very_many_start_and_deliver() {
-    for (senders, part) in [(json!(0), 40.0), (json!(1), 40.0), (json!(100_000), 0.0004)] {
+    for (sender_count, fair_share) in [(json!(0), 40.0), (json!(1), 40.0), (json!(100_000), 0.0004)] {
         let endpoint =
             FakeServer::new(|_| http_reply("200 OK", "Endpoint-Load-Metrics: TEXT x0=0.9, x1=40\r\n", ""));
         let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
-        let change = |c: &mut Value| c["settings"]["NInstances"] = senders.clone();
-        let node = SenderProcess::start_with(PROGRAM, &discovery, json!([]), change);
-        delivers(&node, &endpoint, "first");
-        if part > 1.0 {
-            delivers(&node, &endpoint, "second");
+        let change = |config: &mut Value| config["settings"]["NInstances"] = sender_count.clone();
+        let sender = SenderProcess::start_with(PROGRAM, &discovery, json!([]), change);
+        delivers(&sender, &endpoint, "first");
+        if fair_share > 1.0 {
+            delivers(&sender, &endpoint, "second");
         } else {
             // Its next one is due in most of an hour: the client hears in time that it does not go.
-            assert_eq!(node.submit("order", "second", 7, 500, b"x"), 202);
+            assert_eq!(sender.submit("order", "second", 7, 500, b"x"), 202);
             assert_eq!(discovery.wait_for_notice("second")["outcome"], "handed_back");
         }
     }
@@ -223,22 +227,22 @@
     for (edge, change) in rows {
         let endpoint = FakeServer::new(|_| ok_reply());
         let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
-        let mut node =
+        let mut sender =
             SenderProcess::start_with(PROGRAM, &discovery, json!([]), |c| change(&mut c["settings"]));
         for n in 0..3 {
             let id = format!("m{n}");
-            let status = node.submit("order", &id, 7, 700, b"x");
+            let status = sender.submit("order", &id, 7, 700, b"x");
             assert!([202, 404, 503].contains(&status), "{edge}: {status}");
             if status == 202 {
-                node.wait_until(edge, || {
+                sender.wait_until(edge, || {
                     let called = endpoint.received().iter().any(|r| r.message_id() == id);
                     called || discovery.notices().iter().any(|notice| notice["message"] == id.as_str())
                 });
             }
         }
-        assert!(node.is_running(), "{edge}: {}", node.log());
-        node.terminate();
-        assert!(node.wait_exit().success(), "{edge}");
+        assert!(sender.is_running(), "{edge}: {}", sender.log());
+        sender.terminate();
+        assert!(sender.wait_exit().success(), "{edge}");
     }
 }
 
@@ -252,15 +256,15 @@
         ("settings: Limits.MaxAttempts is out of range: 0", |s| s["Limits"]["MaxAttempts"] = json!(0)),
     ];
     let discovery = Discovery::new(json!([]));
-    let mut node = SenderProcess::start(PROGRAM, &discovery);
-    node.terminate();
-    assert!(node.wait_exit().success());
-    let good = node.config["settings"].clone();
+    let mut sender = SenderProcess::start(PROGRAM, &discovery);
+    sender.terminate();
+    assert!(sender.wait_exit().success());
+    let good = sender.config["settings"].clone();
     for (line, change) in rows {
-        node.config["settings"] = good.clone();
-        change(&mut node.config["settings"]);
-        assert!(!node.try_start());
-        assert!(node.log().contains(&format!("config.json: {line}")), "{}", node.log());
+        sender.config["settings"] = good.clone();
+        change(&mut sender.config["settings"]);
+        assert!(!sender.try_start());
+        assert!(sender.log().contains(&format!("config.json: {line}")), "{}", sender.log());
     }
 }
 
@@ -269,10 +273,10 @@
 fn a_list_that_is_indented_counts_like_any_other() {
     let (endpoint, other) = (FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply()));
     let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
-    let node = SenderProcess::start(PROGRAM, &discovery);
-    delivers(&node, &endpoint, "before");
+    let sender = SenderProcess::start(PROGRAM, &discovery);
+    delivers(&sender, &endpoint, "before");
     let list = json!({"generation": 9, "reset": true, "instances": [
         instance("e-1", endpoint.address, 7, "plain", "Terminating"), ready_instance("e-2", other.address, 7)]});
     misled(&discovery, &answer_of(&serde_json::to_string_pretty(&list).unwrap()));
-    delivers(&node, &other, "after");
+    delivers(&sender, &other, "after");
 }
--- a/crates/serve/nickelshed/tests/members.rs
+++ b/crates/serve/nickelshed/tests/members.rs
@@ -8,7 +8,7 @@
 
 struct Fleet {
     relay: Relay,
-    nodes: Vec<SenderProcess>,
+    senders: Vec<SenderProcess>,
     endpoint: FakeServer,
 }
 
@@ -29,7 +29,7 @@
 impl Fleet {
     fn new(members: usize) -> Fleet {
         let (relay, endpoint) = (Relay::new(members).unwrap(), FakeServer::new(|_| ok_reply()));
-        let node = |number: usize| {
+        let sender = |number: usize| {
             SenderProcess::start_prepared_sidecar(
                 PROGRAM,
                 |listen| file(listen, &relay, number, endpoint.address, members),
@@ -38,8 +38,8 @@
                 },
             )
         };
-        let nodes = (0..members).map(node).collect();
-        let fleet = Fleet { relay, nodes, endpoint };
+        let senders = (0..members).map(sender).collect();
+        let fleet = Fleet { relay, senders, endpoint };
         for number in 0..members {
             fleet.until_present(number, members);
         }
@@ -48,33 +48,33 @@
 
     /// What the last line of a kind says of a figure.
     fn last(&self, number: usize, line: &str, figure: &str) -> Option<usize> {
-        let log = self.nodes[number].log();
+        let log = self.senders[number].log();
         let line = log.lines().rev().find(|l| l.contains(line))?;
         let from = line.find(&format!("{figure}="))? + figure.len() + 1;
         line[from..].split_whitespace().next()?.parse().ok()
     }
 
     fn until_present(&self, number: usize, members: usize) {
-        self.nodes[number].wait_until(&format!("n{number} sees {members}"), || {
+        self.senders[number].wait_until(&format!("n{number} sees {members}"), || {
             self.last(number, "the view of the fleet has changed", "present") == Some(members)
         });
     }
 
     fn until_shared(&self, number: usize, among: usize) {
-        self.nodes[number].wait_until(&format!("n{number} shares among {among}"), || {
+        self.senders[number].wait_until(&format!("n{number} shares among {among}"), || {
             self.last(number, "each limit is shared among", "senders") == Some(among)
         });
     }
 
     fn saw(&self, number: usize, other: usize, change: &str) -> usize {
         let (member, change) = (format!("member=\"n{other}\""), format!("change=\"{change}\""));
-        let log = self.nodes[number].log();
+        let log = self.senders[number].log();
         log.lines().filter(|l| l.contains(&member) && l.contains(&change)).count()
     }
 
     fn nobody_gone(&self) {
-        for (number, node) in self.nodes.iter().enumerate() {
-            let log = node.log();
+        for (number, sender) in self.senders.iter().enumerate() {
+            let log = sender.log();
             assert!(!log.contains("change=\"gone\""), "n{number}:\n{log}");
         }
     }
@@ -82,7 +82,7 @@
     /// Until so many more datagrams have passed between the members.
     fn until_passed(&self, more: u64) {
         let from = self.relay.received_count();
-        self.nodes[0].wait_until("datagrams pass", || self.relay.received_count() > from + more);
+        self.senders[0].wait_until("datagrams pass", || self.relay.received_count() > from + more);
     }
 }
 
@@ -91,14 +91,15 @@
     let mut fleet = Fleet::new(3);
     (0..3).for_each(|n| fleet.until_shared(n, 3));
     fleet.nobody_gone();
-    fleet.nodes[2].terminate();
-    fleet.nodes[2].wait_exit();
-    fleet.nodes[0].wait_until("n2 has left", || fleet.saw(0, 2, "left") == 1 && fleet.saw(1, 2, "left") == 1);
+    fleet.senders[2].terminate();
+    fleet.senders[2].wait_exit();
+    fleet.senders[0]
+        .wait_until("n2 has left", || fleet.saw(0, 2, "left") == 1 && fleet.saw(1, 2, "left") == 1);
     (0..2).for_each(|n| fleet.until_shared(n, 2));
-    fleet.nodes[2].restart();
+    fleet.senders[2].restart();
     (0..3).for_each(|n| fleet.until_shared(n, 3));
     fleet.nobody_gone();
-    assert_eq!(fleet.nodes[0].submit("alert", "m", 7, 9_000, b"x"), 202);
+    assert_eq!(fleet.senders[0].submit("alert", "m", 7, 9_000, b"x"), 202);
     fleet.endpoint.wait_for_message("m", 1);
 }
 
@@ -107,18 +108,19 @@
 fn the_tool_tells_who_is_there_who_is_gone_and_that_nobody_answers() {
     let mut fleet = Fleet::new(3);
     (0..3).for_each(|n| fleet.until_shared(n, 3));
-    let configs: Vec<_> = fleet.nodes.iter().map(|n| n.folder.join("sidecar.toml")).collect();
+    let configs: Vec<_> = fleet.senders.iter().map(|n| n.folder.join("sidecar.toml")).collect();
     let look = |of: usize| {
         nickelshed_ctl::call(["nickelshed-ctl", "fleet", "members", "--json", configs[of].to_str().unwrap()])
     };
     // Views that settle may differ for a moment, and the load of a machine may keep an answer back.
-    fleet.nodes[0].wait_until("all is well", || look(0) == 0);
-    fleet.nodes[2].kill();
-    fleet.nodes[0].wait_until("n2 is gone", || fleet.saw(0, 2, "gone") == 1 && fleet.saw(1, 2, "gone") == 1);
+    fleet.senders[0].wait_until("all is well", || look(0) == 0);
+    fleet.senders[2].kill();
+    fleet.senders[0]
+        .wait_until("n2 is gone", || fleet.saw(0, 2, "gone") == 1 && fleet.saw(1, 2, "gone") == 1);
     assert_eq!(look(0), 1, "one is gone");
     assert_eq!(look(2), 1, "its own member is down, and its seed answers");
-    fleet.nodes[0].kill();
-    fleet.nodes[1].kill();
+    fleet.senders[0].kill();
+    fleet.senders[1].kill();
     assert_eq!(look(0), 3, "nobody answers");
 }
 
@@ -126,8 +128,8 @@
 fn a_killed_member_keeps_its_part_and_is_back_under_a_later_life() {
     let mut fleet = Fleet::new(5);
     (0..5).for_each(|n| fleet.until_shared(n, 5));
-    fleet.nodes[4].kill();
-    (0..4).for_each(|n| fleet.nodes[n].wait_until("n4 is gone", || fleet.saw(n, 4, "gone") == 1));
+    fleet.senders[4].kill();
+    (0..4).for_each(|n| fleet.senders[n].wait_until("n4 is gone", || fleet.saw(n, 4, "gone") == 1));
     for n in 0..4 {
         assert_eq!(
             fleet.last(n, "each limit is shared among", "senders"),
@@ -136,12 +138,12 @@
         );
     }
     // Its folder is lost: its old life is remembered by the others, and outbid.
-    std::fs::remove_dir_all(fleet.nodes[4].state_folder()).unwrap();
-    fleet.nodes[4].restart();
-    (0..4).for_each(|n| fleet.nodes[n].wait_until("n4 is back", || fleet.saw(n, 4, "returned") >= 1));
+    std::fs::remove_dir_all(fleet.senders[4].state_folder()).unwrap();
+    fleet.senders[4].restart();
+    (0..4).for_each(|n| fleet.senders[n].wait_until("n4 is back", || fleet.saw(n, 4, "returned") >= 1));
     fleet.until_present(4, 5);
     (0..5).for_each(|n| fleet.until_shared(n, 5));
-    let kept = std::fs::read_to_string(fleet.nodes[4].state_folder().join("fleet-start")).unwrap();
+    let kept = std::fs::read_to_string(fleet.senders[4].state_folder().join("fleet-start")).unwrap();
     assert!(kept.trim().parse::<u32>().unwrap() >= 1, "{kept}");
 }
 
@@ -154,7 +156,7 @@
     (2..5).for_each(|n| fleet.until_present(n, 3));
     // Both sides still deliver.
     for n in [0, 4] {
-        assert_eq!(fleet.nodes[n].submit("alert", &format!("cut{n}"), 7, 9_000, b"x"), 202);
+        assert_eq!(fleet.senders[n].submit("alert", &format!("cut{n}"), 7, 9_000, b"x"), 202);
         fleet.endpoint.wait_for_message(&format!("cut{n}"), 1);
     }
     for n in 0..5 {
@@ -177,14 +179,14 @@
 #[test]
 fn one_that_stood_still_knows_it_and_declares_nobody_gone() {
     let fleet = Fleet::new(4);
-    fleet.nodes[1].pause();
-    fleet.nodes[0].wait_until("n1 is gone", || fleet.saw(0, 1, "gone") == 1);
-    fleet.nodes[1].resume();
-    fleet.nodes[1].wait_until("it knows", || fleet.nodes[1].log().contains("stood still"));
-    fleet.nodes[0].wait_until("n1 is there again", || fleet.saw(0, 1, "refuted") >= 1);
+    fleet.senders[1].pause();
+    fleet.senders[0].wait_until("n1 is gone", || fleet.saw(0, 1, "gone") == 1);
+    fleet.senders[1].resume();
+    fleet.senders[1].wait_until("it knows", || fleet.senders[1].log().contains("stood still"));
+    fleet.senders[0].wait_until("n1 is there again", || fleet.saw(0, 1, "refuted") >= 1);
     (0..4).for_each(|n| fleet.until_shared(n, 4));
-    assert!(!fleet.nodes[1].log().contains("change=\"gone\""));
-    assert_eq!(fleet.nodes[1].submit("alert", "awake", 7, 9_000, b"x"), 202);
+    assert!(!fleet.senders[1].log().contains("change=\"gone\""));
+    assert_eq!(fleet.senders[1].submit("alert", "awake", 7, 9_000, b"x"), 202);
     fleet.endpoint.wait_for_message("awake", 1);
 }
 
--- a/crates/serve/nickelshed/tests/moments.rs
+++ b/crates/serve/nickelshed/tests/moments.rs
@@ -43,49 +43,50 @@
     });
     let discovery = Discovery::new(json!([instance("e-1", endpoint.address, 7, "many", "Ready")]));
     // Worth most, and soon over: the module would name it first.
-    let mut node = SenderProcess::start_with(PROGRAM, &discovery, json!([]), |config| {
+    let mut sender = SenderProcess::start_with(PROGRAM, &discovery, json!([]), |config| {
         let services = config["settings"]["Services"].as_array_mut().unwrap();
         let mut brief = services[1].clone();
         (brief["Name"], brief["Worth"], brief["DeadlineNs"]) =
             (json!("brief"), json!(4), json!(2_500_000_000u64));
         services.push(brief);
     });
-    assert_eq!(node.submit("order", "first", 7, 2_500, b"0"), 202);
+    assert_eq!(sender.submit("order", "first", 7, 2_500, b"0"), 202);
     endpoint.wait_for_message("first", 1);
     for (class, id, expires) in
         [("brief", "short", 2_500), ("order", "long", 16_000), ("order", "middle", 9_000)]
     {
-        assert_eq!(node.submit(class, id, 7, expires, id.as_bytes()), 202);
+        assert_eq!(sender.submit(class, id, 7, expires, id.as_bytes()), 202);
     }
     // It has left its call, which is still out: the answer has not begun.
     assert_eq!(discovery.wait_for_notice("short")["outcome"], "given_up");
     gate.open();
-    let seen = endpoint.wait_until("the batch", |s| s.iter().any(|r| r.start_line.contains(":batch")));
-    let batch = seen.iter().find(|r| r.start_line.contains(":batch")).unwrap();
+    let received =
+        endpoint.wait_until("the batch", |requests| requests.iter().any(|r| r.start_line.contains(":batch")));
+    let batch = received.iter().find(|r| r.start_line.contains(":batch")).unwrap();
     let list: Vec<Value> = serde_json::from_slice(&batch.body).unwrap();
     let ids: Vec<&str> = list.iter().filter_map(|m| m["id"].as_str()).collect();
     assert!(ids.contains(&"short"), "{ids:?}");
     let at = |id: &str| ids.iter().position(|i| *i == id).unwrap();
     assert!(at("long") == 0 && at("middle") < at("short"), "{ids:?}");
-    node.terminate();
-    assert!(node.wait_exit().success());
+    sender.terminate();
+    assert!(sender.wait_exit().success());
     let told: Vec<Value> = discovery.notices();
     assert!(told.iter().all(|n| n["message"] != "long" && n["message"] != "middle"), "{told:?}");
 }
 
 /// Room for twenty; eighteen are held for an endpoint that is shut, so that the next is past the bound.
 fn full_to_the_bound(discovery: &Discovery) -> SenderProcess {
-    let mut node = SenderProcess::start_with(PROGRAM, discovery, json!([]), |config| {
+    let mut sender = SenderProcess::start_with(PROGRAM, discovery, json!([]), |config| {
         config["settings"]["Limits"]["MaxOpen"] = json!(20);
     });
-    node.terminate();
-    assert!(node.wait_exit().success());
-    node.set_environment("RUST_LOG", "debug");
-    node.restart();
+    sender.terminate();
+    assert!(sender.wait_exit().success());
+    sender.set_environment("RUST_LOG", "debug");
+    sender.restart();
     for n in 0..18 {
-        assert_eq!(node.submit("order", &format!("held-{n}"), 7, 16_000, b"x"), 202);
+        assert_eq!(sender.submit("order", &format!("held-{n}"), 7, 16_000, b"x"), 202);
     }
-    node
+    sender
 }
 
 fn ids_seen(endpoint: &FakeServer) -> Vec<String> {
@@ -103,10 +104,10 @@
         json!([instance("e-1", shut.address, 7, "plain", lifecycle), ready_instance("e-2", open.address, 8)])
     };
     let discovery = Discovery::new(list("Terminating"));
-    let mut node = full_to_the_bound(&discovery);
+    let mut sender = full_to_the_bound(&discovery);
     let both: Vec<TcpStream> = (0..2)
         .map(|_| {
-            let mut client = TcpStream::connect(node.address).unwrap();
+            let mut client = TcpStream::connect(sender.address).unwrap();
             client.write_all(&submission_request("order", "over", 7, 16_000, b"x")).unwrap();
             client
         })
@@ -116,13 +117,13 @@
         assert!(heard.start_line.contains(" 503 ") && heard.headers.contains_key("retry-after"), "{heard:?}");
     }
     // What can be called for at once is taken on at once, full or not. Keyed: the kill may come before its answer is read.
-    assert_eq!(node.submit("alert", "goes", 8, 16_000, b"x"), 202);
+    assert_eq!(sender.submit("alert", "goes", 8, 16_000, b"x"), 202);
     open.wait_for_message("goes", 1);
-    node.kill();
+    sender.kill();
     discovery.set_instances(list("Ready"));
-    node.restart();
-    shut.wait_until("all that was held", |seen| seen.len() >= 18);
-    assert_eq!(node.submit("order", "last", 7, 16_000, b"x"), 202);
+    sender.restart();
+    shut.wait_until("all that was held", |received| received.len() >= 18);
+    assert_eq!(sender.submit("order", "last", 7, 16_000, b"x"), 202);
     shut.wait_for_message("last", 1);
     assert!(!ids_seen(&shut).contains(&"over".to_string()), "{:?}", ids_seen(&shut));
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
@@ -135,15 +136,15 @@
     let endpoint = FakeServer::new(|_| ok_reply());
     let list = |lifecycle| json!([instance("e-1", endpoint.address, 7, "plain", lifecycle)]);
     let discovery = Discovery::new(list("Terminating"));
-    let mut node = full_to_the_bound(&discovery);
-    let mut client = TcpStream::connect(node.address).unwrap();
+    let mut sender = full_to_the_bound(&discovery);
+    let mut client = TcpStream::connect(sender.address).unwrap();
     client.write_all(&submission_request("order", "waits", 7, 16_000, b"x")).unwrap();
-    node.wait_until("it has come", || node.log().contains("trace=\"waits\""));
-    node.kill();
+    sender.wait_until("it has come", || sender.log().contains("trace=\"waits\""));
+    sender.kill();
     discovery.set_instances(list("Ready"));
-    node.restart();
-    endpoint.wait_until("all that was held", |seen| seen.len() >= 18);
-    assert_eq!(node.submit("order", "waits", 7, 16_000, b"x"), 202);
+    sender.restart();
+    endpoint.wait_until("all that was held", |received| received.len() >= 18);
+    assert_eq!(sender.submit("order", "waits", 7, 16_000, b"x"), 202);
     assert_eq!(endpoint.wait_for_message("waits", 1).len(), 1);
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
@@ -153,14 +154,14 @@
 fn sigterm_while_a_message_waits_to_be_taken_on_is_answered() {
     let endpoint = FakeServer::new(|_| ok_reply());
     let discovery = Discovery::new(json!([instance("e-1", endpoint.address, 7, "plain", "Terminating")]));
-    let mut node = full_to_the_bound(&discovery);
-    let mut client = TcpStream::connect(node.address).unwrap();
+    let mut sender = full_to_the_bound(&discovery);
+    let mut client = TcpStream::connect(sender.address).unwrap();
     client.write_all(&submission_request("order", "waits", 7, 16_000, b"x")).unwrap();
-    node.wait_until("it has come", || node.log().contains("trace=\"waits\""));
-    node.terminate();
+    sender.wait_until("it has come", || sender.log().contains("trace=\"waits\""));
+    sender.terminate();
     let heard = read_http_message(&mut BufReader::new(client), 0).unwrap();
     assert!(heard.start_line.contains(" 503 "), "{heard:?}");
-    assert!(node.wait_exit().success());
+    assert!(sender.wait_exit().success());
 }
 
 /// An endpoint that takes every connection and ends it at once, before anything is written there.
@@ -177,18 +178,18 @@
         }
     });
     let discovery = Discovery::new(json!([ready_instance("e-1", address, 7)]));
-    let mut node = SenderProcess::start(PROGRAM, &discovery);
-    node.terminate();
-    assert!(node.wait_exit().success());
-    node.set_environment("RUST_LOG", "debug");
-    node.restart();
+    let mut sender = SenderProcess::start(PROGRAM, &discovery);
+    sender.terminate();
+    assert!(sender.wait_exit().success());
+    sender.set_environment("RUST_LOG", "debug");
+    sender.restart();
     // A keyed one: where the request was out before the end was seen, it may have run.
-    assert_eq!(node.submit("alert", "m", 7, 1_500, b"x"), 202);
+    assert_eq!(sender.submit("alert", "m", 7, 1_500, b"x"), 202);
     assert_eq!(discovery.wait_for_notice("m")["outcome"], "handed_back");
-    node.terminate();
-    assert!(node.wait_exit().success());
-    let attempts = node.log().matches("attempt ended").count();
-    assert!(attempts >= 1, "{}", node.log());
+    sender.terminate();
+    assert!(sender.wait_exit().success());
+    let attempts = sender.log().matches("attempt ended").count();
+    assert!(attempts >= 1, "{}", sender.log());
     let taken = taken.load(Ordering::SeqCst);
     assert!(taken <= attempts, "{taken} connections for {attempts} attempts");
 }
@@ -199,17 +200,17 @@
 fn a_message_whose_client_has_left_before_its_answer_is_not_called_for() {
     let endpoint = FakeServer::new(|_| ok_reply());
     let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
-    let node = SenderProcess::start(PROGRAM, &discovery);
+    let sender = SenderProcess::start(PROGRAM, &discovery);
     // The first one shows that all is ready, and leaves a connection that a call could go out on at once.
-    assert_eq!(node.submit("order", "before", 7, 16_000, b"x"), 202);
+    assert_eq!(sender.submit("order", "before", 7, 16_000, b"x"), 202);
     endpoint.wait_for_message("before", 1);
-    node.pause();
+    sender.pause();
     for n in 0..5 {
-        let mut client = TcpStream::connect(node.address).unwrap();
+        let mut client = TcpStream::connect(sender.address).unwrap();
         client.write_all(&submission_request("order", &format!("gone-{n}"), 7, 16_000, b"x")).unwrap();
     }
-    node.resume();
-    assert_eq!(node.submit("alert", "after", 7, 16_000, b"x"), 202);
+    sender.resume();
+    assert_eq!(sender.submit("alert", "after", 7, 16_000, b"x"), 202);
     endpoint.wait_for_message("after", 1);
     let called: Vec<String> = endpoint.received().iter().map(|r| r.message_id().to_string()).collect();
     assert_eq!(called, ["before", "after"]);
@@ -222,8 +223,8 @@
 fn a_drain_that_discovery_tells_at_its_return_is_heard_within_its_grace() {
     let (endpoint, other) = (FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply()));
     let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
-    let node = SenderProcess::start(PROGRAM, &discovery);
-    assert_eq!(node.submit("order", "before", 7, 16_000, b"x"), 202);
+    let sender = SenderProcess::start(PROGRAM, &discovery);
+    assert_eq!(sender.submit("order", "before", 7, 16_000, b"x"), 202);
     endpoint.wait_for_message("before", 1);
     discovery.stop_answering();
     discovery.set_instances(json!([
@@ -231,18 +232,18 @@
         ready_instance("e-2", other.address, 7)
     ]));
     // Two asks that were begun in the silence: the second one shows that the first was given up.
-    let asks = |seen: &[HttpMessage]| seen.iter().filter(|r| r.start_line.contains("index=")).count();
+    let asks = |received: &[HttpMessage]| received.iter().filter(|r| r.start_line.contains("index=")).count();
     let before = asks(&discovery.server.received());
-    discovery.server.wait_until("it to ask in the silence", |seen| asks(seen) >= before + 3);
+    discovery.server.wait_until("it to ask in the silence", |received| asks(received) >= before + 3);
     discovery.resume_answering();
     let spoke = Instant::now();
-    let seen = discovery
-        .server
-        .wait_until("the watch to go on", |s| s.iter().any(|r| r.start_line.contains("index=2")));
+    let received = discovery.server.wait_until("the watch to go on", |requests| {
+        requests.iter().any(|r| r.start_line.contains("index=2"))
+    });
     let heard =
-        seen.iter().find(|r| r.start_line.contains("index=2")).unwrap().received_at.duration_since(spoke);
+        received.iter().find(|r| r.start_line.contains("index=2")).unwrap().received_at.duration_since(spoke);
     assert!(heard < Duration::from_millis(1_000), "{heard:?}");
-    assert_eq!(node.submit("order", "after", 7, 16_000, b"x"), 202);
+    assert_eq!(sender.submit("order", "after", 7, 16_000, b"x"), 202);
     other.wait_for_message("after", 1);
 }
 
@@ -265,17 +266,17 @@
         ready_instance("e-1", endpoint.address, 7),
         ready_instance("e-2", endpoint.address, 8)
     ]));
-    let node = SenderProcess::start(PROGRAM, &discovery);
-    assert_eq!(node.submit("order", "early", 8, 16_000, b"x"), 202);
+    let sender = SenderProcess::start(PROGRAM, &discovery);
+    assert_eq!(sender.submit("order", "early", 8, 16_000, b"x"), 202);
     endpoint.wait_for_message("early", 1);
     let until = Instant::now() + Duration::from_millis(1_500);
-    assert_eq!(node.submit("order", "m", 7, 1_500, b"x"), 202);
-    node.wait_until("the call is out", || arrived.load(Ordering::SeqCst) == 1);
-    node.pause();
+    assert_eq!(sender.submit("order", "m", 7, 1_500, b"x"), 202);
+    sender.wait_until("the call is out", || arrived.load(Ordering::SeqCst) == 1);
+    sender.pause();
     std::thread::sleep(until.saturating_duration_since(Instant::now()) + Duration::from_millis(20));
     gate.open();
     endpoint.wait_for_message("m", 1);
-    node.resume();
+    sender.resume();
     assert_eq!(discovery.wait_for_notice("m")["outcome"], "given_up");
     assert!(discovery.notices().iter().all(|n| n["message"] != "early"));
 }
--- a/crates/serve/nickelshed/tests/notes.rs
+++ b/crates/serve/nickelshed/tests/notes.rs
@@ -10,7 +10,7 @@
 }
 
 /// A sender of that number, whose settings name two senders.
-fn sender(
+fn start_sender(
     discovery: &Discovery,
     number: usize,
     peers: &Value,
@@ -26,8 +26,9 @@
     })
 }
 
-fn meets(node: &SenderProcess) -> bool {
-    node.log()
+fn meets(sender: &SenderProcess) -> bool {
+    sender
+        .log()
         .lines()
         .any(|line| line.contains("view of the fleet has changed") && line.contains("present=2"))
 }
@@ -38,19 +39,19 @@
     let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
     let at = [free(), free()];
     let peers = json!(at.map(|a| a.to_string()));
-    let mut nodes: Vec<SenderProcess> =
-        (0..2).map(|n| sender(&discovery, n, &peers, at[n], &json!(true))).collect();
-    nodes[0].wait_until("both are seen by the first", || meets(&nodes[0]));
-    nodes[1].wait_until("both are seen by the second", || meets(&nodes[1]));
+    let mut senders: Vec<SenderProcess> =
+        (0..2).map(|n| start_sender(&discovery, n, &peers, at[n], &json!(true))).collect();
+    senders[0].wait_until("both are seen by the first", || meets(&senders[0]));
+    senders[1].wait_until("both are seen by the second", || meets(&senders[1]));
     // One that is killed comes back under a later start, which the folder has kept.
-    nodes[1].kill();
-    nodes[1].discard_log();
-    nodes[1].restart();
-    nodes[1].wait_until("the second is back", || meets(&nodes[1]));
-    assert!(nodes[1].log().contains("start=2"), "{}", nodes[1].log());
-    for (number, node) in nodes.iter().enumerate() {
+    senders[1].kill();
+    senders[1].discard_log();
+    senders[1].restart();
+    senders[1].wait_until("the second is back", || meets(&senders[1]));
+    assert!(senders[1].log().contains("start=2"), "{}", senders[1].log());
+    for (number, sender) in senders.iter().enumerate() {
         let id = format!("m{number}");
-        assert_eq!(node.submit("order", &id, 7, 16_000, b"x"), 202);
+        assert_eq!(sender.submit("order", &id, 7, 16_000, b"x"), 202);
         assert_eq!(endpoint.wait_for_message(&id, 1).len(), 1);
     }
 }
@@ -73,11 +74,11 @@
         (&json!({"n0": own.to_string()}), 0, json!(true)),
     ];
     for (row, (peers, number, allowed)) in rows.into_iter().enumerate() {
-        let node = sender(&discovery, number, peers, own, &allowed);
+        let sender = start_sender(&discovery, number, peers, own, &allowed);
         let id = format!("m{row}");
-        assert_eq!(node.submit("order", &id, 7, 16_000, b"x"), 202);
+        assert_eq!(sender.submit("order", &id, 7, 16_000, b"x"), 202);
         assert_eq!(endpoint.wait_for_message(&id, 1).len(), 1);
-        assert!(!node.log().contains("member of the fleet"), "row {row}: {}", node.log());
+        assert!(!sender.log().contains("member of the fleet"), "row {row}: {}", sender.log());
         UdpSocket::bind(own).unwrap_or_else(|e| panic!("row {row}: {e}"));
     }
 }
