--- a/crates/serve/nickelshed/tests/moments.rs
+++ b/crates/serve/nickelshed/tests/moments.rs
@@ -1,5 +1,5 @@
-//! Narrow moments, forced by peers that hold a byte back until they have seen what they wait for: the delivered program
-//! over loopback sockets.
+//! Tests of race conditions. Fake servers hold back a byte until an event has occurred, or the process is
+//! paused with SIGSTOP, so that the interleaving under test occurs in every run.
 use nickelshed_testkit::*;
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
@@ -10,7 +10,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nickelshed");
 
-/// Held until a test lets it go.
+/// Blocks `wait` until `open` is called.
 #[derive(Clone, Default)]
 struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
@@ -21,28 +21,29 @@
     }
 
     fn wait(&self) {
-        let held = self.0 .0.lock().unwrap();
-        drop(self.0 .1.wait_timeout_while(held, WAIT_TIMEOUT, |open| !*open).unwrap());
+        let is_open = self.0 .0.lock().unwrap();
+        drop(self.0 .1.wait_timeout_while(is_open, WAIT_TIMEOUT, |open| !*open).unwrap());
     }
 }
 
-/// A message whose time is up leaves its call alone, and the call goes on for the others. What was named first is not one
-/// that leaves: a platform was seen to count nothing of the whole answer where it was.
+/// A message that expires leaves its call, which continues for the others. The message with the most time
+/// left is listed first in a batch: a platform was observed to count nothing of a response if the first
+/// message had left the call.
 #[test]
-fn a_batch_names_first_the_message_with_most_time_and_delivers_it_after_another_has_left() {
+fn a_batch_lists_the_message_with_most_time_left_first_and_delivers_it_after_another_has_expired() {
     let gate = Gate::default();
-    let held = gate.clone();
+    let endpoint_gate = gate.clone();
     let endpoint = FakeServer::new(move |request| {
         if !request.start_line.contains(":batch") {
             return http_reply("429 Wait", "Retry-After: 1\r\n", "");
         }
-        held.wait();
+        endpoint_gate.wait();
         let list: Vec<Value> = serde_json::from_slice(&request.body).unwrap();
-        let ends: Vec<Value> = list.iter().map(|m| json!({"id": m["id"], "state": "done"})).collect();
-        http_reply("200 OK", "", &json!(ends).to_string())
+        let results: Vec<Value> = list.iter().map(|m| json!({"id": m["id"], "state": "done"})).collect();
+        http_reply("200 OK", "", &json!(results).to_string())
     });
     let discovery = Discovery::new(json!([instance("e-1", endpoint.address, 7, "many", "Ready")]));
-    // Worth most, and soon over: the module would name it first.
+    // The most valuable message, with the nearest deadline: the policy lists it first.
     let mut sender = SenderProcess::start_with(PROGRAM, &discovery, json!([]), |config| {
         let services = config["settings"]["Services"].as_array_mut().unwrap();
         let mut brief = services[1].clone();
@@ -57,7 +58,7 @@
     {
         assert_eq!(sender.submit(class, id, 7, expires, id.as_bytes()), 202);
     }
-    // It has left its call, which is still out: the answer has not begun.
+    // The message has left its call, which is still in flight: the response has not begun.
     assert_eq!(discovery.wait_for_notice("short")["outcome"], "given_up");
     gate.open();
     let received =
@@ -66,16 +67,17 @@
     let list: Vec<Value> = serde_json::from_slice(&batch.body).unwrap();
     let ids: Vec<&str> = list.iter().filter_map(|m| m["id"].as_str()).collect();
     assert!(ids.contains(&"short"), "{ids:?}");
-    let at = |id: &str| ids.iter().position(|i| *i == id).unwrap();
-    assert!(at("long") == 0 && at("middle") < at("short"), "{ids:?}");
+    let position = |id: &str| ids.iter().position(|i| *i == id).unwrap();
+    assert!(position("long") == 0 && position("middle") < position("short"), "{ids:?}");
     sender.terminate();
     assert!(sender.wait_exit().success());
-    let told: Vec<Value> = discovery.notices();
-    assert!(told.iter().all(|n| n["message"] != "long" && n["message"] != "middle"), "{told:?}");
+    let notices: Vec<Value> = discovery.notices();
+    assert!(notices.iter().all(|n| n["message"] != "long" && n["message"] != "middle"), "{notices:?}");
 }
 
-/// Room for twenty; eighteen are held for an endpoint that is shut, so that the next is past the bound.
-fn full_to_the_bound(discovery: &Discovery) -> SenderProcess {
+/// Starts a sender with a limit of 20 open messages and queues 18 for an endpoint that accepts no calls. The
+/// next message is above the threshold at which the sender sheds load.
+fn start_at_open_limit(discovery: &Discovery) -> SenderProcess {
     let mut sender = SenderProcess::start_with(PROGRAM, discovery, json!([]), |config| {
         config["settings"]["Limits"]["MaxOpen"] = json!(20);
     });
@@ -89,91 +91,101 @@
     sender
 }
 
-fn ids_seen(endpoint: &FakeServer) -> Vec<String> {
+fn received_ids(endpoint: &FakeServer) -> Vec<String> {
     let mut ids: Vec<String> = endpoint.received().iter().map(|r| r.message_id().to_string()).collect();
     ids.sort();
     ids
 }
 
-/// Past the bound a message waits for its answer through the admission wait. Handed in twice meanwhile it has one fate,
-/// told to both; turned away it leaves no notice and no record.
+/// Above the limit of open messages a submission is answered only after the admission wait. If the same
+/// message is submitted twice meanwhile, both requests get the same answer. A message that is shed leaves no
+/// notice and no record in the journal.
 #[test]
-fn past_the_bound_what_is_turned_away_was_never_taken_on() {
-    let (shut, open) = (FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply()));
+fn a_message_shed_after_the_admission_wait_leaves_no_record() {
+    let (draining, available) = (FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply()));
     let list = |lifecycle| {
-        json!([instance("e-1", shut.address, 7, "plain", lifecycle), ready_instance("e-2", open.address, 8)])
+        json!([
+            instance("e-1", draining.address, 7, "plain", lifecycle),
+            ready_instance("e-2", available.address, 8)
+        ])
     };
     let discovery = Discovery::new(list("Terminating"));
-    let mut sender = full_to_the_bound(&discovery);
-    let both: Vec<TcpStream> = (0..2)
+    let mut sender = start_at_open_limit(&discovery);
+    let clients: Vec<TcpStream> = (0..2)
         .map(|_| {
             let mut client = TcpStream::connect(sender.address).unwrap();
             client.write_all(&submission_request("order", "over", 7, 16_000, b"x")).unwrap();
             client
         })
         .collect();
-    for client in both {
-        let heard = read_http_message(&mut BufReader::new(client), 0).unwrap();
-        assert!(heard.start_line.contains(" 503 ") && heard.headers.contains_key("retry-after"), "{heard:?}");
+    for client in clients {
+        let response = read_http_message(&mut BufReader::new(client), 0).unwrap();
+        assert!(
+            response.start_line.contains(" 503 ") && response.headers.contains_key("retry-after"),
+            "{response:?}"
+        );
     }
-    // What can be called for at once is taken on at once, full or not. Keyed: the kill may come before its answer is read.
+    // A message that can be sent at once is accepted at once, also above the limit. It is keyed because the
+    // kill may come before the sender has read the response to its call.
     assert_eq!(sender.submit("alert", "goes", 8, 16_000, b"x"), 202);
-    open.wait_for_message("goes", 1);
+    available.wait_for_message("goes", 1);
     sender.kill();
     discovery.set_instances(list("Ready"));
     sender.restart();
-    shut.wait_until("all that was held", |received| received.len() >= 18);
+    draining.wait_until("all queued messages", |received| received.len() >= 18);
     assert_eq!(sender.submit("order", "last", 7, 16_000, b"x"), 202);
-    shut.wait_for_message("last", 1);
-    assert!(!ids_seen(&shut).contains(&"over".to_string()), "{:?}", ids_seen(&shut));
+    draining.wait_for_message("last", 1);
+    assert!(!received_ids(&draining).contains(&"over".to_string()), "{:?}", received_ids(&draining));
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
 
-/// Killed while a client waits for its answer: the next process owes that message nothing, and the client, who heard
-/// nothing, hands it in again.
+/// The process is killed while a client waits for the answer to its submission. The next process has no
+/// record of the message, and the client, which got no answer, submits it again.
 #[test]
-fn a_kill_while_a_message_waits_to_be_taken_on_leaves_it_to_its_client() {
+fn a_message_killed_during_its_admission_wait_is_left_to_its_client() {
     let endpoint = FakeServer::new(|_| ok_reply());
     let list = |lifecycle| json!([instance("e-1", endpoint.address, 7, "plain", lifecycle)]);
     let discovery = Discovery::new(list("Terminating"));
-    let mut sender = full_to_the_bound(&discovery);
+    let mut sender = start_at_open_limit(&discovery);
     let mut client = TcpStream::connect(sender.address).unwrap();
     client.write_all(&submission_request("order", "waits", 7, 16_000, b"x")).unwrap();
-    sender.wait_until("it has come", || sender.log().contains("trace=\"waits\""));
+    sender.wait_until("the submission has arrived", || sender.log().contains("trace=\"waits\""));
     sender.kill();
     discovery.set_instances(list("Ready"));
     sender.restart();
-    endpoint.wait_until("all that was held", |received| received.len() >= 18);
+    endpoint.wait_until("all queued messages", |received| received.len() >= 18);
     assert_eq!(sender.submit("order", "waits", 7, 16_000, b"x"), 202);
     assert_eq!(endpoint.wait_for_message("waits", 1).len(), 1);
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
 
-/// Told to end while a client waits for its answer: it gets one, and the end is no later for it.
+/// SIGTERM arrives while a client waits for the answer to its submission: the client gets one, and the exit
+/// is not delayed.
 #[test]
-fn sigterm_while_a_message_waits_to_be_taken_on_is_answered() {
+fn a_message_in_its_admission_wait_is_answered_on_sigterm() {
     let endpoint = FakeServer::new(|_| ok_reply());
     let discovery = Discovery::new(json!([instance("e-1", endpoint.address, 7, "plain", "Terminating")]));
-    let mut sender = full_to_the_bound(&discovery);
+    let mut sender = start_at_open_limit(&discovery);
     let mut client = TcpStream::connect(sender.address).unwrap();
     client.write_all(&submission_request("order", "waits", 7, 16_000, b"x")).unwrap();
-    sender.wait_until("it has come", || sender.log().contains("trace=\"waits\""));
+    sender.wait_until("the submission has arrived", || sender.log().contains("trace=\"waits\""));
     sender.terminate();
-    let heard = read_http_message(&mut BufReader::new(client), 0).unwrap();
-    assert!(heard.start_line.contains(" 503 "), "{heard:?}");
+    let response = read_http_message(&mut BufReader::new(client), 0).unwrap();
+    assert!(response.start_line.contains(" 503 "), "{response:?}");
     assert!(sender.wait_exit().success());
 }
 
-/// An endpoint that takes every connection and ends it at once, before anything is written there.
+/// The endpoint accepts every connection and closes it at once, before the request is written. An attempt
+/// must not reconnect by itself.
 #[test]
-fn a_connection_that_is_ended_as_it_is_made_is_tried_once_an_attempt() {
+fn an_attempt_opens_at_most_one_connection_when_connections_are_closed_on_accept() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let taken = Arc::new(AtomicUsize::new(0));
-    let count = taken.clone();
+    let accepted = Arc::new(AtomicUsize::new(0));
+    let counter = accepted.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            count.fetch_add(1, Ordering::SeqCst);
+            counter.fetch_add(1, Ordering::SeqCst);
             drop(stream);
         }
     });
@@ -183,25 +195,27 @@
     assert!(sender.wait_exit().success());
     sender.set_environment("RUST_LOG", "debug");
     sender.restart();
-    // A keyed one: where the request was out before the end was seen, it may have run.
+    // Keyed: if the request was written before the close was noticed, the message may have been executed.
     assert_eq!(sender.submit("alert", "m", 7, 1_500, b"x"), 202);
     assert_eq!(discovery.wait_for_notice("m")["outcome"], "handed_back");
     sender.terminate();
     assert!(sender.wait_exit().success());
     let attempts = sender.log().matches("attempt ended").count();
     assert!(attempts >= 1, "{}", sender.log());
-    let taken = taken.load(Ordering::SeqCst);
-    assert!(taken <= attempts, "{taken} connections for {attempts} attempts");
+    let accepted = accepted.load(Ordering::SeqCst);
+    assert!(accepted <= attempts, "{accepted} connections for {attempts} attempts");
 }
 
-/// Its request and its end come in the same turn: it hears nothing, may hand the message in elsewhere, and a call that the
-/// same round decided on would run it twice.
+/// The request and the disconnect of the client arrive in the same iteration of the event loop. The client
+/// gets no answer and may submit the message to another sender: a call decided on in that iteration could
+/// execute it twice.
 #[test]
-fn a_message_whose_client_has_left_before_its_answer_is_not_called_for() {
+fn a_message_whose_client_disconnects_before_the_response_is_not_sent() {
     let endpoint = FakeServer::new(|_| ok_reply());
     let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
     let sender = SenderProcess::start(PROGRAM, &discovery);
-    // The first one shows that all is ready, and leaves a connection that a call could go out on at once.
+    // The first message shows that the sender is ready, and leaves an idle connection on which a call could
+    // start at once.
     assert_eq!(sender.submit("order", "before", 7, 16_000, b"x"), 202);
     endpoint.wait_for_message("before", 1);
     sender.pause();
@@ -217,10 +231,10 @@
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
 
-/// What was asked in the silence is never answered, and what discovery has to tell at its return counts at once: the drain
-/// has a second.
+/// Discovery never answers the requests made while it is silent. When it recovers, a drain in its list must
+/// take effect within the grace period of one second.
 #[test]
-fn a_drain_that_discovery_tells_at_its_return_is_heard_within_its_grace() {
+fn a_drain_listed_when_discovery_recovers_takes_effect_within_its_grace_period() {
     let (endpoint, other) = (FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply()));
     let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
     let sender = SenderProcess::start(PROGRAM, &discovery);
@@ -231,34 +245,42 @@
         instance("e-1", endpoint.address, 7, "plain", "Terminating"),
         ready_instance("e-2", other.address, 7)
     ]));
-    // Two asks that were begun in the silence: the second one shows that the first was given up.
-    let asks = |received: &[HttpMessage]| received.iter().filter(|r| r.start_line.contains("index=")).count();
-    let before = asks(&discovery.server.received());
-    discovery.server.wait_until("it to ask in the silence", |received| asks(received) >= before + 3);
+    // Two requests that began during the silence: the second one shows that the first has timed out.
+    let watch_requests =
+        |received: &[HttpMessage]| received.iter().filter(|r| r.start_line.contains("index=")).count();
+    let count_before = watch_requests(&discovery.server.received());
+    discovery.server.wait_until("watch requests during the silence", |received| {
+        watch_requests(received) >= count_before + 3
+    });
     discovery.resume_answering();
-    let spoke = Instant::now();
-    let received = discovery.server.wait_until("the watch to go on", |requests| {
+    let recovered_at = Instant::now();
+    let received = discovery.server.wait_until("the watch to continue", |requests| {
         requests.iter().any(|r| r.start_line.contains("index=2"))
     });
-    let heard =
-        received.iter().find(|r| r.start_line.contains("index=2")).unwrap().received_at.duration_since(spoke);
-    assert!(heard < Duration::from_millis(1_000), "{heard:?}");
+    let delay = received
+        .iter()
+        .find(|r| r.start_line.contains("index=2"))
+        .unwrap()
+        .received_at
+        .duration_since(recovered_at);
+    assert!(delay < Duration::from_millis(1_000), "{delay:?}");
     assert_eq!(sender.submit("order", "after", 7, 16_000, b"x"), 202);
     other.wait_for_message("after", 1);
 }
 
-/// The answer and the end of the message's time are there in the same turn. Nobody can know whether the answer was written in
-/// time, so the message's end is told; a notice for one that is over does no harm.
+/// The response and the expiry of the message are processed in the same iteration of the event loop. The
+/// sender cannot know whether the response was written before the deadline, so it posts a notice; a notice on
+/// a delivered message does no harm.
 #[test]
-fn a_message_that_is_answered_as_its_time_runs_out_is_told_of() {
+fn a_message_answered_at_its_deadline_gets_a_notice() {
     let gate = Gate::default();
-    let held = gate.clone();
+    let endpoint_gate = gate.clone();
     let arrived = Arc::new(AtomicUsize::new(0));
-    let count = arrived.clone();
+    let counter = arrived.clone();
     let endpoint = FakeServer::new(move |request| {
         if request.message_id() == "m" {
-            count.fetch_add(1, Ordering::SeqCst);
-            held.wait();
+            counter.fetch_add(1, Ordering::SeqCst);
+            endpoint_gate.wait();
         }
         ok_reply()
     });
@@ -269,11 +291,11 @@
     let sender = SenderProcess::start(PROGRAM, &discovery);
     assert_eq!(sender.submit("order", "early", 8, 16_000, b"x"), 202);
     endpoint.wait_for_message("early", 1);
-    let until = Instant::now() + Duration::from_millis(1_500);
+    let deadline = Instant::now() + Duration::from_millis(1_500);
     assert_eq!(sender.submit("order", "m", 7, 1_500, b"x"), 202);
-    sender.wait_until("the call is out", || arrived.load(Ordering::SeqCst) == 1);
+    sender.wait_until("the call is in flight", || arrived.load(Ordering::SeqCst) == 1);
     sender.pause();
-    std::thread::sleep(until.saturating_duration_since(Instant::now()) + Duration::from_millis(20));
+    std::thread::sleep(deadline.saturating_duration_since(Instant::now()) + Duration::from_millis(20));
     gate.open();
     endpoint.wait_for_message("m", 1);
     sender.resume();
