--- a/crates/serve/nickelshed/tests/fleet.rs
+++ b/crates/serve/nickelshed/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Thirty applications of one fleet: written, checked, started, and each file broken.
+//! Tests of a generated fleet of thirty applications: its files pass the check, each application starts and
+//! delivers, and typical mistakes in one file are found.
 use nickelshed_config::Code;
 use nickelshed_testkit::*;
 use std::collections::BTreeMap;
@@ -10,18 +11,19 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nickelshed");
 const APPLICATIONS: usize = 30;
 
-struct Scratch(PathBuf);
+/// A folder that is removed when it is dropped, unless the test panics.
+struct ScratchFolder(PathBuf);
 
-impl Scratch {
-    fn new(name: &str) -> Scratch {
+impl ScratchFolder {
+    fn new(name: &str) -> ScratchFolder {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
-        Scratch(folder)
+        ScratchFolder(folder)
     }
 }
 
-impl Drop for Scratch {
+impl Drop for ScratchFolder {
     fn drop(&mut self) {
         if !std::thread::panicking() {
             let _ = std::fs::remove_dir_all(&self.0);
@@ -29,23 +31,24 @@
     }
 }
 
-/// Ended with the test, however that ends.
-struct Started(Child);
+/// A child process that is killed when it is dropped, also if the test panics.
+struct RunningProcess(Child);
 
-impl Drop for Started {
+impl Drop for RunningProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Different ports that were free a moment ago.
-fn ports(count: usize) -> Vec<u16> {
-    let held: Vec<TcpListener> = (0..count).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
-    held.iter().map(|l| l.local_addr().unwrap().port()).collect()
+/// Distinct ports that were free when they were picked.
+fn free_ports(count: usize) -> Vec<u16> {
+    let listeners: Vec<TcpListener> = (0..count).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
+    listeners.iter().map(|listener| listener.local_addr().unwrap().port()).collect()
 }
 
-/// A fleet with a port for each application, written out. The files in order of their applications.
+/// Writes a fleet file with a port for each application and generates the sidecar files from it. Returns
+/// their paths in the order of the applications.
 fn write_fleet(folder: &Path, endpoints: &[SocketAddr; 3]) -> Vec<PathBuf> {
     let mut fleet = String::from(
         "ports = [1, 1]\nstate = \"state\"\nnotices = \".\"\nloopback_only = true\nsenders = 1\n\
@@ -58,7 +61,7 @@
             &format!("[[destination]]\nname = \"gmina-{i}\"\nnumber = {i}\nendpoints = [\"{endpoint}\"]\n");
     }
     let ports =
-        ports(APPLICATIONS + 3).into_iter().filter(|port| endpoints.iter().all(|e| e.port() != *port));
+        free_ports(APPLICATIONS + 3).into_iter().filter(|port| endpoints.iter().all(|e| e.port() != *port));
     for (i, port) in ports.take(APPLICATIONS).enumerate() {
         fleet += &format!("[[application]]\nname = \"app-{i:02}\"\nport = {port}\n");
     }
@@ -70,57 +73,59 @@
 }
 
 #[test]
-fn thirty_applications_of_one_fleet_check_clean_start_and_deliver() {
-    let peers =
+fn thirty_applications_of_one_fleet_pass_the_check_start_and_deliver() {
+    let servers =
         [FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply())];
-    let scratch = Scratch::new("fleet");
-    let files = write_fleet(&scratch.0, &[peers[0].address, peers[1].address, peers[2].address]);
+    let scratch_folder = ScratchFolder::new("fleet");
+    let files = write_fleet(&scratch_folder.0, &[servers[0].address, servers[1].address, servers[2].address]);
     let checked = nickelshed_ctl::check(&files);
     assert_eq!(checked.findings, []);
     let start = |file: &PathBuf| {
         let log = std::fs::File::create(file.with_extension("log")).unwrap();
         let child = Command::new(PROGRAM).arg("--config").arg(file).stdin(Stdio::null()).stderr(log).spawn();
-        Started(child.unwrap())
+        RunningProcess(child.unwrap())
     };
-    let mut started: Vec<Started> = files.iter().map(start).collect();
+    let mut processes: Vec<RunningProcess> = files.iter().map(start).collect();
     for (i, (sidecar, _)) in checked.files.iter().flatten().enumerate() {
-        let until = Instant::now() + WAIT_TIMEOUT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let log = || std::fs::read_to_string(files[i].with_extension("log")).unwrap_or_default();
         while !send_request(sidecar.listen, b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
             .is_some_and(|r| r.start_line.contains(" 200"))
         {
-            assert!(started[i].0.try_wait().unwrap().is_none(), "{}", log());
-            assert!(Instant::now() < until, "{}", log());
+            assert!(processes[i].0.try_wait().unwrap().is_none(), "{}", log());
+            assert!(Instant::now() < deadline, "{}", log());
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
         let id = format!("of-{}", sidecar.application);
-        let answer =
+        let response =
             send_request(sidecar.listen, &submission_request("alert", &id, (i % 3) as u64, 9_000, b"x"))
                 .unwrap();
-        assert!(answer.start_line.contains(" 202"), "{}: {}", answer.start_line, log());
-        peers[i % 3].wait_for_message(&id, 1);
+        assert!(response.start_line.contains(" 202"), "{}: {}", response.start_line, log());
+        servers[i % 3].wait_for_message(&id, 1);
     }
-    assert_eq!(started.len(), APPLICATIONS);
+    assert_eq!(processes.len(), APPLICATIONS);
 }
 
-/// One character, or one slip of the hand, in the twelfth of the files.
+/// Each mistake is one typing error or one wrong value in the file of application 12.
 #[test]
-fn each_of_twenty_slips_in_one_of_thirty_files_is_caught() {
-    let nowhere = |port| SocketAddr::from(([127, 0, 0, 1], port));
-    let scratch = Scratch::new("slips");
-    let endpoints = ports(3);
-    let files =
-        write_fleet(&scratch.0, &[nowhere(endpoints[0]), nowhere(endpoints[1]), nowhere(endpoints[2])]);
+fn each_of_twenty_mistakes_in_one_of_thirty_files_is_found() {
+    let loopback = |port| SocketAddr::from(([127, 0, 0, 1], port));
+    let scratch_folder = ScratchFolder::new("slips");
+    let endpoint_ports = free_ports(3);
+    let files = write_fleet(
+        &scratch_folder.0,
+        &[loopback(endpoint_ports[0]), loopback(endpoint_ports[1]), loopback(endpoint_ports[2])],
+    );
     let file = &files[12];
-    let good = std::fs::read_to_string(file).unwrap();
+    let valid_text = std::fs::read_to_string(file).unwrap();
     let texts: BTreeMap<&PathBuf, String> =
         files.iter().map(|f| (f, std::fs::read_to_string(f).unwrap())).collect();
-    let listen = |f: &PathBuf| texts[f].lines().find(|l| l.starts_with("listen")).unwrap().to_string();
-    let (own, other) = (listen(file), listen(&files[3]));
-    let first = format!("127.0.0.1:{}", endpoints[0]);
-    let too_far = format!("127.0.0.1:{}0", endpoints[0]);
-    let own_address = own.split('"').nth(1).unwrap().to_string();
-    let slips: Vec<(&str, &str, Code)> = vec![
+    let listen_line = |f: &PathBuf| texts[f].lines().find(|l| l.starts_with("listen")).unwrap().to_string();
+    let (own_listen, other_listen) = (listen_line(file), listen_line(&files[3]));
+    let first_endpoint = format!("127.0.0.1:{}", endpoint_ports[0]);
+    let invalid_port = format!("127.0.0.1:{}0", endpoint_ports[0]);
+    let own_address = own_listen.split('"').nth(1).unwrap().to_string();
+    let mistakes: Vec<(&str, &str, Code)> = vec![
         ("slots = 8", "slot = 8", Code::UnknownKey),
         ("[limits]", "[limit]", Code::UnknownKey),
         ("[[class]]", "[class]", Code::WrongValue),
@@ -138,21 +143,21 @@
         ("effect = \"keyed\"", "effect = \"kyed\"", Code::WrongValue),
         ("share = \"60%\"", "share = \"66%\"", Code::SharesOverWhole),
         ("number = 1", "number = 2", Code::SameDestination),
-        (&first, &too_far, Code::WrongValue),
-        (&first, &own_address, Code::OwnAddress),
-        (&own, &other, Code::PortTaken),
+        (&first_endpoint, &invalid_port, Code::WrongValue),
+        (&first_endpoint, &own_address, Code::OwnAddress),
+        (&own_listen, &other_listen, Code::PortTaken),
         ("state = \"state/app-12\"", "state = \"state/app-11\"", Code::FolderTaken),
         ("file = \"./app-12.jsonl\"", "file = \"./app-13.jsonl\"", Code::SinkTaken),
         ("127.0.0.1", "127.0.0,1", Code::WrongValue),
         ("127.0.0.1", "27.0.0.1", Code::NotLoopback),
     ];
-    assert!(slips.len() >= 20);
-    for (from, to, code) in slips {
-        assert!(good.contains(from), "{from} is not in\n{good}");
-        std::fs::write(file, good.replacen(from, to, 1)).unwrap();
+    assert!(mistakes.len() >= 20);
+    for (from, to, code) in mistakes {
+        assert!(valid_text.contains(from), "{from} is not in\n{valid_text}");
+        std::fs::write(file, valid_text.replacen(from, to, 1)).unwrap();
         let checked = nickelshed_ctl::check(&files);
-        let found = checked.findings.iter().find(|f| f.code == code && f.is_error());
-        assert!(found.is_some(), "{from} -> {to}: {:#?}", checked.findings);
+        let finding = checked.findings.iter().find(|f| f.code == code && f.is_error());
+        assert!(finding.is_some(), "{from} -> {to}: {:#?}", checked.findings);
         let path = file.to_str().unwrap();
         assert_eq!(
             nickelshed_ctl::call([
@@ -166,6 +171,6 @@
             1
         );
     }
-    std::fs::write(file, good).unwrap();
+    std::fs::write(file, valid_text).unwrap();
     assert_eq!(nickelshed_ctl::check(&files).findings, []);
 }
--- a/crates/serve/nickelshed/tests/members.rs
+++ b/crates/serve/nickelshed/tests/members.rs
@@ -1,5 +1,5 @@
-//! Several processes of the sender as a fleet, with a relay on each link: what they believe while links, processes and
-//! folders fail, from what each of them logs.
+//! Tests of several sender processes as one fleet, with a UDP relay on each link. Links, processes and state
+//! folders fail, and each test checks from the logs how the members see one another.
 use nickelshed_rig::Relay;
 use nickelshed_testkit::*;
 use std::net::{SocketAddr, UdpSocket};
@@ -12,9 +12,15 @@
     endpoint: FakeServer,
 }
 
-fn file(listen: SocketAddr, relay: &Relay, number: usize, endpoint: SocketAddr, planned: usize) -> String {
+fn sidecar_config(
+    listen: SocketAddr,
+    relay: &Relay,
+    number: usize,
+    endpoint: SocketAddr,
+    sender_count: usize,
+) -> String {
     format!(
-        "application = \"n{number}\"\nlisten = \"{listen}\"\nstate = \"state\"\nloopback_only = true\nsenders = {planned}\n\
+        "application = \"n{number}\"\nlisten = \"{listen}\"\nstate = \"state\"\nloopback_only = true\nsenders = {sender_count}\n\
          [fleet]\nname = \"rig\"\nlisten = \"{}\"\nadvertise = \"{}\"\nseeds = [\"{}\"]\nkey_file = \"key\"\n\
          [limits]\nheld = 200\nslots = 16\n[notices]\nfile = \"notices.jsonl\"\n\
          [[class]]\nname = \"alert\"\nwanted_within = \"3s\"\nabandoned_after = \"16s\"\neffect = \"keyed\"\n\
@@ -32,7 +38,7 @@
         let sender = |number: usize| {
             SenderProcess::start_prepared_sidecar(
                 PROGRAM,
-                |listen| file(listen, &relay, number, endpoint.address, members),
+                |listen| sidecar_config(listen, &relay, number, endpoint.address, members),
                 |folder| {
                     std::fs::write(folder.join("key"), "a key of the rig").unwrap();
                 },
@@ -41,157 +47,176 @@
         let senders = (0..members).map(sender).collect();
         let fleet = Fleet { relay, senders, endpoint };
         for number in 0..members {
-            fleet.until_present(number, members);
+            fleet.wait_until_present(number, members);
         }
         fleet
     }
 
-    /// What the last line of a kind says of a figure.
-    fn last(&self, number: usize, line: &str, figure: &str) -> Option<usize> {
+    /// Returns the value of `field` in the last log line of a member that contains `text`.
+    fn last_logged(&self, number: usize, text: &str, field: &str) -> Option<usize> {
         let log = self.senders[number].log();
-        let line = log.lines().rev().find(|l| l.contains(line))?;
-        let from = line.find(&format!("{figure}="))? + figure.len() + 1;
-        line[from..].split_whitespace().next()?.parse().ok()
+        let line = log.lines().rev().find(|line| line.contains(text))?;
+        let start = line.find(&format!("{field}="))? + field.len() + 1;
+        line[start..].split_whitespace().next()?.parse().ok()
     }
 
-    fn until_present(&self, number: usize, members: usize) {
+    fn wait_until_present(&self, number: usize, members: usize) {
         self.senders[number].wait_until(&format!("n{number} sees {members}"), || {
-            self.last(number, "the view of the fleet has changed", "present") == Some(members)
+            self.last_logged(number, "the view of the fleet has changed", "present") == Some(members)
         });
     }
 
-    fn until_shared(&self, number: usize, among: usize) {
-        self.senders[number].wait_until(&format!("n{number} shares among {among}"), || {
-            self.last(number, "each limit is shared among", "senders") == Some(among)
+    fn wait_until_sender_count(&self, number: usize, sender_count: usize) {
+        self.senders[number].wait_until(&format!("n{number} shares limits among {sender_count}"), || {
+            self.last_logged(number, "each limit is shared among", "senders") == Some(sender_count)
         });
     }
 
-    fn saw(&self, number: usize, other: usize, change: &str) -> usize {
+    /// Returns how often a member has logged this change of another member.
+    fn change_count(&self, number: usize, other: usize, change: &str) -> usize {
         let (member, change) = (format!("member=\"n{other}\""), format!("change=\"{change}\""));
         let log = self.senders[number].log();
         log.lines().filter(|l| l.contains(&member) && l.contains(&change)).count()
     }
 
-    fn nobody_gone(&self) {
+    fn assert_no_failure_declared(&self) {
         for (number, sender) in self.senders.iter().enumerate() {
             let log = sender.log();
             assert!(!log.contains("change=\"gone\""), "n{number}:\n{log}");
         }
     }
 
-    /// Until so many more datagrams have passed between the members.
-    fn until_passed(&self, more: u64) {
-        let from = self.relay.received_count();
-        self.senders[0].wait_until("datagrams pass", || self.relay.received_count() > from + more);
+    /// Waits until `count` more datagrams have passed between the members.
+    fn wait_for_datagrams(&self, count: u64) {
+        let count_before = self.relay.received_count();
+        self.senders[0].wait_until("datagrams pass", || self.relay.received_count() > count_before + count);
     }
 }
 
 #[test]
-fn members_meet_share_a_limit_and_take_up_what_one_leaves() {
+fn members_find_each_other_share_limits_and_take_over_the_share_of_one_that_leaves() {
     let mut fleet = Fleet::new(3);
-    (0..3).for_each(|n| fleet.until_shared(n, 3));
-    fleet.nobody_gone();
+    (0..3).for_each(|n| fleet.wait_until_sender_count(n, 3));
+    fleet.assert_no_failure_declared();
     fleet.senders[2].terminate();
     fleet.senders[2].wait_exit();
-    fleet.senders[0]
-        .wait_until("n2 has left", || fleet.saw(0, 2, "left") == 1 && fleet.saw(1, 2, "left") == 1);
-    (0..2).for_each(|n| fleet.until_shared(n, 2));
+    fleet.senders[0].wait_until("n2 has left", || {
+        fleet.change_count(0, 2, "left") == 1 && fleet.change_count(1, 2, "left") == 1
+    });
+    (0..2).for_each(|n| fleet.wait_until_sender_count(n, 2));
     fleet.senders[2].restart();
-    (0..3).for_each(|n| fleet.until_shared(n, 3));
-    fleet.nobody_gone();
+    (0..3).for_each(|n| fleet.wait_until_sender_count(n, 3));
+    fleet.assert_no_failure_declared();
     assert_eq!(fleet.senders[0].submit("alert", "m", 7, 9_000, b"x"), 202);
     fleet.endpoint.wait_for_message("m", 1);
 }
 
-/// What an operator sees: all well, somebody gone, nobody there.
+/// Exit codes of `nickelshed-ctl fleet members`: 0 if all members are healthy, 1 if one has failed, 3 if none
+/// answers.
 #[test]
-fn the_tool_tells_who_is_there_who_is_gone_and_that_nobody_answers() {
+fn the_control_tool_reports_a_healthy_fleet_a_failed_member_and_no_answer() {
     let mut fleet = Fleet::new(3);
-    (0..3).for_each(|n| fleet.until_shared(n, 3));
+    (0..3).for_each(|n| fleet.wait_until_sender_count(n, 3));
     let configs: Vec<_> = fleet.senders.iter().map(|n| n.folder.join("sidecar.toml")).collect();
-    let look = |of: usize| {
-        nickelshed_ctl::call(["nickelshed-ctl", "fleet", "members", "--json", configs[of].to_str().unwrap()])
+    let exit_code = |number: usize| {
+        nickelshed_ctl::call([
+            "nickelshed-ctl",
+            "fleet",
+            "members",
+            "--json",
+            configs[number].to_str().unwrap(),
+        ])
     };
-    // Views that settle may differ for a moment, and the load of a machine may keep an answer back.
-    fleet.senders[0].wait_until("all is well", || look(0) == 0);
+    // Views may differ for a moment until they converge, and a loaded machine may delay an answer.
+    fleet.senders[0].wait_until("all members are healthy", || exit_code(0) == 0);
     fleet.senders[2].kill();
-    fleet.senders[0]
-        .wait_until("n2 is gone", || fleet.saw(0, 2, "gone") == 1 && fleet.saw(1, 2, "gone") == 1);
-    assert_eq!(look(0), 1, "one is gone");
-    assert_eq!(look(2), 1, "its own member is down, and its seed answers");
+    fleet.senders[0].wait_until("n2 is declared failed", || {
+        fleet.change_count(0, 2, "gone") == 1 && fleet.change_count(1, 2, "gone") == 1
+    });
+    assert_eq!(exit_code(0), 1, "one member has failed");
+    assert_eq!(exit_code(2), 1, "its own member is down, but its seed answers");
     fleet.senders[0].kill();
     fleet.senders[1].kill();
-    assert_eq!(look(0), 3, "nobody answers");
+    assert_eq!(exit_code(0), 3, "no member answers");
 }
 
 #[test]
-fn a_killed_member_keeps_its_part_and_is_back_under_a_later_life() {
+fn a_killed_member_keeps_its_share_and_returns_with_a_higher_start_number() {
     let mut fleet = Fleet::new(5);
-    (0..5).for_each(|n| fleet.until_shared(n, 5));
+    (0..5).for_each(|n| fleet.wait_until_sender_count(n, 5));
     fleet.senders[4].kill();
-    (0..4).for_each(|n| fleet.senders[n].wait_until("n4 is gone", || fleet.saw(n, 4, "gone") == 1));
+    (0..4).for_each(|n| {
+        fleet.senders[n].wait_until("n4 is declared failed", || fleet.change_count(n, 4, "gone") == 1)
+    });
     for n in 0..4 {
         assert_eq!(
-            fleet.last(n, "each limit is shared among", "senders"),
+            fleet.last_logged(n, "each limit is shared among", "senders"),
             Some(5),
-            "half a part more at most"
+            "the others reclaim at most half a share"
         );
     }
-    // Its folder is lost: its old life is remembered by the others, and outbid.
+    // The state folder is lost, and with it the start number. The others remember the old one, and the member
+    // must choose a higher one.
     std::fs::remove_dir_all(fleet.senders[4].state_folder()).unwrap();
     fleet.senders[4].restart();
-    (0..4).for_each(|n| fleet.senders[n].wait_until("n4 is back", || fleet.saw(n, 4, "returned") >= 1));
-    fleet.until_present(4, 5);
-    (0..5).for_each(|n| fleet.until_shared(n, 5));
-    let kept = std::fs::read_to_string(fleet.senders[4].state_folder().join("fleet-start")).unwrap();
-    assert!(kept.trim().parse::<u32>().unwrap() >= 1, "{kept}");
+    (0..4).for_each(|n| {
+        fleet.senders[n].wait_until("n4 has returned", || fleet.change_count(n, 4, "returned") >= 1)
+    });
+    fleet.wait_until_present(4, 5);
+    (0..5).for_each(|n| fleet.wait_until_sender_count(n, 5));
+    let start_number = std::fs::read_to_string(fleet.senders[4].state_folder().join("fleet-start")).unwrap();
+    assert!(start_number.trim().parse::<u32>().unwrap() >= 1, "{start_number}");
 }
 
 #[test]
-fn two_sides_of_a_cut_keep_to_their_parts_and_are_one_fleet_when_it_is_healed() {
+fn both_sides_of_a_partition_keep_their_shares_and_reunite_when_it_heals() {
     let fleet = Fleet::new(5);
-    (0..5).for_each(|n| fleet.until_shared(n, 5));
+    (0..5).for_each(|n| fleet.wait_until_sender_count(n, 5));
     fleet.relay.cut(&[0, 1], &[2, 3, 4], false);
-    (0..2).for_each(|n| fleet.until_present(n, 2));
-    (2..5).for_each(|n| fleet.until_present(n, 3));
+    (0..2).for_each(|n| fleet.wait_until_present(n, 2));
+    (2..5).for_each(|n| fleet.wait_until_present(n, 3));
     // Both sides still deliver.
     for n in [0, 4] {
         assert_eq!(fleet.senders[n].submit("alert", &format!("cut{n}"), 7, 9_000, b"x"), 202);
         fleet.endpoint.wait_for_message(&format!("cut{n}"), 1);
     }
     for n in 0..5 {
-        assert_eq!(fleet.last(n, "each limit is shared among", "senders"), Some(5), "n{n} takes up nothing");
+        assert_eq!(
+            fleet.last_logged(n, "each limit is shared among", "senders"),
+            Some(5),
+            "n{n} reclaims nothing"
+        );
     }
     fleet.relay.heal();
-    (0..5).for_each(|n| fleet.until_present(n, 5));
+    (0..5).for_each(|n| fleet.wait_until_present(n, 5));
 }
 
 #[test]
-fn links_cut_one_way_or_between_two_leave_nobody_gone() {
+fn one_way_and_single_link_cuts_do_not_lead_to_a_declared_failure() {
     let fleet = Fleet::new(4);
     fleet.relay.cut(&[1], &[2], true);
-    fleet.until_passed(400);
+    fleet.wait_for_datagrams(400);
     fleet.relay.cut(&[0], &[3], false);
-    fleet.until_passed(400);
-    fleet.nobody_gone();
+    fleet.wait_for_datagrams(400);
+    fleet.assert_no_failure_declared();
 }
 
 #[test]
-fn one_that_stood_still_knows_it_and_declares_nobody_gone() {
+fn a_stalled_member_detects_its_stall_and_declares_no_failures() {
     let fleet = Fleet::new(4);
     fleet.senders[1].pause();
-    fleet.senders[0].wait_until("n1 is gone", || fleet.saw(0, 1, "gone") == 1);
+    fleet.senders[0].wait_until("n1 is declared failed", || fleet.change_count(0, 1, "gone") == 1);
     fleet.senders[1].resume();
-    fleet.senders[1].wait_until("it knows", || fleet.senders[1].log().contains("stood still"));
-    fleet.senders[0].wait_until("n1 is there again", || fleet.saw(0, 1, "refuted") >= 1);
-    (0..4).for_each(|n| fleet.until_shared(n, 4));
+    fleet.senders[1].wait_until("n1 detects its stall", || fleet.senders[1].log().contains("stood still"));
+    fleet.senders[0].wait_until("n1 has refuted its failure", || fleet.change_count(0, 1, "refuted") >= 1);
+    (0..4).for_each(|n| fleet.wait_until_sender_count(n, 4));
     assert!(!fleet.senders[1].log().contains("change=\"gone\""));
     assert_eq!(fleet.senders[1].submit("alert", "awake", 7, 9_000, b"x"), 202);
     fleet.endpoint.wait_for_message("awake", 1);
 }
 
 #[test]
-fn a_fifth_lost_and_all_others_twice_leave_nobody_gone_and_floods_change_nothing() {
+fn datagram_loss_duplication_and_floods_do_not_lead_to_a_declared_failure() {
     let fleet = Fleet::new(4);
     fleet.relay.impair(20, true);
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -199,8 +224,8 @@
         let bytes: Vec<u8> = (0..number % 300).map(|b| (b * 7 + number) as u8).collect();
         stranger.send_to(&bytes, fleet.relay.member_address(number as usize % 4)).unwrap();
     }
-    fleet.until_passed(1_000);
-    fleet.nobody_gone();
+    fleet.wait_for_datagrams(1_000);
+    fleet.assert_no_failure_declared();
     fleet.relay.impair(0, false);
-    (0..4).for_each(|n| fleet.until_present(n, 4));
+    (0..4).for_each(|n| fleet.wait_until_present(n, 4));
 }
