--- a/crates/proof/nickelshed-testkit/src/node.rs
+++ b/crates/proof/nickelshed-testkit/src/node.rs
@@ -85,14 +85,15 @@
         change: impl Fn(&mut Value),
     ) -> SenderProcess {
         let class = |name: &str, effect: &str| {
-            json!({"Name": name, "PromiseNs": 3_000_000_000u64, "DeadlineNs": 16_000_000_000u64, "Effect": effect,
-                "DedupScope": "all", "WindowNs": 15_000_000_000u64, "Worth": 1, "LateWorth": 0.3})
+            json!({"Name": name, "PromiseNs": 3_000_000_000u64, "DeadlineNs": 16_000_000_000u64,
+                "Effect": effect, "DedupScope": "all", "WindowNs": 15_000_000_000u64, "Worth": 1,
+                "LateWorth": 0.3})
         };
         let mut config = json!({"name": "n0", "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "disk_mb": 3},
             "known": {"generation": 0, "reset": true, "instances": known},
-            "settings": {"NInstances": 1, "TickNs": 5_000_000, "Kinds": ["plain", "many"], "Localities": ["z"],
-                "Realms": [{"Name": "acme", "QuotaPerS": 100.0}], "Weights": "silent",
+            "settings": {"NInstances": 1, "TickNs": 5_000_000, "Kinds": ["plain", "many"],
+                "Localities": ["z"], "Realms": [{"Name": "acme", "QuotaPerS": 100.0}], "Weights": "silent",
                 "FamilyInfo": {"CallsOut": 16, "KindBatch": [1, 10], "SeparateRoutes": [false, false]},
                 "Feedback": {"Source": "piggyback", "Fields": ["x0", "x1"]},
                 "Limits": {"MaxOpen": 100, "MaxAttempts": 8, "Cancel": true, "IdleCloseNs": 20_000_000_000u64,
--- a/crates/serve/nickelshed/benches/sidecar.rs
+++ b/crates/serve/nickelshed/benches/sidecar.rs
@@ -1,8 +1,8 @@
 //! Measures the cost of a sidecar on loopback: the check of its file, its start, its idle memory, and the
-//! latency that it adds to a call compared with a direct one. Run with `cargo bench -p nickelshed --bench
-//! sidecar`. Compare ratios within one run rather than absolute figures; the processor is printed. If
-//! NICKELSHED_OTHER is the path of another build of the sender, both deliver the same messages in alternating
-//! rounds and their processor time is compared.
+//! latency that it adds to a call compared with a direct one. Run with
+//! `cargo bench -p nickelshed --bench sidecar`. Compare ratios within one run rather than absolute figures;
+//! the processor is printed. If NICKELSHED_OTHER is the path of another build of the sender, both deliver the
+//! same messages in alternating rounds and their processor time is compared.
 use nickelshed_testkit::{read_http_message, send_request, submission_request};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,7 +14,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nickelshed");
 const MESSAGE_COUNT: usize = 4_000;
 const START_COUNT: usize = 40;
-const ROUNDS: usize = 8;
+const ROUND_COUNT: usize = 8;
 const HEALTH_REQUEST: &[u8] = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
 /// A child process that is killed when it is dropped.
@@ -84,10 +84,10 @@
         wait_until_ready(listen);
         senders.push((process, Client::new(listen)));
     }
-    for round in 0..ROUNDS {
+    for round in 0..ROUND_COUNT {
         let mut line = format!("round {round}:");
         for (i, (process, client)) in senders.iter_mut().enumerate() {
-            let before = processor_time(process);
+            let time_before = processor_time(process);
             for n in 0..MESSAGE_COUNT {
                 client.send_request(&submission_request(
                     "alert",
@@ -98,7 +98,8 @@
                 ));
                 let _ = arrivals.recv();
             }
-            let micros_each = (processor_time(process) - before).as_secs_f64() * 1e6 / MESSAGE_COUNT as f64;
+            let micros_each =
+                (processor_time(process) - time_before).as_secs_f64() * 1e6 / MESSAGE_COUNT as f64;
             line += &format!("   {}: {micros_each:6.2} us a message", programs[i].0);
         }
         println!("{line}");
@@ -210,7 +211,7 @@
     wait_until_ready(listen);
     println!("idle memory                                  {:8} kB", resident_memory_kb(&process));
 
-    // Alternates between direct arrivals and arrivals through the sidecar, so that other load on the machine
+    // Alternates between direct calls and calls through the sidecar, so that other load on the machine
     // affects both alike.
     let (mut direct, mut via_sidecar) = (Client::new(endpoint), Client::new(listen));
     let (
--- a/crates/serve/nickelshed/tests/bad_input.rs
+++ b/crates/serve/nickelshed/tests/bad_input.rs
@@ -174,7 +174,8 @@
     let endpoint = FakeServer::new(|_| ok_reply());
     let mut instances: Vec<Value> = (0..4_000u64)
         .map(|i| match i % 4 {
-            0 => json!({"instanceId": format!("x-{i}"), "hostPort": "nowhere", "cell": 7, "lifecycle": "Ready"}),
+            0 => json!({"instanceId": format!("x-{i}"), "hostPort": "nowhere", "cell": 7,
+                "lifecycle": "Ready"}),
             1 => json!({"instanceId": i, "cell": "seven"}),
             2 => json!(null),
             _ => ready_instance(&format!("x-{i}"), endpoint.address, i),
@@ -300,7 +301,8 @@
     let sender = SenderProcess::start(PROGRAM, &discovery);
     assert_delivers(&sender, &endpoint, "before");
     let list = json!({"generation": 9, "reset": true, "instances": [
-        instance("e-1", endpoint.address, 7, "plain", "Terminating"), ready_instance("e-2", other.address, 7)]});
+        instance("e-1", endpoint.address, 7, "plain", "Terminating"),
+        ready_instance("e-2", other.address, 7)]});
     answer_list_requests_with(&discovery, &ok_response(&serde_json::to_string_pretty(&list).unwrap()));
     assert_delivers(&sender, &other, "after");
 }
--- a/crates/serve/nickelshed/tests/fleet.rs
+++ b/crates/serve/nickelshed/tests/fleet.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nickelshed");
-const APPLICATIONS: usize = 30;
+const APPLICATION_COUNT: usize = 30;
 
 /// A folder that is removed when it is dropped, unless the test panics.
 struct ScratchFolder(PathBuf);
@@ -60,16 +60,17 @@
         fleet +=
             &format!("[[destination]]\nname = \"gmina-{i}\"\nnumber = {i}\nendpoints = [\"{endpoint}\"]\n");
     }
-    let ports =
-        free_ports(APPLICATIONS + 3).into_iter().filter(|port| endpoints.iter().all(|e| e.port() != *port));
-    for (i, port) in ports.take(APPLICATIONS).enumerate() {
+    let ports = free_ports(APPLICATION_COUNT + 3)
+        .into_iter()
+        .filter(|port| endpoints.iter().all(|e| e.port() != *port));
+    for (i, port) in ports.take(APPLICATION_COUNT).enumerate() {
         fleet += &format!("[[application]]\nname = \"app-{i:02}\"\nport = {port}\n");
     }
     let file = folder.join("fleet.toml.in");
     std::fs::write(&file, fleet).unwrap();
     let (file, out) = (file.to_str().unwrap(), folder.to_str().unwrap());
     assert_eq!(nickelshed_ctl::call(["nickelshed-ctl", "new", "--bare", "--fleet", file, "--out", out]), 0);
-    (0..APPLICATIONS).map(|i| folder.join(format!("app-{i:02}.toml"))).collect()
+    (0..APPLICATION_COUNT).map(|i| folder.join(format!("app-{i:02}.toml"))).collect()
 }
 
 #[test]
@@ -103,7 +104,7 @@
         assert!(response.start_line.contains(" 202"), "{}: {}", response.start_line, log());
         servers[i % 3].wait_for_message(&id, 1);
     }
-    assert_eq!(processes.len(), APPLICATIONS);
+    assert_eq!(processes.len(), APPLICATION_COUNT);
 }
 
 /// Each mistake is one typing error or one wrong value in the file of application 12.
@@ -118,9 +119,9 @@
     );
     let file = &files[12];
     let valid_text = std::fs::read_to_string(file).unwrap();
-    let texts: BTreeMap<&PathBuf, String> =
+    let text_of: BTreeMap<&PathBuf, String> =
         files.iter().map(|f| (f, std::fs::read_to_string(f).unwrap())).collect();
-    let listen_line = |f: &PathBuf| texts[f].lines().find(|l| l.starts_with("listen")).unwrap().to_string();
+    let listen_line = |f: &PathBuf| text_of[f].lines().find(|l| l.starts_with("listen")).unwrap().to_string();
     let (own_listen, other_listen) = (listen_line(file), listen_line(&files[3]));
     let first_endpoint = format!("127.0.0.1:{}", endpoint_ports[0]);
     let invalid_port = format!("127.0.0.1:{}0", endpoint_ports[0]);
@@ -152,12 +153,12 @@
         ("127.0.0.1", "27.0.0.1", Code::NotLoopback),
     ];
     assert!(mistakes.len() >= 20);
-    for (from, to, code) in mistakes {
-        assert!(valid_text.contains(from), "{from} is not in\n{valid_text}");
-        std::fs::write(file, valid_text.replacen(from, to, 1)).unwrap();
+    for (valid, mistake, code) in mistakes {
+        assert!(valid_text.contains(valid), "{valid} is not in\n{valid_text}");
+        std::fs::write(file, valid_text.replacen(valid, mistake, 1)).unwrap();
         let checked = nickelshed_ctl::check(&files);
         let finding = checked.findings.iter().find(|f| f.code == code && f.is_error());
-        assert!(finding.is_some(), "{from} -> {to}: {:#?}", checked.findings);
+        assert!(finding.is_some(), "{valid} -> {mistake}: {:#?}", checked.findings);
         let path = file.to_str().unwrap();
         assert_eq!(
             nickelshed_ctl::call([
--- a/crates/serve/nickelshed/tests/members.rs
+++ b/crates/serve/nickelshed/tests/members.rs
@@ -20,7 +20,8 @@
     sender_count: usize,
 ) -> String {
     format!(
-        "application = \"n{number}\"\nlisten = \"{listen}\"\nstate = \"state\"\nloopback_only = true\nsenders = {sender_count}\n\
+        "application = \"n{number}\"\nlisten = \"{listen}\"\nstate = \"state\"\nloopback_only = true\n\
+         senders = {sender_count}\n\
          [fleet]\nname = \"rig\"\nlisten = \"{}\"\nadvertise = \"{}\"\nseeds = [\"{}\"]\nkey_file = \"key\"\n\
          [limits]\nheld = 200\nslots = 16\n[notices]\nfile = \"notices.jsonl\"\n\
          [[class]]\nname = \"alert\"\nwanted_within = \"3s\"\nabandoned_after = \"16s\"\neffect = \"keyed\"\n\
@@ -33,21 +34,21 @@
 }
 
 impl Fleet {
-    fn new(members: usize) -> Fleet {
-        let (relay, endpoint) = (Relay::new(members).unwrap(), FakeServer::new(|_| ok_reply()));
-        let sender = |number: usize| {
+    fn new(member_count: usize) -> Fleet {
+        let (relay, endpoint) = (Relay::new(member_count).unwrap(), FakeServer::new(|_| ok_reply()));
+        let start_member = |number: usize| {
             SenderProcess::start_prepared_sidecar(
                 PROGRAM,
-                |listen| sidecar_config(listen, &relay, number, endpoint.address, members),
+                |listen| sidecar_config(listen, &relay, number, endpoint.address, member_count),
                 |folder| {
                     std::fs::write(folder.join("key"), "a key of the rig").unwrap();
                 },
             )
         };
-        let senders = (0..members).map(sender).collect();
+        let senders = (0..member_count).map(start_member).collect();
         let fleet = Fleet { relay, senders, endpoint };
-        for number in 0..members {
-            fleet.wait_until_present(number, members);
+        for number in 0..member_count {
+            fleet.wait_until_present(number, member_count);
         }
         fleet
     }
@@ -60,9 +61,9 @@
         line[start..].split_whitespace().next()?.parse().ok()
     }
 
-    fn wait_until_present(&self, number: usize, members: usize) {
-        self.senders[number].wait_until(&format!("n{number} sees {members}"), || {
-            self.last_logged(number, "the view of the fleet has changed", "present") == Some(members)
+    fn wait_until_present(&self, number: usize, member_count: usize) {
+        self.senders[number].wait_until(&format!("n{number} sees {member_count}"), || {
+            self.last_logged(number, "the view of the fleet has changed", "present") == Some(member_count)
         });
     }
 
@@ -111,13 +112,13 @@
     fleet.endpoint.wait_for_message("m", 1);
 }
 
-/// Exit codes of `nickelshed-ctl fleet members`: 0 if all members are healthy, 1 if one has failed, 3 if none
-/// answers.
+/// Exit codes of `nickelshed-ctl fleet members`: 0 if all members have the same view and none is suspect or
+/// failed, 1 if not, 3 if no member answers.
 #[test]
 fn the_control_tool_reports_a_healthy_fleet_a_failed_member_and_no_answer() {
     let mut fleet = Fleet::new(3);
     (0..3).for_each(|n| fleet.wait_until_sender_count(n, 3));
-    let configs: Vec<_> = fleet.senders.iter().map(|n| n.folder.join("sidecar.toml")).collect();
+    let configs: Vec<_> = fleet.senders.iter().map(|sender| sender.folder.join("sidecar.toml")).collect();
     let exit_code = |number: usize| {
         nickelshed_ctl::call([
             "nickelshed-ctl",
--- a/crates/serve/nickelshed/tests/sender.rs
+++ b/crates/serve/nickelshed/tests/sender.rs
@@ -778,7 +778,8 @@
     let endpoint = FakeServer::new(|_| ok_reply());
     let discovery = Discovery::new(json!([]));
     discovery.stop_answering();
-    let known = json!([ready_instance("e-1", endpoint.address, 7), terminating_instance(8), {"instanceId": "unreadable"}]);
+    let known = json!([ready_instance("e-1", endpoint.address, 7), terminating_instance(8),
+        {"instanceId": "unreadable"}]);
     let mut sender = SenderProcess::start_with(PROGRAM, &discovery, known, |_| {});
     assert_eq!(sender.submit("alert", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for_message("m", 1);
