--- a/crates/proof/nickelshed-crashtest/tests/kill.rs
+++ b/crates/proof/nickelshed-crashtest/tests/kill.rs
@@ -166,7 +166,7 @@
     let first = node.segments().remove(0);
     assert!(!first.ends_with("segment-0000000000000001"), "copying has begun: {first:?}");
     node.terminate();
-    assert!(node.wait_exit().success(), "{}", node.log());
+    assert!(node.wait_for_exit().success(), "{}", node.log());
     discovery.set_instances(json!([
         ready_instance("e-1", endpoint.address, 7),
         ready_instance("e-2", endpoint.address, 9)
--- a/crates/proof/nickelshed-testkit/src/disk.rs
+++ b/crates/proof/nickelshed-testkit/src/disk.rs
@@ -208,7 +208,7 @@
         for inode in &mut state.inodes {
             // Real disks often lose all unsynced changes of a file or none: 0 drops all, 1 keeps all, 2 and 3
             // draw for each sector.
-            let loss = random.u8(..4);
+            let loss_mode = random.u8(..4);
             for change in std::mem::take(&mut inode.unsynced) {
                 match change {
                     Change::Write(offset, bytes) => {
@@ -216,7 +216,7 @@
                         while at < bytes.len() {
                             let next =
                                 (at + SECTOR_BYTES - (offset as usize + at) % SECTOR_BYTES).min(bytes.len());
-                            if loss == 1 || (loss > 1 && random.bool()) {
+                            if loss_mode == 1 || (loss_mode > 1 && random.bool()) {
                                 let sector = Change::Write(offset + at as u64, bytes[at..next].to_vec());
                                 apply_change(&mut inode.durable, &sector);
                             }
@@ -224,7 +224,7 @@
                         }
                     }
                     length_change => {
-                        if loss == 1 || (loss > 1 && random.bool()) {
+                        if loss_mode == 1 || (loss_mode > 1 && random.bool()) {
                             apply_change(&mut inode.durable, &length_change);
                         }
                     }
@@ -346,9 +346,9 @@
         let mut state = self.state();
         let progress = state.begin_operation("write", true)?;
         let inode = file.inode.ok_or(io::ErrorKind::IsADirectory)?;
-        let grows = (offset + bytes.len() as u64).saturating_sub(state.inodes[inode].visible.len() as u64);
+        let growth = (offset + bytes.len() as u64).saturating_sub(state.inodes[inode].visible.len() as u64);
         let free = state.capacity.saturating_sub(state.used_bytes());
-        let fits = bytes.len() - grows.saturating_sub(free).min(bytes.len() as u64) as usize;
+        let fits = bytes.len() - growth.saturating_sub(free).min(bytes.len() as u64) as usize;
         let (length, error) = match progress {
             Progress::Complete if fits == 0 && !bytes.is_empty() => {
                 (0, Some(io::ErrorKind::StorageFull.into()))
--- a/crates/proof/nickelshed-testkit/src/node.rs
+++ b/crates/proof/nickelshed-testkit/src/node.rs
@@ -324,7 +324,8 @@
         self.signal("-TERM");
     }
 
-    pub fn wait_exit(&mut self) -> ExitStatus {
+    /// Waits for the process to exit and returns its status.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.take().unwrap().wait().unwrap()
     }
 
--- a/crates/serve/nickelshed/tests/bad_input.rs
+++ b/crates/serve/nickelshed/tests/bad_input.rs
@@ -262,7 +262,7 @@
         }
         assert!(sender.is_running(), "{case}: {}", sender.log());
         sender.terminate();
-        assert!(sender.wait_exit().success(), "{case}");
+        assert!(sender.wait_for_exit().success(), "{case}");
     }
 }
 
@@ -283,7 +283,7 @@
     let discovery = Discovery::new(json!([]));
     let mut sender = SenderProcess::start(PROGRAM, &discovery);
     sender.terminate();
-    assert!(sender.wait_exit().success());
+    assert!(sender.wait_for_exit().success());
     let valid_settings = sender.config["settings"].clone();
     for (error, change) in cases {
         sender.config["settings"] = valid_settings.clone();
--- a/crates/serve/nickelshed/tests/members.rs
+++ b/crates/serve/nickelshed/tests/members.rs
@@ -100,7 +100,7 @@
     (0..3).for_each(|n| fleet.wait_until_sender_count(n, 3));
     fleet.assert_no_failure_declared();
     fleet.senders[2].terminate();
-    fleet.senders[2].wait_exit();
+    fleet.senders[2].wait_for_exit();
     fleet.senders[0].wait_until("n2 has left", || {
         fleet.change_count(0, 2, "left") == 1 && fleet.change_count(1, 2, "left") == 1
     });
--- a/crates/serve/nickelshed/tests/moments.rs
+++ b/crates/serve/nickelshed/tests/moments.rs
@@ -70,7 +70,7 @@
     let position = |id: &str| ids.iter().position(|i| *i == id).unwrap();
     assert!(position("long") == 0 && position("middle") < position("short"), "{ids:?}");
     sender.terminate();
-    assert!(sender.wait_exit().success());
+    assert!(sender.wait_for_exit().success());
     let notices: Vec<Value> = discovery.notices();
     assert!(notices.iter().all(|n| n["message"] != "long" && n["message"] != "middle"), "{notices:?}");
 }
@@ -82,7 +82,7 @@
         config["settings"]["Limits"]["MaxOpen"] = json!(20);
     });
     sender.terminate();
-    assert!(sender.wait_exit().success());
+    assert!(sender.wait_for_exit().success());
     sender.set_environment("RUST_LOG", "debug");
     sender.restart();
     for n in 0..18 {
@@ -142,7 +142,7 @@
 /// The process is killed while a client waits for the answer to its submission. The next process has no
 /// record of the message, and the client, which got no answer, submits it again.
 #[test]
-fn a_message_killed_during_its_admission_wait_is_left_to_its_client() {
+fn a_message_in_its_admission_wait_is_left_to_its_client_after_a_kill() {
     let endpoint = FakeServer::new(|_| ok_reply());
     let list = |lifecycle| json!([instance("e-1", endpoint.address, 7, "plain", lifecycle)]);
     let discovery = Discovery::new(list("Terminating"));
@@ -172,7 +172,7 @@
     sender.terminate();
     let response = read_http_message(&mut BufReader::new(client), 0).unwrap();
     assert!(response.start_line.contains(" 503 "), "{response:?}");
-    assert!(sender.wait_exit().success());
+    assert!(sender.wait_for_exit().success());
 }
 
 /// The endpoint accepts every connection and closes it at once, before the request is written. An attempt
@@ -192,14 +192,14 @@
     let discovery = Discovery::new(json!([ready_instance("e-1", address, 7)]));
     let mut sender = SenderProcess::start(PROGRAM, &discovery);
     sender.terminate();
-    assert!(sender.wait_exit().success());
+    assert!(sender.wait_for_exit().success());
     sender.set_environment("RUST_LOG", "debug");
     sender.restart();
     // Keyed: if the request was written before the close was noticed, the message may have been executed.
     assert_eq!(sender.submit("alert", "m", 7, 1_500, b"x"), 202);
     assert_eq!(discovery.wait_for_notice("m")["outcome"], "handed_back");
     sender.terminate();
-    assert!(sender.wait_exit().success());
+    assert!(sender.wait_for_exit().success());
     let attempts = sender.log().matches("attempt ended").count();
     assert!(attempts >= 1, "{}", sender.log());
     let accepted = accepted.load(Ordering::SeqCst);
--- a/crates/serve/nickelshed/tests/sender.rs
+++ b/crates/serve/nickelshed/tests/sender.rs
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn a_message_killed_before_any_attempt_is_delivered_by_the_next_process() {
+fn a_message_without_an_attempt_is_delivered_by_the_next_process_after_a_kill() {
     let endpoint = FakeServer::new(|_| ok_reply());
     let discovery = Discovery::new(json!([terminating_instance(7)]));
     let mut sender = SenderProcess::start(PROGRAM, &discovery);
@@ -436,7 +436,7 @@
     assert!((0..20).all(|i| received.iter().filter(|r| r.message_id() == format!("m{i}")).count() == 1));
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
     sender.terminate();
-    assert!(sender.wait_exit().success(), "{}", sender.log());
+    assert!(sender.wait_for_exit().success(), "{}", sender.log());
 }
 
 #[test]
@@ -590,7 +590,7 @@
     assert_eq!(sender.submit("order", "late", 9, 16_000, b"x"), 202);
     release.send(()).unwrap();
     endpoint.wait_for_message("out", 1);
-    assert!(sender.wait_exit().success(), "{}", sender.log());
+    assert!(sender.wait_for_exit().success(), "{}", sender.log());
     discovery.set_instances(json!([
         ready_instance("e-1", endpoint.address, 7),
         ready_instance("e-2", endpoint.address, 9)
@@ -611,7 +611,7 @@
     assert_eq!(sender.submit("order", "hangs", 7, 16_000, b"x"), 202);
     endpoint.wait_for_message("hangs", 1);
     sender.terminate();
-    assert!(sender.wait_exit().success());
+    assert!(sender.wait_for_exit().success());
     sender.restart();
     assert_eq!(discovery.wait_for_notice("hangs")["outcome"], "given_up");
 }
@@ -657,7 +657,7 @@
     // An idle client connection must not delay the exit.
     let _idle = TcpStream::connect(sender.address).unwrap();
     sender.terminate();
-    assert!(sender.wait_exit().success());
+    assert!(sender.wait_for_exit().success());
 }
 
 /// An address at which new connections hang: the backlog of its listener is full until `accept_connections`.
