--- a/crates/proof/nickelshed-testkit/src/discovery.rs
+++ b/crates/proof/nickelshed-testkit/src/discovery.rs
@@ -1,6 +1,6 @@
 //! A fake discovery service: serves the list of endpoints and watches on it, and receives the platform's
 //! notices.
-use crate::peer::{http_reply, FakeServer, HttpMessage, Reply};
+use crate::fake_server::{http_reply, FakeServer, HttpMessage, Reply};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::sync::{Arc, Condvar, Mutex};
--- a/crates/proof/nickelshed-testkit/src/lib.rs
+++ b/crates/proof/nickelshed-testkit/src/lib.rs
@@ -4,13 +4,13 @@
 //! longer than the event takes.
 mod discovery;
 mod disk;
-mod node;
-mod peer;
+mod fake_server;
+mod sender_process;
 
 pub use discovery::{instance, ready_instance, terminating_instance, Discovery};
 pub use disk::{Disk, Fault, File as DiskFile};
-pub use node::{send_request, submission_request, SenderProcess};
-pub use peer::{http_reply, ok_reply, read_http_message, FakeServer, HttpMessage, Reply, ReplyCase};
+pub use fake_server::{http_reply, ok_reply, read_http_message, FakeServer, HttpMessage, Reply, ReplyCase};
+pub use sender_process::{send_request, submission_request, SenderProcess};
 
 use std::time::Duration;
 
--- a/crates/proof/nickelshed-testkit/src/node.rs
+++ b/crates/proof/nickelshed-testkit/src/sender_process.rs
@@ -1,6 +1,6 @@
 //! The sender as a child process with its own folder, and a client that submits messages to it.
 use crate::discovery::Discovery;
-use crate::peer::{read_http_message, HttpMessage};
+use crate::fake_server::{read_http_message, HttpMessage};
 use crate::WAIT_TIMEOUT;
 use serde_json::{json, Value};
 use std::collections::HashMap;
