--- a/crates/proof/nickelshed-crashtest/tests/kill.rs
+++ b/crates/proof/nickelshed-crashtest/tests/kill.rs
@@ -23,38 +23,39 @@
     let part_256ths = [0, 1, 100, 255, 256][random.usize(..5)];
     let operation = HALT_OPERATIONS[point as usize % HALT_OPERATIONS.len()];
     let operation_number = random.u64(..if operation == "append" { 200 } else { 14 });
-    let endpoint = Peer::new(|_| ok());
-    let closed_destination = || closed(9);
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7), closed_destination()]));
-    let mut sender = Node::with(PROGRAM, &discovery, json!([]), |config| {
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let closed_destination = || terminating_instance(9);
+    let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7), closed_destination()]));
+    let mut sender = SenderProcess::start_with(PROGRAM, &discovery, json!([]), |config| {
         config["limits"]["disk_mb"] = json!(0.5);
         config["settings"]["Limits"]["MaxOpen"] = json!(400);
         config["settings"]["FamilyInfo"]["CallsOut"] = json!(MAX_CALLS_IN_FLIGHT);
     });
-    sender.environment("HALT", &format!("{operation},{operation_number},{part_256ths}"));
+    sender.set_environment("HALT", &format!("{operation},{operation_number},{part_256ths}"));
     sender.kill();
     sender.restart();
     let mut accepted_ids = BTreeSet::new();
     let mut next_message = 0;
     // 200 messages a second. Most are delivered at once; every 10th stays queued until after the restart.
-    let mut submit_messages = |sender: &Node, max_messages: usize, accepted_ids: &mut BTreeSet<String>| {
-        let started_at = Instant::now();
-        let first_message = next_message;
-        while next_message - first_message < max_messages && !sender.log().contains("halted") {
-            let dest = if next_message % 10 == 0 { 9 } else { 7 };
-            let class = if next_message % 3 == 0 { "order" } else { "alert" };
-            let id = format!("{class}-{next_message}");
-            next_message += 1;
-            // A submission in progress at the halt gets no response, so its result is not checked.
-            if sender.try_hand_in(class, &id, dest, 16_000, &[7; 1_024]) == Some(202) {
-                accepted_ids.insert(id);
+    let mut submit_messages =
+        |sender: &SenderProcess, max_messages: usize, accepted_ids: &mut BTreeSet<String>| {
+            let started_at = Instant::now();
+            let first_message = next_message;
+            while next_message - first_message < max_messages && !sender.log().contains("halted") {
+                let dest = if next_message % 10 == 0 { 9 } else { 7 };
+                let class = if next_message % 3 == 0 { "order" } else { "alert" };
+                let id = format!("{class}-{next_message}");
+                next_message += 1;
+                // A submission in progress at the halt gets no response, so its result is not checked.
+                if sender.try_submit(class, &id, dest, 16_000, &[7; 1_024]) == Some(202) {
+                    accepted_ids.insert(id);
+                }
+                let due_at = started_at + Duration::from_millis(5) * (next_message - first_message) as u32;
+                std::thread::sleep(due_at.saturating_duration_since(Instant::now()));
             }
-            let due_at = started_at + Duration::from_millis(5) * (next_message - first_message) as u32;
-            std::thread::sleep(due_at.saturating_duration_since(Instant::now()));
-        }
-    };
+        };
     submit_messages(&sender, 6_000, &mut accepted_ids);
-    sender.until("the process halts", || sender.log().contains("halted"));
+    sender.wait_until("the process halts", || sender.log().contains("halted"));
     let halt_line = sender
         .log()
         .lines()
@@ -62,19 +63,22 @@
         .map(str::to_string)
         .collect::<String>();
     sender.kill();
-    sender.environment("HALT", "none,0,0");
-    discovery.set(json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 9)]));
+    sender.set_environment("HALT", "none,0,0");
+    discovery.set_instances(json!([
+        ready_instance("e-1", endpoint.address, 7),
+        ready_instance("e-2", endpoint.address, 9)
+    ]));
     let log_length = sender.log().len();
     sender.restart();
-    sender.forget_log();
+    sender.discard_log();
     submit_messages(&sender, 60, &mut accepted_ids);
     let case = format!(
         "point {point}: {operation} {operation_number}, part {part_256ths}, {halt_line}; seed {SEED:#x}"
     );
     let collect_results = || {
         let mut results: BTreeMap<String, (usize, BTreeSet<String>)> = BTreeMap::new();
-        for call in endpoint.seen() {
-            results.entry(call.id().to_string()).or_default().0 += 1;
+        for call in endpoint.received() {
+            results.entry(call.message_id().to_string()).or_default().0 += 1;
         }
         for notice in discovery.notices() {
             let outcome = notice["outcome"].as_str().unwrap().to_string();
@@ -82,13 +86,13 @@
         }
         results
     };
-    sender.until("every message has a result", || {
+    sender.wait_until("every message has a result", || {
         let results = collect_results();
         accepted_ids.iter().all(|id| results.contains_key(id))
     });
     // One more round trip, during which any excess attempt would arrive.
-    assert_eq!(sender.hand_in("alert", "last", 7, 16_000, b"."), 202);
-    endpoint.wait_for("last", 1);
+    assert_eq!(sender.submit("alert", "last", 7, 16_000, b"."), 202);
+    endpoint.wait_for_message("last", 1);
     let results = collect_results();
     let mut repeated_calls = 0;
     for id in &accepted_ids {
@@ -147,28 +151,30 @@
 /// A second process on the same folder must refuse to start, report the reason, and do no harm.
 #[test]
 fn a_second_process_on_one_folder_is_refused() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([closed(7)]));
-    let mut sender = Node::start(PROGRAM, &discovery);
-    assert_eq!(sender.hand_in("order", "m", 7, 16_000, b"x"), 202);
-    let (success, log) = sender.start_second();
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery = Discovery::new(json!([terminating_instance(7)]));
+    let mut sender = SenderProcess::start(PROGRAM, &discovery);
+    assert_eq!(sender.submit("order", "m", 7, 16_000, b"x"), 202);
+    let (success, log) = sender.run_second();
     assert!(!success && log.contains("another process runs on this folder"), "{log}");
     sender.kill();
-    discovery.set(json!([ready("e-1", endpoint.address, 7)]));
+    discovery.set_instances(json!([ready_instance("e-1", endpoint.address, 7)]));
     sender.restart();
-    endpoint.wait_for("m", 1);
+    endpoint.wait_for_message("m", 1);
 }
 
 #[test]
 fn after_sigterm_during_compaction_the_next_process_delivers_open_messages() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7), closed(9)]));
-    let mut sender =
-        Node::with(PROGRAM, &discovery, json!([]), |config| config["limits"]["disk_mb"] = json!(0.4));
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery =
+        Discovery::new(json!([ready_instance("e-1", endpoint.address, 7), terminating_instance(9)]));
+    let mut sender = SenderProcess::start_with(PROGRAM, &discovery, json!([]), |config| {
+        config["limits"]["disk_mb"] = json!(0.4)
+    });
     let mut open_ids = Vec::new();
     for i in 0..400 {
         let (dest, id) = if i % 40 == 0 { (9, format!("held-{i}")) } else { (7, format!("m-{i}")) };
-        assert_eq!(sender.hand_in("order", &id, dest, 16_000, &[1; 1_024]), 202);
+        assert_eq!(sender.submit("order", &id, dest, 16_000, &[1; 1_024]), 202);
         if dest == 9 {
             open_ids.push(id);
         }
@@ -176,16 +182,19 @@
     let oldest_segment = sender.segments().remove(0);
     assert!(!oldest_segment.ends_with("segment-0000000000000001"), "no compaction yet: {oldest_segment:?}");
     sender.terminate();
-    assert!(sender.wait_exit().success(), "{}", sender.log());
-    discovery.set(json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 9)]));
+    assert!(sender.wait_for_exit().success(), "{}", sender.log());
+    discovery.set_instances(json!([
+        ready_instance("e-1", endpoint.address, 7),
+        ready_instance("e-2", endpoint.address, 9)
+    ]));
     sender.restart();
     for id in &open_ids {
-        endpoint.wait_for(id, 1);
+        endpoint.wait_for_message(id, 1);
     }
-    assert_eq!(sender.hand_in("order", "last", 7, 16_000, b"x"), 202);
-    endpoint.wait_for("last", 1);
+    assert_eq!(sender.submit("order", "last", 7, 16_000, b"x"), 202);
+    endpoint.wait_for_message("last", 1);
     for id in &open_ids {
-        assert_eq!(endpoint.wait_for(id, 1).len(), 1, "{id}");
+        assert_eq!(endpoint.wait_for_message(id, 1).len(), 1, "{id}");
     }
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
@@ -194,18 +203,20 @@
 /// Once there is space, messages are accepted again. No message is lost or repeated, and no data is damaged.
 #[test]
 fn on_a_full_disk_new_messages_are_rejected_and_open_ones_finish() {
-    let endpoint = Peer::new(|_| ok());
-    let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7), closed(9)]));
-    let mut sender =
-        Node::with(PROGRAM, &discovery, json!([]), |config| config["limits"]["disk_mb"] = json!(0.5));
+    let endpoint = FakeServer::new(|_| ok_reply());
+    let discovery =
+        Discovery::new(json!([ready_instance("e-1", endpoint.address, 7), terminating_instance(9)]));
+    let mut sender = SenderProcess::start_with(PROGRAM, &discovery, json!([]), |config| {
+        config["limits"]["disk_mb"] = json!(0.5)
+    });
     let capacity = sender.folder.join("capacity");
-    sender.environment("CAPACITY", capacity.to_str().unwrap());
+    sender.set_environment("CAPACITY", capacity.to_str().unwrap());
     sender.kill();
     sender.restart();
     let mut accepted_ids = Vec::new();
-    let mut submit = |sender: &Node, dest: u64| {
+    let mut submit = |sender: &SenderProcess, dest: u64| {
         let id = format!("order-{}", accepted_ids.len());
-        let (status, headers) = sender.hand_in_full("order", &id, dest, 16_000, &[7; 1_024]);
+        let (status, headers) = sender.submit_with_headers("order", &id, dest, 16_000, &[7; 1_024]);
         if status == 202 {
             accepted_ids.push(id);
         }
@@ -220,7 +231,7 @@
         }
     }
     assert!(has_compacted, "no compaction yet");
-    std::fs::write(&capacity, (sender.on_disk() / 512 * 512).to_string()).unwrap();
+    std::fs::write(&capacity, (sender.disk_usage() / 512 * 512).to_string()).unwrap();
     let mut rejection = None;
     for _ in 0..2_000 {
         let (status, headers) = submit(&sender, 7);
@@ -234,11 +245,14 @@
     let retry_after: f64 = headers["retry-after"].parse().unwrap();
     assert!(retry_after > 0.0);
     // Open messages can finish on a full disk.
-    discovery.set(json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 9)]));
+    discovery.set_instances(json!([
+        ready_instance("e-1", endpoint.address, 7),
+        ready_instance("e-2", endpoint.address, 9)
+    ]));
     let id_of = |i: usize| format!("order-{i}");
-    endpoint.wait_for(&id_of(0), 1);
+    endpoint.wait_for_message(&id_of(0), 1);
     std::fs::remove_file(&capacity).unwrap();
-    let deadline = Instant::now() + BOUND;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while submit(&sender, 7).0 != 202 {
         assert!(Instant::now() < deadline, "{}", sender.log());
         std::thread::sleep(Duration::from_millis(50));
@@ -246,14 +260,14 @@
     sender.kill();
     sender.restart();
     assert!(!sender.log().contains("damaged"), "{}", sender.log());
-    let received = endpoint.wait("every message", |received| {
-        let ids: BTreeSet<&str> = received.iter().map(|request| request.id()).collect();
+    let received = endpoint.wait_until("every message", |received| {
+        let ids: BTreeSet<&str> = received.iter().map(|request| request.message_id()).collect();
         let failure_count = discovery.notices().len();
         ids.len() + failure_count >= accepted_ids.len()
             && accepted_ids.iter().filter(|id| !ids.contains(id.as_str())).count() <= failure_count
     });
     for id in &accepted_ids {
-        let calls = received.iter().filter(|request| request.id() == id).count();
+        let calls = received.iter().filter(|request| request.message_id() == id).count();
         let notices: Vec<_> =
             discovery.notices().into_iter().filter(|notice| notice["message"] == *id).collect();
         assert!(calls <= 1, "{id} was attempted {calls} times");
--- a/crates/proof/nickelshed-lab/src/process.rs
+++ b/crates/proof/nickelshed-lab/src/process.rs
@@ -52,7 +52,7 @@
     let mut disk = Disk::new();
     let process_state = sim.process_states[sender].clone();
     loop {
-        disk.restart();
+        disk.restart_process();
         process_state.begin();
         match sim.mutation {
             Some(Mutation::ForgetsJournal) => disk = Disk::new(),
--- a/crates/proof/nickelshed-testkit/src/lib.rs
+++ b/crates/proof/nickelshed-testkit/src/lib.rs
@@ -1,16 +1,19 @@
-//! Stand-ins for tests, on loopback ports that the kernel gives: scripted endpoints, discovery, and the sender as
-//! a process with its folder; and a disk whose every operation can fail. Every wait is for an event, with a bound far longer than it takes.
+//! Test support: fake servers with scripted replies, a fake discovery service, the sender as a child process
+//! with its own folder, and an in-memory disk with fault injection. Everything listens on loopback, the
+//! servers on ports that the kernel picks. Waits end when the awaited event occurs; their timeout is far
+//! longer than the event takes.
 mod discovery;
 mod disk;
-mod node;
-mod peer;
+mod fake_server;
+mod sender_process;
 
-pub use discovery::{closed, instance, ready, Discovery};
+pub use discovery::{instance, ready_instance, terminating_instance, Discovery};
 pub use disk::{Disk, Fault, File as DiskFile};
-pub use node::{ask, offer, Node};
-pub use peer::{answer, ok, read_message, Peer, Reply, Request, Row};
+pub use fake_server::{http_reply, ok_reply, read_http_message, FakeServer, HttpMessage, Reply, ReplyCase};
+pub use sender_process::{send_request, submission_request, SenderProcess};
 
 use std::time::Duration;
 
-/// Far longer than anything here takes: a bound for what would otherwise never end.
-pub const BOUND: Duration = Duration::from_secs(30);
+/// Timeout of every wait. It is far longer than any awaited event takes, so only a wait that would never end
+/// fails.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/serve/nickelshed-journal/tests/common/mod.rs
+++ b/crates/serve/nickelshed-journal/tests/common/mod.rs
@@ -20,7 +20,7 @@
 }
 
 pub fn open(disk: &Disk, options: Options) -> (Journal<Disk>, RecoveryReport) {
-    try_open(disk, options).unwrap_or_else(|e| panic!("{e}; files: {:?}", disk.names()))
+    try_open(disk, options).unwrap_or_else(|e| panic!("{e}; files: {:?}", disk.file_names()))
 }
 
 pub fn message(id: u64, body_bytes: usize) -> AcceptedMessage {
--- a/crates/serve/nickelshed-journal/tests/crash.rs
+++ b/crates/serve/nickelshed-journal/tests/crash.rs
@@ -19,14 +19,14 @@
         if i % 3 == 0 {
             workload.sync();
         }
-        assert!(disk.used() <= DISK_LIMIT_BYTES);
+        assert!(disk.used_bytes() <= DISK_LIMIT_BYTES);
         let stats = workload.journal.stats();
         assert!(stats.disk_bytes <= DISK_LIMIT_BYTES, "{stats:?}");
     }
     let stats = workload.journal.stats();
     let removed = disk.trace().iter().filter(|operation| ["remove", "rename"].contains(*operation)).count();
     assert!(stats.copied_bytes > 0 && removed > 3, "{stats:?}, {removed} removed");
-    disk.operations()
+    disk.operation_count()
 }
 
 #[test]
@@ -38,9 +38,9 @@
     for operation in 0..operation_count {
         for part in [0, 1, 128, 255, 256] {
             let disk = Disk::new();
-            disk.fault(operation, Fault::Crash(part));
+            disk.inject_fault(operation, Fault::Crash(part));
             let Ok((journal, _)) = try_open(&disk, options(Durability::Process)) else {
-                disk.restart();
+                disk.restart_process();
                 assert!(read_model(&open(&disk, options(Durability::Process)).0).is_empty());
                 continue;
             };
@@ -50,7 +50,7 @@
                 failed = workload.commit().is_err();
             }
             crashes += 1;
-            disk.restart();
+            disk.restart_process();
             let (journal, report) = open(&disk, options(Durability::Process));
             let recovered = read_model(&journal);
             let matches_model =
@@ -105,7 +105,7 @@
     for operation in 0..operation_count {
         for variant in 0..4u64 {
             let disk = Disk::new();
-            disk.fault(operation, Fault::Crash([0, 100, 255, 256][variant as usize]));
+            disk.inject_fault(operation, Fault::Crash([0, 100, 255, 256][variant as usize]));
             let mut random = fastrand::Rng::with_seed(SEED ^ (operation << 8) ^ variant);
             let Ok((journal, _)) = try_open(&disk, options(Durability::Machine)) else {
                 disk.lose_power(&mut random);
@@ -150,14 +150,14 @@
         let error_kinds =
             [io::ErrorKind::Other, io::ErrorKind::StorageFull, io::ErrorKind::ReadOnlyFilesystem];
         let disk = Disk::new();
-        disk.fault(operation, Fault::Fail(part, error_kinds[(operation % 3) as usize]));
+        disk.inject_fault(operation, Fault::Fail(part, error_kinds[(operation % 3) as usize]));
         let Ok((journal, _)) = try_open(&disk, options(Durability::Process)) else { continue };
         let mut workload = Workload::new(journal, SEED);
         for _ in 0..commits {
             let _ = workload.commit();
         }
         assert_eq!(read_model(&workload.journal), workload.model, "operation {operation}");
-        disk.restart();
+        disk.restart_process();
         let (journal, report) = open(&disk, options(Durability::Process));
         assert_eq!(read_model(&journal), workload.model, "operation {operation}, part {part}");
         assert!(report.damage.is_empty(), "operation {operation}: {report:?}");
@@ -179,7 +179,7 @@
         let model_before = workload.model.clone();
         workload.commit().unwrap();
         // The next sync fails, and the disk drops the unsynced writes.
-        disk.fault(0, Fault::Fail(0, io::ErrorKind::Other));
+        disk.inject_fault(0, Fault::Fail(0, io::ErrorKind::Other));
         assert!(workload.sync() || workload.model == model_before);
         let was_reserved =
             workload.journal.reserve(&message(workload.next_id, 10), &mut Reservation::default(), 2_000);
--- a/crates/serve/nickelshed-journal/tests/damage.rs
+++ b/crates/serve/nickelshed-journal/tests/damage.rs
@@ -30,12 +30,12 @@
         workload.commit().unwrap();
     }
     assert!(workload.model.values().any(|expected| !expected.attempts.is_empty()));
-    disk.restart();
+    disk.restart_process();
     (disk, model_before_last, workload.model)
 }
 
 fn segment_names(disk: &Disk) -> Vec<String> {
-    disk.names().into_iter().filter(|name| segment_number(name).is_some()).collect()
+    disk.file_names().into_iter().filter(|name| segment_number(name).is_some()).collect()
 }
 
 /// Whether each attempt that may have run is still recorded, or covered by an assumed attempt.
@@ -54,12 +54,12 @@
     let (intact, _, model) = build_folder(options(Durability::Process), 2);
     let mut max_lost = 0;
     for name in segment_names(&intact) {
-        let bytes = intact.get(&name).unwrap();
+        let bytes = intact.file_bytes(&name).unwrap();
         for offset in 0..bytes.len() {
             let mut corrupted = bytes.clone();
             corrupted[offset] ^= 1 << (offset % 8);
             let disk = intact.copy();
-            disk.put(&name, &corrupted);
+            disk.put_durable(&name, &corrupted);
             let (journal, report) = open(&disk, options(Durability::Process));
             let recovered = read_model(&journal);
             let in_header = offset < 64;
@@ -83,7 +83,7 @@
             }
             // Opening repairs the journal: the next start finds no damage and the same state.
             drop(journal);
-            disk.restart();
+            disk.restart_process();
             let (journal, report) = open(&disk, options(Durability::Process));
             assert!(report.damage.is_empty(), "{name}:{offset} {report:?}");
             assert_eq!(common::read_model(&journal), recovered, "{name}:{offset}");
@@ -97,11 +97,11 @@
     println!("seed {SEED:#x}");
     let (intact, model_before_last, model) = build_folder(MANY_SEGMENTS, 3);
     let name = segment_names(&intact).pop().unwrap();
-    let bytes = intact.get(&name).unwrap();
+    let bytes = intact.file_bytes(&name).unwrap();
     let mut recovered_models = Vec::new();
     for length in 0..bytes.len() {
         let disk = intact.copy();
-        disk.put(&name, &bytes[..length]);
+        disk.put_durable(&name, &bytes[..length]);
         let (journal, report) = open(&disk, MANY_SEGMENTS);
         // If the record of a removal is cut off, the removed segment is reported as missing.
         assert!(report.damage.iter().all(|range| range.to == 0), "{length}: {report:?}");
@@ -125,9 +125,9 @@
             if is_missing {
                 disk.remove(name).unwrap();
             } else {
-                let mut bytes = intact.get(name).unwrap();
+                let mut bytes = intact.file_bytes(name).unwrap();
                 bytes[..64].fill(0xa5);
-                disk.put(name, &bytes);
+                disk.put_durable(name, &bytes);
             }
             let (journal, report) = open(&disk, MANY_SEGMENTS);
             assert!(!report.damage.is_empty());
@@ -154,13 +154,13 @@
     let (disk, _, _) = build_folder(options(Durability::Process), 2);
     let corrupt_first_segment = |disk: &Disk| {
         let name = segment_names(disk).remove(0);
-        let mut bytes = disk.get(&name).unwrap();
+        let mut bytes = disk.file_bytes(&name).unwrap();
         let middle = bytes.len() / 2;
         bytes[middle] ^= 0x40;
-        disk.put(&name, &bytes);
+        disk.put_durable(&name, &bytes);
     };
     let quarantined_files = |disk: &Disk| {
-        disk.names().into_iter().filter(|name| name.starts_with("damaged-")).collect::<Vec<_>>()
+        disk.file_names().into_iter().filter(|name| name.starts_with("damaged-")).collect::<Vec<_>>()
     };
     corrupt_first_segment(&disk);
     let (journal, report) = open(&disk, options(Durability::Process));
@@ -169,16 +169,16 @@
     let mut workload = Workload::new(journal, SEED);
     for _ in 0..400 {
         workload.commit().unwrap();
-        assert!(disk.used() <= DISK_LIMIT_BYTES, "{}", disk.used());
+        assert!(disk.used_bytes() <= DISK_LIMIT_BYTES, "{}", disk.used_bytes());
     }
     let model = workload.model.clone();
     drop(workload);
-    disk.restart();
+    disk.restart_process();
     corrupt_first_segment(&disk);
     let (_, second_report) = open(&disk, options(Durability::Process));
     assert_eq!(quarantined_files(&disk), second_report.quarantined);
     assert_ne!(report.quarantined, second_report.quarantined);
-    assert!(disk.used() <= DISK_LIMIT_BYTES && !model.is_empty());
+    assert!(disk.used_bytes() <= DISK_LIMIT_BYTES && !model.is_empty());
 }
 
 #[test]
@@ -188,19 +188,19 @@
     let first = message(1, 30);
     journal.append(&[Record::Accepted(Rc::new(first))], 1).unwrap();
     // A body that contains a copy of the preceding frame and of the whole segment file.
-    let file = disk.get(&segment_names(&disk)[0]).unwrap();
+    let file = disk.file_bytes(&segment_names(&disk)[0]).unwrap();
     let mut forged = message(2, 0);
     forged.body = file.clone().into();
     journal.append(&[Record::Finished(1)], 1).unwrap();
     journal.append(&[Record::Accepted(Rc::new(forged))], 1).unwrap();
     journal.append(&[Record::Accepted(Rc::new(message(3, 5)))], 1).unwrap();
     drop(journal);
-    disk.restart();
+    disk.restart_process();
     let name = segment_names(&disk).remove(0);
-    let mut bytes = disk.get(&name).unwrap();
+    let mut bytes = disk.file_bytes(&name).unwrap();
     let inner = bytes.windows(file.len()).rposition(|window| window == file).unwrap();
     bytes[inner - 5] ^= 1;
-    disk.put(&name, &bytes);
+    disk.put_durable(&name, &bytes);
     let (journal, report) = open(&disk, options(Durability::Process));
     assert_eq!(report.damage.len(), 1);
     assert_eq!(
@@ -214,18 +214,20 @@
 fn a_folder_of_a_newer_version_is_left_unchanged() {
     let (disk, _, _) = build_folder(options(Durability::Process), 2);
     let name = segment_names(&disk).pop().unwrap();
-    let mut bytes = disk.get(&name).unwrap();
+    let mut bytes = disk.file_bytes(&name).unwrap();
     for block in [0, 32] {
         bytes[block + 4] = FORMAT_VERSION as u8 + 1;
         let checksum = crc32fast::hash(&bytes[block..block + 28]);
         bytes[block + 28..block + 32].copy_from_slice(&checksum.to_le_bytes());
     }
-    disk.put(&name, &bytes);
-    let files_before: Vec<_> = disk.names().into_iter().map(|name| (name.clone(), disk.get(&name))).collect();
+    disk.put_durable(&name, &bytes);
+    let files_before: Vec<_> =
+        disk.file_names().into_iter().map(|name| (name.clone(), disk.file_bytes(&name))).collect();
     let Err(error) = try_open(&disk, options(Durability::Process)) else { panic!("opened") };
     assert!(matches!(error, OpenError::NewerFormat { version: 2, .. }), "{error}");
     assert!(error.to_string().contains("Nothing was changed"), "{error}");
-    let files_after: Vec<_> = disk.names().into_iter().map(|name| (name.clone(), disk.get(&name))).collect();
+    let files_after: Vec<_> =
+        disk.file_names().into_iter().map(|name| (name.clone(), disk.file_bytes(&name))).collect();
     assert!(files_before == files_after);
 }
 
--- a/crates/serve/nickelshed-journal/tests/space.rs
+++ b/crates/serve/nickelshed-journal/tests/space.rs
@@ -73,7 +73,7 @@
                 }
             }
             max_open = max_open.max(open_messages.len());
-            assert!(disk.used() <= disk_limit_bytes, "{} of {disk_limit_bytes}", disk.used());
+            assert!(disk.used_bytes() <= disk_limit_bytes, "{} of {disk_limit_bytes}", disk.used_bytes());
             assert!(journal.stats().disk_bytes <= disk_limit_bytes);
         }
         assert!(
@@ -130,7 +130,7 @@
             commits += 1;
         }
         // The disk is full from here on, possibly in the middle of a compaction step or a commit.
-        disk.capacity(disk.used() + seed * 37);
+        disk.set_capacity(disk.used_bytes() + seed * 37);
         let mut failed_commits = 0;
         for _ in 0..200 {
             failed_commits += usize::from(workload.commit().is_err());
@@ -150,7 +150,7 @@
         // All records are still readable.
         assert_eq!(read_model(&workload.journal), workload.model);
         // Space is free again: the journal must accept messages without any external signal.
-        disk.capacity(u64::MAX);
+        disk.set_capacity(u64::MAX);
         // The ballast file is retried once a second.
         for _ in 0..12 {
             let _ = workload.commit();
@@ -163,7 +163,7 @@
         assert!(!workload.journal.is_ballast_missing() && accepted > 5, "{accepted} accepted");
         let model = workload.model.clone();
         drop(workload);
-        disk.restart();
+        disk.restart_process();
         let (journal, report) = open(&disk, options(Durability::Process));
         assert_eq!(read_model(&journal), model);
         assert!(report.damage.is_empty(), "{report:?}");
@@ -180,19 +180,19 @@
             for _ in 0..60 + seed {
                 workload.commit().unwrap();
             }
-            disk.fault(0, Fault::FailOn(kind));
+            disk.inject_fault(0, Fault::FailChangesFrom(kind));
             let model_before = workload.model.clone();
             for _ in 0..100 {
                 let _ = workload.commit();
             }
             assert_eq!(workload.model, model_before, "no message was accepted or lost");
-            disk.lift();
+            disk.clear_fault();
             for _ in 0..100 {
                 workload.commit().unwrap();
             }
             let model = workload.model.clone();
             drop(workload);
-            disk.restart();
+            disk.restart_process();
             let (journal, report) = open(&disk, options(Durability::Process));
             assert_eq!(read_model(&journal), model, "{kind} {seed}");
             assert!(report.damage.is_empty(), "{report:?}");
@@ -259,12 +259,12 @@
     assert_eq!(format!("{:?}", journal.stats().space), space_before, "its space is counted from the start");
     for part in [0, 1, 100, 255] {
         drop(journal);
-        disk.restart();
+        disk.restart_process();
         let (mut reopened, report) = open(&disk, options(Durability::Process));
         assert_eq!(reopened.read_outage_snapshot().unwrap(), b"shorter", "the previous snapshot");
         assert!(report.damage.is_empty());
         // Operation 0 opens the file; the crash happens in operation 1, the write.
-        disk.fault(1, Fault::Crash(part));
+        disk.inject_fault(1, Fault::Crash(part));
         assert!(reopened.write_outage_snapshot(&[9; 300]).is_err());
         journal = reopened;
     }
--- a/crates/serve/nickelshed-journal/tests/upgrade.rs
+++ b/crates/serve/nickelshed-journal/tests/upgrade.rs
@@ -52,8 +52,8 @@
 fn every_message_is_imported_once_and_the_legacy_file_is_removed() {
     let (file, live_count) = legacy_file();
     let disk = Disk::new();
-    disk.put("journal", &file);
-    disk.put("journal.new", b"a rewrite that was cut short");
+    disk.put_durable("journal", &file);
+    disk.put_durable("journal.new", b"a rewrite that was cut short");
     let (journal, report) = open(&disk, options(Durability::Process));
     assert_eq!(report.imported, live_count);
     let imported = by_trace(&journal);
@@ -69,9 +69,9 @@
         let expected = [None, None, Some(Ending::HandedBack(Some(5))), Some(Ending::GivenUp)];
         assert_eq!(*ending, expected[id as usize % 4]);
     }
-    assert!(!disk.names().iter().any(|name| name.starts_with("journal")), "{:?}", disk.names());
+    assert!(!disk.file_names().iter().any(|name| name.starts_with("journal")), "{:?}", disk.file_names());
     drop(journal);
-    disk.restart();
+    disk.restart_process();
     let (journal, report) = open(&disk, options(Durability::Process));
     assert_eq!((report.imported, by_trace(&journal)), (0, imported));
 }
@@ -81,7 +81,7 @@
     let (file, _) = legacy_file();
     let fresh = || {
         let disk = Disk::new();
-        disk.put("journal", &file);
+        disk.put_durable("journal", &file);
         disk
     };
     let disk = fresh();
@@ -89,13 +89,13 @@
     for durability in [Durability::Process, Durability::Machine] {
         let disk = fresh();
         open(&disk, options(durability));
-        for operation in 0..disk.operations() {
+        for operation in 0..disk.operation_count() {
             for part in [0, 200, 256] {
                 let disk = fresh();
-                disk.fault(operation, Fault::Crash(part));
+                disk.inject_fault(operation, Fault::Crash(part));
                 let _ = try_open(&disk, options(durability));
                 match durability {
-                    Durability::Process => disk.restart(),
+                    Durability::Process => disk.restart_process(),
                     Durability::Machine => disk.lose_power(&mut fastrand::Rng::with_seed(operation)),
                 }
                 let (journal, report) = open(&disk, options(durability));
@@ -115,7 +115,7 @@
 fn a_torn_end_of_the_legacy_file_is_cut_and_damage_assumes_attempts() {
     let (file, live_count) = legacy_file();
     let disk = Disk::new();
-    disk.put("journal", &file[..file.len() - 3]);
+    disk.put_durable("journal", &file[..file.len() - 3]);
     let (journal, report) = open(&disk, options(Durability::Process));
     assert_eq!(report.torn.map(|t| t.cut_bytes > 0), Some(true));
     assert_eq!(journal.live().len(), live_count);
@@ -124,7 +124,7 @@
     let disk = Disk::new();
     let mut corrupted = file.clone();
     corrupted[file.len() / 2] ^= 1;
-    disk.put("journal", &corrupted);
+    disk.put_durable("journal", &corrupted);
     let (journal, _) = open(&disk, options(Durability::Process));
     assert!(journal.live().len() > live_count / 3);
     assert!(by_trace(&journal).iter().all(|(_, attempts, ..)| attempts.last().unwrap().endpoint.is_empty()));
@@ -136,9 +136,9 @@
     let (mut journal, _) = open(&disk, options(Durability::Process));
     journal.append(&[Record::Accepted(std::rc::Rc::new(message(500, 9)))], 1).unwrap();
     drop(journal);
-    disk.restart();
+    disk.restart_process();
     let (file, live_count) = legacy_file();
-    disk.put("journal", &file);
+    disk.put_durable("journal", &file);
     let (journal, _) = open(&disk, options(Durability::Process));
     assert_eq!(journal.live().len(), live_count + 1);
 }
