--- a/crates/proof/nickelshed-judge/src/account.rs
+++ b/crates/proof/nickelshed-judge/src/account.rs
@@ -1,13 +1,13 @@
 //! Where slots and time went on a day, by how destinations stood: what a change of routing, limits or retries has to move.
-use crate::event::{Event, How, Us, What};
-use crate::worth::Worth;
+use crate::event::{CallEnd, Event, EventKind, Us};
+use crate::worth::ValueFunction;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How a destination stands, and what a sender can know of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum DestinationState {
     Well,
     /// Out, and no call of this sender has failed there since.
     Unseen,
@@ -20,7 +20,7 @@
 /// What became of a stretch of a message's time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Doing {
+pub enum MessagePhase {
     /// Held by its sender before the first attempt.
     Held,
     /// Out in an attempt that did not deliver it.
@@ -34,22 +34,22 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Account {
+pub struct TimeAccount {
     /// Microseconds of slots, by the state when the call began, whether it was a message's first, and whether it
     /// delivered any.
-    pub slots: BTreeMap<(State, bool, bool), Us>,
+    pub slot_time: BTreeMap<(DestinationState, bool, bool), Us>,
     /// Messages late or not delivered, by what took most of their time and how their destination stood when that began.
-    pub causes: BTreeMap<(State, Doing), usize>,
+    pub late_causes: BTreeMap<(DestinationState, MessagePhase), usize>,
     /// One in a hundred of the messages for destinations that are well took longer, in milliseconds: while none is out,
     /// and while any is. Infinite where as many were never delivered.
-    pub well_p99_ms: (f64, f64),
+    pub healthy_p99_ms: (f64, f64),
 }
 
-impl Account {
+impl TimeAccount {
     /// The part of all slot time that delivered nothing; 0 where there was none.
-    pub fn in_vain(&self) -> f64 {
-        let all: Us = self.slots.values().sum();
-        let vain: Us = self.slots.iter().filter(|((.., useful), _)| !useful).map(|(_, time)| time).sum();
+    pub fn wasted_fraction(&self) -> f64 {
+        let all: Us = self.slot_time.values().sum();
+        let vain: Us = self.slot_time.iter().filter(|((.., useful), _)| !useful).map(|(_, time)| time).sum();
         vain as f64 / all.max(1) as f64
     }
 }
@@ -62,12 +62,12 @@
 }
 
 impl Destinations {
-    fn state(&self, sender: usize, dest: u64, at: Us, cold: Us) -> State {
+    fn state(&self, sender: usize, dest: u64, at: Us, cold: Us) -> DestinationState {
         match self.back.get(&dest) {
-            _ if self.out.contains(&dest) && self.seen.contains(&(sender, dest)) => State::Sick,
-            _ if self.out.contains(&dest) => State::Unseen,
-            Some(back) if at < back + cold => State::Returning,
-            _ => State::Well,
+            _ if self.out.contains(&dest) && self.seen.contains(&(sender, dest)) => DestinationState::Sick,
+            _ if self.out.contains(&dest) => DestinationState::Unseen,
+            Some(back) if at < back + cold => DestinationState::Returning,
+            _ => DestinationState::Well,
         }
     }
 
@@ -87,15 +87,15 @@
     tried: bool,
     over: bool,
     /// What it is doing, since when, and how its destination stood then.
-    doing: (Doing, Us, State),
-    spent: BTreeMap<(State, Doing), Us>,
+    doing: (MessagePhase, Us, DestinationState),
+    spent: BTreeMap<(DestinationState, MessagePhase), Us>,
     /// Some destination was out when it was handed in.
     amid: bool,
 }
 
 impl Message {
     /// Ends what it was doing, as `was` if that is known better now.
-    fn turn(&mut self, at: Us, was: Option<Doing>, to: Doing, state: State) {
+    fn turn(&mut self, at: Us, was: Option<MessagePhase>, to: MessagePhase, state: DestinationState) {
         let (doing, since, stood) = self.doing;
         *self.spent.entry((stood, was.unwrap_or(doing))).or_default() += at.saturating_sub(since);
         self.doing = (to, at, state);
@@ -106,31 +106,31 @@
     sender: usize,
     dest: u64,
     from: Us,
-    state: State,
+    state: DestinationState,
     first: bool,
     ids: &'a [String],
 }
 
 /// Books a day; `classes` by the numbers that messages were handed in with, `cold`: how long a destination is cold.
-pub fn account(events: &[Event], classes: &[Worth], cold: Us) -> Account {
+pub fn account_time(events: &[Event], classes: &[ValueFunction], cold: Us) -> TimeAccount {
     let mut at_all = Destinations::default();
     let mut messages: BTreeMap<u64, Message> = BTreeMap::new();
     let mut number: BTreeMap<&str, u64> = BTreeMap::new();
     let mut calls: BTreeMap<u64, Out> = BTreeMap::new();
-    let mut account = Account::default();
+    let mut account = TimeAccount::default();
     for event in events {
         let at = event.at;
-        match &event.what {
-            What::OutageBegan { dest, .. } => {
+        match &event.kind {
+            EventKind::OutageBegan { dest, .. } => {
                 at_all.out.insert(*dest);
                 at_all.seen.retain(|(_, d)| d != dest);
             }
-            What::OutageEnded { dest, .. } => {
+            EventKind::OutageEnded { dest, .. } => {
                 at_all.out.remove(dest);
                 at_all.back.insert(*dest, at);
             }
-            What::Unreached { sender, dest, .. } => at_all.failed(*sender, *dest),
-            What::HandedIn { sender, id, message, class, dest, .. } => {
+            EventKind::Unreached { sender, dest, .. } => at_all.failed(*sender, *dest),
+            EventKind::HandedIn { sender, id, message, class, dest, .. } => {
                 number.insert(id, *message);
                 let state = at_all.state(*sender, *dest, at, cold);
                 let amid = !at_all.out.is_empty();
@@ -142,35 +142,35 @@
                     delivered: None,
                     tried: false,
                     over: false,
-                    doing: (Doing::Held, at, state),
+                    doing: (MessagePhase::Held, at, state),
                     spent: BTreeMap::new(),
                     amid,
                 });
-                m.turn(at, None, Doing::Held, state);
+                m.turn(at, None, MessagePhase::Held, state);
                 (m.sender, m.tried, m.over) = (*sender, false, false);
             }
-            What::Heard { id, status } if !matches!(status, 200 | 202) => {
+            EventKind::Heard { id, status } if !matches!(status, 200 | 202) => {
                 let Some(m) = number.get(id.as_str()).and_then(|n| messages.get_mut(n)) else { continue };
                 let state = at_all.state(m.sender, m.dest, at, cold);
-                m.turn(at, None, Doing::Away, state);
+                m.turn(at, None, MessagePhase::Away, state);
             }
-            What::Call { call, sender, dest, ids, first_byte, .. } => {
+            EventKind::Call { call, sender, dest, ids, first_byte, .. } => {
                 let state = at_all.state(*sender, *dest, *first_byte, cold);
                 let mut first = true;
                 for id in ids {
                     let Some(m) = number.get(id.as_str()).and_then(|n| messages.get_mut(n)) else { continue };
                     first &= !std::mem::replace(&mut m.tried, true);
-                    m.turn(*first_byte, None, Doing::OutInVain, state);
+                    m.turn(*first_byte, None, MessagePhase::OutInVain, state);
                 }
                 calls.insert(
                     *call,
                     Out { sender: *sender, dest: *dest, from: *first_byte, state, first, ids },
                 );
             }
-            What::Over { call, how } => {
+            EventKind::Over { call, end: how } => {
                 let Some(out) = calls.remove(call) else { continue };
-                let useful = matches!(how, How::Answered { status: 200, .. });
-                *account.slots.entry((out.state, out.first, useful)).or_default() +=
+                let useful = matches!(how, CallEnd::Answered { status: 200, .. });
+                *account.slot_time.entry((out.state, out.first, useful)).or_default() +=
                     at.saturating_sub(out.from);
                 if !useful {
                     at_all.failed(out.sender, out.dest);
@@ -178,18 +178,18 @@
                 let state = at_all.state(out.sender, out.dest, at, cold);
                 for id in out.ids {
                     let Some(m) = number.get(id.as_str()).and_then(|n| messages.get_mut(n)) else { continue };
-                    m.turn(at, useful.then_some(Doing::Delivered), Doing::Between, state);
+                    m.turn(at, useful.then_some(MessagePhase::Delivered), MessagePhase::Between, state);
                     if useful {
                         m.delivered.get_or_insert(at);
                         m.over = true;
                     }
                 }
             }
-            What::Notice { id, .. } => {
+            EventKind::Notice { id, .. } => {
                 let Some(m) = number.get(id.as_str()).and_then(|n| messages.get_mut(n)) else { continue };
                 if !std::mem::replace(&mut m.over, true) {
                     let state = at_all.state(m.sender, m.dest, at, cold);
-                    m.turn(at, None, Doing::Away, state);
+                    m.turn(at, None, MessagePhase::Away, state);
                 }
             }
             _ => {}
@@ -198,13 +198,16 @@
     let mut well: [Vec<Us>; 2] = Default::default();
     for m in messages.values() {
         let took = m.delivered.map(|at| at - m.first);
-        let wanted = classes.get(m.class).map_or(Us::MAX, |c| c.wanted);
-        if m.spent.keys().all(|(state, _)| *state == State::Well) {
+        let wanted = classes.get(m.class).map_or(Us::MAX, |c| c.target_latency);
+        if m.spent.keys().all(|(state, _)| *state == DestinationState::Well) {
             well[usize::from(m.amid)].push(took.unwrap_or(Us::MAX));
         }
         if took.is_none_or(|t| t > wanted) {
             let most = m.spent.iter().max_by_key(|(_, time)| **time).map(|(cause, _)| *cause);
-            *account.causes.entry(most.unwrap_or((State::Well, Doing::Away))).or_default() += 1;
+            *account
+                .late_causes
+                .entry(most.unwrap_or((DestinationState::Well, MessagePhase::Away)))
+                .or_default() += 1;
         }
     }
     let [calm, amid] = well.map(|mut times| {
@@ -212,6 +215,6 @@
         let at = (times.len().max(1) - 1) * 99 / 100;
         times.get(at).map_or(0.0, |t| if *t == Us::MAX { f64::INFINITY } else { *t as f64 / 1e3 })
     });
-    account.well_p99_ms = (calm, amid);
+    account.healthy_p99_ms = (calm, amid);
     account
 }
--- a/crates/proof/nickelshed-judge/src/event.rs
+++ b/crates/proof/nickelshed-judge/src/event.rs
@@ -17,7 +17,7 @@
 /// Which endpoints of a destination know a repeat of a keyed message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Known {
+pub enum DedupScope {
     #[default]
     Everywhere,
     InTheRoom,
@@ -27,9 +27,13 @@
 /// How a call ended, as its endpoint saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
+pub enum CallEnd {
     /// The first line of an answer was written; a wait that it told, in microseconds.
-    Answered { status: u16, wait: Us },
+    Answered {
+        status: u16,
+        #[serde(rename = "wait")]
+        retry_after: Us,
+    },
     /// What was written can't be read as an answer.
     Spoilt,
     /// The connection ended, by whichever side. When its sender ended it, at the time it did.
@@ -38,7 +42,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
-pub enum What {
+pub enum EventKind {
     /// A client has written a request's last byte. `message` is the same when it hands in again.
     HandedIn {
         sender: usize,
@@ -48,17 +52,13 @@
         class: usize,
         effect: Effect,
         dest: u64,
-        expires: Us,
+        #[serde(rename = "expires")]
+        lifetime: Us,
     },
     /// The client has read its answer; 0 if the connection ended without one.
-    Heard {
-        id: String,
-        status: u16,
-    },
+    Heard { id: String, status: u16 },
     /// The client has waited long enough and closed.
-    Left {
-        id: String,
-    },
+    Left { id: String },
     /// A call's last byte has come. `first_byte`: when its sender wrote the first.
     Call {
         call: u64,
@@ -68,7 +68,8 @@
         /// The endpoint, where a destination's endpoints are routes apart; then waits and returns count for it alone.
         #[serde(skip_serializing_if = "Option::is_none")]
         route: Option<usize>,
-        room: usize,
+        #[serde(rename = "room")]
+        site: usize,
         ids: Vec<String>,
         /// What it costs its endpoint, in messages that come alone: several in one call cost less than each by itself.
         work: f64,
@@ -77,13 +78,10 @@
     Over {
         call: u64,
         #[serde(flatten)]
-        how: How,
+        end: CallEnd,
     },
     /// It took effect; a repeat that its destination dropped did not.
-    Ran {
-        id: String,
-        message: u64,
-    },
+    Ran { id: String, message: u64 },
     /// A sender tried to reach a destination and was refused, or found nobody.
     Unreached {
         sender: usize,
@@ -95,7 +93,8 @@
     Told {
         sender: usize,
         endpoint: usize,
-        open: bool,
+        #[serde(rename = "open")]
+        accepts_calls: bool,
     },
     OutageBegan {
         dest: u64,
@@ -118,30 +117,26 @@
     Notice {
         sender: usize,
         id: String,
-        handed_back: bool,
+        #[serde(rename = "handed_back")]
+        returned: bool,
     },
     /// A sender was told to end, or was killed.
-    Going {
-        sender: usize,
-    },
+    Going { sender: usize },
     /// Its process has ended, and what that was told with it.
-    Ended {
-        sender: usize,
-    },
+    Ended { sender: usize },
     /// Its process stands still for so long.
     Stopped {
         sender: usize,
-        time: Us,
+        #[serde(rename = "time")]
+        duration: Us,
     },
     /// It has answered that it may be used.
-    Up {
-        sender: usize,
-    },
+    Up { sender: usize },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Event {
     pub at: Us,
     #[serde(flatten)]
-    pub what: What,
+    pub kind: EventKind,
 }
--- a/crates/proof/nickelshed-judge/src/lib.rs
+++ b/crates/proof/nickelshed-judge/src/lib.rs
@@ -5,7 +5,7 @@
 mod rules;
 mod worth;
 
-pub use account::{account, Account, Doing, State};
-pub use event::{Effect, Event, How, Known, Us, What};
-pub use rules::{judge, Broken, Figures, Rule};
-pub use worth::{reckon, Reckoning, Why, Worth};
+pub use account::{account_time, DestinationState, MessagePhase, TimeAccount};
+pub use event::{CallEnd, DedupScope, Effect, Event, EventKind, Us};
+pub use rules::{judge, Rule, RuleParameters, Violation};
+pub use worth::{score, LossReason, ScoreReport, ValueFunction};
--- a/crates/proof/nickelshed-judge/src/rules.rs
+++ b/crates/proof/nickelshed-judge/src/rules.rs
@@ -1,5 +1,5 @@
 //! The six rules, each against a history.
-use crate::event::{Effect, Event, How, Known, Us, What};
+use crate::event::{CallEnd, DedupScope, Effect, Event, EventKind, Us};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -23,26 +23,26 @@
 
 /// The rules' figures.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct RuleParameters {
     pub drain_grace: Us,
-    pub window: Us,
-    pub known: Known,
+    pub dedup_window: Us,
+    pub dedup_scope: DedupScope,
     pub start_capacity: f64,
-    pub cold: Us,
-    pub fall_multiple: f64,
-    pub fall_for: Us,
+    pub slow_start: Us,
+    pub overload_multiple: f64,
+    pub overload_window: Us,
 }
 
-impl Default for Figures {
-    fn default() -> Figures {
-        Figures {
+impl Default for RuleParameters {
+    fn default() -> RuleParameters {
+        RuleParameters {
             drain_grace: 1_000 * MS,
-            window: 15_000 * MS,
-            known: Known::Everywhere,
+            dedup_window: 15_000 * MS,
+            dedup_scope: DedupScope::Everywhere,
             start_capacity: 0.26,
-            cold: 9_500 * MS,
-            fall_multiple: 1.5,
-            fall_for: 2_000 * MS,
+            slow_start: 9_500 * MS,
+            overload_multiple: 1.5,
+            overload_window: 2_000 * MS,
         }
     }
 }
@@ -68,10 +68,11 @@
 
 /// A rule that was broken, and the numbers of the events by which.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Broken {
+pub struct Violation {
     pub rule: Rule,
     pub at: Us,
-    pub words: String,
+    #[serde(rename = "words")]
+    pub description: String,
     pub events: Vec<usize>,
 }
 
@@ -82,18 +83,18 @@
     known_by: usize,
     event: usize,
     first_byte: Us,
-    over: Option<(Us, How)>,
+    over: Option<(Us, CallEnd)>,
 }
 
 impl Attempt {
     /// An answer that proves that it did not run.
     fn never_ran(&self) -> bool {
-        matches!(self.over, Some((_, How::Answered { status: 400 | 410 | 413 | 429 | 503 | 504, .. })))
+        matches!(self.over, Some((_, CallEnd::Answered { status: 400 | 410 | 413 | 429 | 503 | 504, .. })))
     }
 
     fn delivered(&self) -> Option<Us> {
         match self.over {
-            Some((at, How::Answered { status: 200, .. })) => Some(at),
+            Some((at, CallEnd::Answered { status: 200, .. })) => Some(at),
             _ => None,
         }
     }
@@ -130,8 +131,8 @@
 
 struct Judge<'a> {
     events: &'a [Event],
-    figures: Figures,
-    broken: Vec<Broken>,
+    figures: RuleParameters,
+    broken: Vec<Violation>,
     messages: BTreeMap<&'a str, Message>,
     /// By route, where a destination's endpoints are apart.
     destinations: BTreeMap<Route, Destination>,
@@ -140,7 +141,7 @@
     /// Since when, and by which event, a sender was told that an endpoint takes nothing new.
     closed: BTreeMap<(usize, usize), (Us, usize)>,
     /// Ends of calls that had ended before their last byte came.
-    early: BTreeMap<u64, (Us, How)>,
+    early: BTreeMap<u64, (Us, CallEnd)>,
     /// When senders stood still.
     stops: Vec<(usize, Us, Us)>,
     /// For each sender the times in which nothing is overdue.
@@ -153,7 +154,7 @@
 
 /// Every rule that a history breaks, in the order of its events. Events are in the order of their times; a day must
 /// have run on until all that was taken on is over.
-pub fn judge(events: &[Event], figures: Figures) -> Vec<Broken> {
+pub fn judge(events: &[Event], figures: RuleParameters) -> Vec<Violation> {
     let mut judge = Judge {
         events,
         figures,
@@ -179,14 +180,14 @@
 
 impl<'a> Judge<'a> {
     fn say(&mut self, rule: Rule, at: Us, words: String, events: Vec<usize>) {
-        self.broken.push(Broken { rule, at, words, events });
+        self.broken.push(Violation { rule, at, description: words, events });
     }
 
     fn take(&mut self, number: usize) {
         let events: &'a [Event] = self.events;
         let at = events[number].at;
-        match &events[number].what {
-            What::HandedIn { sender, id, effect, expires, .. } => {
+        match &events[number].kind {
+            EventKind::HandedIn { sender, id, effect, lifetime: expires, .. } => {
                 let message = Message {
                     handed_in: number,
                     at,
@@ -202,21 +203,21 @@
                 // On another connection it is the same one once more.
                 self.messages.entry(id).or_insert(message);
             }
-            What::Heard { id, status } => self.heard(number, at, id, *status),
-            What::Left { id } => {
+            EventKind::Heard { id, status } => self.heard(number, at, id, *status),
+            EventKind::Left { id } => {
                 if let Some(m) = self.messages.get_mut(id.as_str()) {
                     m.left = true;
                 }
             }
-            What::Call { call, sender, endpoint, dest, route, room, ids, work, first_byte } => {
+            EventKind::Call { call, sender, endpoint, dest, route, site: room, ids, work, first_byte } => {
                 let place = (*dest, *route);
                 self.calls.insert(*call, (*sender, place, ids));
                 self.drain(number, *sender, *endpoint, *first_byte);
                 self.wait(number, *sender, place, *first_byte);
-                let known_by = match self.figures.known {
-                    Known::Everywhere => 0,
-                    Known::InTheRoom => *room,
-                    Known::AtTheEndpoint => *endpoint,
+                let known_by = match self.figures.dedup_scope {
+                    DedupScope::Everywhere => 0,
+                    DedupScope::InTheRoom => *room,
+                    DedupScope::AtTheEndpoint => *endpoint,
                 };
                 ids.iter().for_each(|id| self.attempt(number, *call, known_by, id, *first_byte));
                 self.pushed(number, at, *sender, place, *work);
@@ -224,11 +225,11 @@
                     self.over(number, at, *call, how);
                 }
             }
-            What::Over { call, how } if !self.calls.contains_key(call) => {
+            EventKind::Over { call, end: how } if !self.calls.contains_key(call) => {
                 _ = self.early.insert(*call, (at, *how))
             }
-            What::Over { call, how } => self.over(number, at, *call, *how),
-            What::Ran { id, .. } => {
+            EventKind::Over { call, end: how } => self.over(number, at, *call, *how),
+            EventKind::Ran { id, .. } => {
                 let Some(m) = self.messages.get_mut(id.as_str()) else { return };
                 m.ran.push(number);
                 if m.ran.len() > 1 && m.effect != Effect::Safe {
@@ -236,37 +237,37 @@
                     self.say(Rule::Twice, at, format!("{id} took effect twice"), ran);
                 }
             }
-            What::Unreached { sender, dest, route } => {
+            EventKind::Unreached { sender, dest, route } => {
                 let dest = self.destinations.entry((*dest, *route)).or_default();
                 if dest.out.is_some() {
                     dest.saw.insert(*sender);
                 }
             }
-            What::Told { sender, endpoint, open } => {
+            EventKind::Told { sender, endpoint, accepts_calls: open } => {
                 if *open {
                     self.closed.remove(&(*sender, *endpoint));
                 } else {
                     self.closed.entry((*sender, *endpoint)).or_insert((at, number));
                 }
             }
-            What::OutageBegan { dest, route } => {
+            EventKind::OutageBegan { dest, route } => {
                 let dest = self.destinations.entry((*dest, *route)).or_default();
                 (dest.out, dest.back) = (Some(at), None);
                 dest.saw.clear();
                 dest.sent.clear();
             }
-            What::OutageEnded { dest, route, capacity } => {
+            EventKind::OutageEnded { dest, route, capacity } => {
                 let dest = self.destinations.entry((*dest, *route)).or_default();
                 (dest.out, dest.back) = (None, Some((at, *capacity)));
             }
-            What::FellOver { .. } => {}
-            What::Notice { id, handed_back, .. } => self.notice(number, at, id, *handed_back),
-            What::Going { sender } => self.restarts.entry(*sender).or_default().push((at, Us::MAX)),
-            What::Stopped { sender, time } => {
+            EventKind::FellOver { .. } => {}
+            EventKind::Notice { id, returned: handed_back, .. } => self.notice(number, at, id, *handed_back),
+            EventKind::Going { sender } => self.restarts.entry(*sender).or_default().push((at, Us::MAX)),
+            EventKind::Stopped { sender, duration: time } => {
                 self.stops.push((*sender, at, at + time));
                 self.restarts.entry(*sender).or_default().push((at, at + time + AFTER_START));
             }
-            What::Ended { sender } => {
+            EventKind::Ended { sender } => {
                 for place in self.destinations.values_mut() {
                     place.waits.remove(sender);
                 }
@@ -279,7 +280,7 @@
                 let held = self.messages.iter().filter(|(_, m)| is_untried(m)).map(|(id, _)| *id).collect();
                 self.held.insert(*sender, held);
             }
-            What::Up { sender } => {
+            EventKind::Up { sender } => {
                 let held = self.held.remove(sender).unwrap_or_default();
                 let in_time = |id: &&str| self.messages.get(id).is_some_and(|m| m.at + m.expires > at);
                 self.untried.extend(held.into_iter().filter(in_time).map(|id| (id, number)));
@@ -327,7 +328,7 @@
     }
 
     fn attempt(&mut self, number: usize, call: u64, known_by: usize, id: &'a str, first_byte: Us) {
-        let window = self.figures.window;
+        let window = self.figures.dedup_window;
         let Some(m) = self.messages.get_mut(id) else { return };
         let mut found = Vec::new();
         // What was called off long before it came may come after a later attempt: neither was out beside the other.
@@ -375,7 +376,7 @@
         }
     }
 
-    fn over(&mut self, number: usize, at: Us, call: u64, how: How) {
+    fn over(&mut self, number: usize, at: Us, call: u64, how: CallEnd) {
         let Some(&(sender, place, ids)) = self.calls.get(&call) else { return };
         for id in ids {
             let attempts = self.messages.get_mut(id.as_str()).map(|m| &mut m.attempts);
@@ -384,12 +385,12 @@
                 attempt.over = Some((at, how));
             }
         }
-        let served = matches!(how, How::Answered { status: 200, .. });
+        let served = matches!(how, CallEnd::Answered { status: 200, .. });
         let place = self.destinations.entry(place).or_default();
         if !served && place.out.is_some() {
             place.saw.insert(sender);
         }
-        if let How::Answered { wait, .. } = how {
+        if let CallEnd::Answered { retry_after: wait, .. } = how {
             if wait > 0 {
                 let told = place.waits.entry(sender).or_insert((0, 0, 0));
                 if at + wait > told.0 {
@@ -403,15 +404,17 @@
     fn pushed(&mut self, number: usize, at: Us, sender: usize, route: Route, work: f64) {
         let f = self.figures;
         let Some(place) = self.destinations.get_mut(&route) else { return };
-        let Some((back, capacity)) = place.back.filter(|(back, _)| at < *back + f.cold) else { return };
+        let Some((back, capacity)) = place.back.filter(|(t, _)| at < *t + f.slow_start) else { return };
         place.sent.push_back((at, sender, number, work));
-        while place.sent.front().is_some_and(|(t, ..)| *t + f.fall_for < at) {
+        while place.sent.front().is_some_and(|(t, ..)| *t + f.overload_window < at) {
             place.sent.pop_front();
         }
-        let from = at.saturating_sub(f.fall_for).max(back);
-        let able = |t: Us| f.start_capacity + (1.0 - f.start_capacity) * (t - back) as f64 / f.cold as f64;
+        let from = at.saturating_sub(f.overload_window).max(back);
+        let able =
+            |t: Us| f.start_capacity + (1.0 - f.start_capacity) * (t - back) as f64 / f.slow_start as f64;
         // Its capacity rises evenly, so the mean of a stretch is that of its ends.
-        let budget = f.fall_multiple * capacity * (able(from) + able(at)) / 2.0 * f.fall_for as f64 / 1e6;
+        let budget =
+            f.overload_multiple * capacity * (able(from) + able(at)) / 2.0 * f.overload_window as f64 / 1e6;
         let all: f64 = place.sent.iter().map(|(.., work)| work).sum();
         let knowing = place.sent.iter().filter(|(_, s, ..)| place.saw.contains(s));
         let knowing: f64 = knowing.map(|(.., work)| work).sum();
@@ -423,7 +426,7 @@
             }
             let events: Vec<usize> = place.sent.iter().map(|(_, _, n, _)| *n).collect();
             let dest = named(route);
-            let words = format!("{dest} was sent work for {all:.1} messages within {} ms, {} ms after its return, and could stand {budget:.1}", f.fall_for / MS, (at - back) / MS);
+            let words = format!("{dest} was sent work for {all:.1} messages within {} ms, {} ms after its return, and could stand {budget:.1}", f.overload_window / MS, (at - back) / MS);
             self.say(Rule::Pushed, at, words, events);
         }
     }
@@ -435,7 +438,7 @@
             found.push((Rule::Lost, format!("{id} was both handed back and given up"), vec![*by, number]));
         }
         // Handed in again it may reach endpoints that do not know its key.
-        let narrow = m.effect == Effect::Keyed && self.figures.known != Known::Everywhere;
+        let narrow = m.effect == Effect::Keyed && self.figures.dedup_scope != DedupScope::Everywhere;
         if handed_back && (m.effect == Effect::Unsafe || narrow) && m.notices.is_empty() {
             if let Some(before) = m.attempts.iter().find(|a| !a.never_ran()) {
                 let words = format!("{id} was handed back though it may have run, and may then run twice");
--- a/crates/proof/nickelshed-judge/src/worth.rs
+++ b/crates/proof/nickelshed-judge/src/worth.rs
@@ -1,12 +1,12 @@
 //! What a day was worth, and where its worth was lost.
-use crate::event::{Event, How, Us, What};
+use crate::event::{CallEnd, Event, EventKind, Us};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
 /// Why a message was not delivered in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum LossReason {
     /// Refused at the door, the last time that it was handed in.
     Refused,
     /// The sender held it and made no attempt.
@@ -22,18 +22,21 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Reckoning {
+pub struct ScoreReport {
     pub messages: usize,
     pub in_time: usize,
     pub late: usize,
     pub lost: usize,
     /// Worth delivered over worth asked for.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub value: f64,
     pub calls: usize,
     /// Calls that were answered 429 or 503.
-    pub turned_away: usize,
+    #[serde(rename = "turned_away")]
+    pub rejected: usize,
     /// How many were late or lost, by why.
-    pub why: BTreeMap<Why, usize>,
+    #[serde(rename = "why")]
+    pub loss_reasons: BTreeMap<LossReason, usize>,
     /// Milliseconds to delivery: the median, and one in a hundred.
     pub p50_ms: f64,
     pub p99_ms: f64,
@@ -56,31 +59,31 @@
 /// What a class's messages are worth: whole within `wanted`, half with each further `wanted`, and never under the part
 /// `least` for what is delivered.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Worth {
-    pub wanted: Us,
-    pub whole: f64,
-    pub least: f64,
+pub struct ValueFunction {
+    pub target_latency: Us,
+    pub full_value: f64,
+    pub min_value_fraction: f64,
 }
 
-impl Worth {
+impl ValueFunction {
     /// Of what was delivered after so long.
-    pub fn after(&self, took: Us) -> f64 {
-        let late = took.saturating_sub(self.wanted) as f64 / self.wanted.max(1) as f64;
-        self.whole * 0.5f64.powf(late).max(self.least)
+    pub fn value_after(&self, took: Us) -> f64 {
+        let late = took.saturating_sub(self.target_latency) as f64 / self.target_latency.max(1) as f64;
+        self.full_value * 0.5f64.powf(late).max(self.min_value_fraction)
     }
 }
 
 /// Counts a day; `classes` by the numbers that messages were handed in with.
-pub fn reckon(events: &[Event], classes: &[Worth]) -> Reckoning {
-    let unknown = Worth { wanted: Us::MAX, whole: 0.0, least: 0.0 };
+pub fn score(events: &[Event], classes: &[ValueFunction]) -> ScoreReport {
+    let unknown = ValueFunction { target_latency: Us::MAX, full_value: 0.0, min_value_fraction: 0.0 };
     let of_class = |class: usize| classes.get(class).copied().unwrap_or(unknown);
     let mut messages: BTreeMap<u64, Message> = BTreeMap::new();
     let mut of: BTreeMap<&str, u64> = BTreeMap::new();
     let mut calls: BTreeMap<u64, (Us, &[String])> = BTreeMap::new();
-    let mut reckoning = Reckoning::default();
+    let mut reckoning = ScoreReport::default();
     for event in events {
-        match &event.what {
-            What::HandedIn { id, message, class, .. } => {
+        match &event.kind {
+            EventKind::HandedIn { id, message, class, .. } => {
                 let m = messages.entry(*message).or_insert_with(|| Message {
                     class: *class,
                     first: event.at,
@@ -90,25 +93,25 @@
                 m.ids.push(id.clone());
                 of.insert(id, *message);
             }
-            What::Heard { id, status } => {
+            EventKind::Heard { id, status } => {
                 if let Some(m) = of.get(id.as_str()).and_then(|m| messages.get_mut(m)) {
                     (m.heard, m.refused) = (true, *status != 202 && *status != 200);
                 }
             }
-            What::Call { call, ids, first_byte, .. } => {
+            EventKind::Call { call, ids, first_byte, .. } => {
                 reckoning.calls += 1;
                 calls.insert(*call, (*first_byte, ids));
             }
-            What::Over { call, how } => {
+            EventKind::Over { call, end: how } => {
                 let Some((from, ids)) = calls.remove(call) else { continue };
-                let turned_away = matches!(how, How::Answered { status: 429 | 503, .. });
-                reckoning.turned_away += usize::from(turned_away);
+                let turned_away = matches!(how, CallEnd::Answered { status: 429 | 503, .. });
+                reckoning.rejected += usize::from(turned_away);
                 for id in ids {
                     let Some(m) = of.get(id.as_str()).and_then(|m| messages.get_mut(m)) else { continue };
                     m.out += event.at.saturating_sub(from);
                     m.attempts += 1;
                     m.last_turned_away = turned_away;
-                    if matches!(how, How::Answered { status: 200, .. }) {
+                    if matches!(how, CallEnd::Answered { status: 200, .. }) {
                         m.delivered.get_or_insert(event.at);
                     }
                 }
@@ -121,9 +124,9 @@
     for m in messages.values() {
         reckoning.messages += 1;
         let class = of_class(m.class);
-        let wanted = class.wanted;
-        asked += class.whole;
-        reckoning.worth += m.delivered.map_or(0.0, |at| class.after(at - m.first));
+        let wanted = class.target_latency;
+        asked += class.full_value;
+        reckoning.value += m.delivered.map_or(0.0, |at| class.value_after(at - m.first));
         let took = m.delivered.map(|at| at - m.first);
         match took {
             Some(took) if took <= wanted => {
@@ -138,17 +141,17 @@
         if took.is_none_or(|t| t > wanted) {
             let whole = m.delivered.map_or(wanted, |at| at - m.first);
             let why = match m {
-                _ if m.refused => Why::Refused,
-                _ if !m.heard => Why::Unheard,
-                _ if m.attempts == 0 => Why::Held,
-                _ if m.out * 2 >= whole => Why::Out,
-                _ if m.last_turned_away => Why::TurnedAway,
-                _ => Why::Between,
+                _ if m.refused => LossReason::Refused,
+                _ if !m.heard => LossReason::Unheard,
+                _ if m.attempts == 0 => LossReason::Held,
+                _ if m.out * 2 >= whole => LossReason::Out,
+                _ if m.last_turned_away => LossReason::TurnedAway,
+                _ => LossReason::Between,
             };
-            *reckoning.why.entry(why).or_default() += 1;
+            *reckoning.loss_reasons.entry(why).or_default() += 1;
         }
     }
-    reckoning.worth /= f64::max(asked, 1e-9);
+    reckoning.value /= f64::max(asked, 1e-9);
     times.sort_unstable();
     let part =
         |p: f64| times.get(((times.len().max(1) - 1) as f64 * p) as usize).map_or(0.0, |t| *t as f64 / 1e3);
--- a/crates/proof/nickelshed-judge/tests/rules.rs
+++ b/crates/proof/nickelshed-judge/tests/rules.rs
@@ -10,22 +10,22 @@
         History(Vec::new())
     }
 
-    fn at(mut self, ms: Us, what: What) -> History {
-        self.0.push(Event { at: ms * MS, what });
+    fn at(mut self, ms: Us, what: EventKind) -> History {
+        self.0.push(Event { at: ms * MS, kind: what });
         self
     }
 
     fn taken_on(self, ms: Us, id: &str, effect: Effect, expires_ms: Us) -> History {
-        let handed = What::HandedIn {
+        let handed = EventKind::HandedIn {
             sender: 0,
             id: id.into(),
             message: 1,
             class: 0,
             effect,
             dest: 7,
-            expires: expires_ms * MS,
+            lifetime: expires_ms * MS,
         };
-        self.at(ms, handed).at(ms, What::Heard { id: id.into(), status: 202 })
+        self.at(ms, handed).at(ms, EventKind::Heard { id: id.into(), status: 202 })
     }
 
     /// A call whose first byte is written 5 ms before its last has come.
@@ -37,13 +37,13 @@
         let ids = vec![id.into()];
         self.at(
             ms,
-            What::Call {
+            EventKind::Call {
                 call,
                 sender,
                 endpoint,
                 dest: 7,
                 route: None,
-                room: endpoint % 2,
+                site: endpoint % 2,
                 work: 1.0,
                 ids,
                 first_byte: (ms - 5) * MS,
@@ -52,24 +52,24 @@
     }
 
     fn answered(self, ms: Us, call: u64, status: u16) -> History {
-        self.at(ms, What::Over { call, how: How::Answered { status, wait: 0 } })
+        self.at(ms, EventKind::Over { call, end: CallEnd::Answered { status, retry_after: 0 } })
     }
 
     fn closed(self, ms: Us, call: u64) -> History {
-        self.at(ms, What::Over { call, how: How::Closed })
+        self.at(ms, EventKind::Over { call, end: CallEnd::Closed })
     }
 
     fn notice(self, ms: Us, id: &str, handed_back: bool) -> History {
-        self.at(ms, What::Notice { sender: 0, id: id.into(), handed_back })
+        self.at(ms, EventKind::Notice { sender: 0, id: id.into(), returned: handed_back })
     }
 
     fn rules(self) -> Vec<Rule> {
-        self.rules_where(Known::Everywhere)
+        self.rules_where(DedupScope::Everywhere)
     }
 
-    fn rules_where(mut self, known: Known) -> Vec<Rule> {
+    fn rules_where(mut self, known: DedupScope) -> Vec<Rule> {
         self.0.sort_by_key(|e| e.at);
-        let figures = Figures { known, ..Figures::default() };
+        let figures = RuleParameters { dedup_scope: known, ..RuleParameters::default() };
         judge(&self.0, figures).into_iter().map(|b| b.rule).collect()
     }
 }
@@ -87,31 +87,31 @@
     assert_eq!(held().notice(1_360, "a", true).rules(), []);
     assert_eq!(held().notice(1_361, "a", true).rules(), [Rule::Lost]);
     // What its client left counts for nothing.
-    assert_eq!(held().at(20, What::Left { id: "a".into() }).rules(), []);
+    assert_eq!(held().at(20, EventKind::Left { id: "a".into() }).rules(), []);
     // A restart puts it off until 1.5 s after the sender may be used again.
-    let restart = || held().at(1_300, What::Going { sender: 0 }).at(3_000, What::Up { sender: 0 });
+    let restart = || held().at(1_300, EventKind::Going { sender: 0 }).at(3_000, EventKind::Up { sender: 0 });
     assert_eq!(restart().notice(4_500, "a", true).rules(), []);
     assert_eq!(restart().notice(4_501, "a", true).rules(), [Rule::Lost]);
     // One that is killed after it was told to end is going twice, and back once.
-    let twice = held().at(1_200, What::Going { sender: 0 }).at(1_300, What::Going { sender: 0 });
-    let twice = twice.at(3_000, What::Up { sender: 0 });
+    let twice = held().at(1_200, EventKind::Going { sender: 0 }).at(1_300, EventKind::Going { sender: 0 });
+    let twice = twice.at(3_000, EventKind::Up { sender: 0 });
     assert_eq!(twice.notice(4_501, "a", true).rules(), [Rule::Lost]);
     // Refused at the door, nothing is owed.
-    let handed = What::HandedIn {
+    let handed = EventKind::HandedIn {
         sender: 0,
         id: "r".into(),
         message: 2,
         class: 0,
         effect: Effect::Safe,
         dest: 7,
-        expires: 1,
+        lifetime: 1,
     };
     assert_eq!(
-        History::new().at(1, handed.clone()).at(2, What::Heard { id: "r".into(), status: 503 }).rules(),
+        History::new().at(1, handed.clone()).at(2, EventKind::Heard { id: "r".into(), status: 503 }).rules(),
         []
     );
     assert_eq!(
-        History::new().at(1, handed).at(2, What::Heard { id: "r".into(), status: 0 }).rules(),
+        History::new().at(1, handed).at(2, EventKind::Heard { id: "r".into(), status: 0 }).rules(),
         [Rule::Lost]
     );
 }
@@ -146,7 +146,7 @@
     // The first byte was written at 20 ms: 15 s and 50 ms more.
     assert_eq!(first().call(15_075, 2, 3, "a").answered(15_080, 2, 200).rules(), []);
     assert_eq!(first().call(15_076, 2, 3, "a").answered(15_080, 2, 200).rules(), [Rule::Twice]);
-    let ran = |ms| (ms, What::Ran { id: "a".into(), message: 1 });
+    let ran = |ms| (ms, EventKind::Ran { id: "a".into(), message: 1 });
     let (one, two) = (ran(40), ran(50));
     assert_eq!(delivered("a").at(one.0, one.1.clone()).rules(), []);
     assert_eq!(delivered("a").at(one.0, one.1).at(two.0, two.1).rules(), [Rule::Twice]);
@@ -163,7 +163,7 @@
     let late = |over: Us| {
         let mut history =
             delivered("b").call(60, 2, 4, "a").answered(80, 2, 200).closed(over, 3).call(70, 3, 5, "a");
-        if let Some(What::Call { first_byte, .. }) = history.0.last_mut().map(|e| &mut e.what) {
+        if let Some(EventKind::Call { first_byte, .. }) = history.0.last_mut().map(|e| &mut e.kind) {
             *first_byte = 40 * MS;
         }
         history.taken_on(10, "a", Effect::Keyed, 1_000).rules()
@@ -174,7 +174,7 @@
 #[test]
 fn nothing_new_goes_to_what_drains_once_the_grace_is_over() {
     let told = || {
-        let open = |open| What::Told { sender: 0, endpoint: 3, open };
+        let open = |open| EventKind::Told { sender: 0, endpoint: 3, accepts_calls: open };
         History::new().at(1, open(true)).at(100, open(false)).taken_on(10, "a", Effect::Keyed, 9_000)
     };
     assert_eq!(told().call(1_155, 1, 3, "a").answered(1_160, 1, 200).rules(), []);
@@ -185,9 +185,9 @@
 #[test]
 fn a_wait_binds_from_a_tenth_of_a_second_on_until_its_end() {
     let told = || {
-        let wait = How::Answered { status: 429, wait: 2_000 * MS };
+        let wait = CallEnd::Answered { status: 429, retry_after: 2_000 * MS };
         let first = History::new().taken_on(10, "a", Effect::Keyed, 9_000).call(20, 1, 3, "a");
-        first.at(30, What::Over { call: 1, how: wait }).taken_on(40, "b", Effect::Keyed, 9_000)
+        first.at(30, EventKind::Over { call: 1, end: wait }).taken_on(40, "b", Effect::Keyed, 9_000)
     };
     let other = |ms| {
         told().call(ms, 2, 4, "b").answered(ms + 5, 2, 200).call(2_500, 3, 3, "a").answered(2_510, 3, 200)
@@ -200,10 +200,15 @@
         let again = history.call(500, 2, 4, "b").answered(505, 2, 200);
         again.call(2_500, 3, 3, "a").answered(2_510, 3, 200).rules()
     };
-    let ended = |history: History| history.at(60, What::Ended { sender: 0 }).at(70, What::Up { sender: 0 });
+    let ended =
+        |history: History| history.at(60, EventKind::Ended { sender: 0 }).at(70, EventKind::Up { sender: 0 });
     assert_eq!(after(ended(told())), [], "a restart ends it");
-    assert_eq!(after(told().at(60, What::Going { sender: 0 })), [Rule::Wait], "being told to end does not");
-    let told_late = History::new().at(5, What::Going { sender: 0 });
+    assert_eq!(
+        after(told().at(60, EventKind::Going { sender: 0 })),
+        [Rule::Wait],
+        "being told to end does not"
+    );
+    let told_late = History::new().at(5, EventKind::Going { sender: 0 });
     let told_late = History(told_late.0.into_iter().chain(told().0).collect());
     assert_eq!(
         after(ended(told_late)),
@@ -217,21 +222,21 @@
 #[test]
 fn a_returning_destination_is_pushed_only_by_those_that_knew() {
     let returning = |by: &[(usize, u64)]| {
-        let mut h = History::new().at(10, What::OutageBegan { dest: 7, route: None });
-        h = h.at(20, What::Unreached { sender: 0, dest: 7, route: None });
-        h = h.at(1_000, What::OutageEnded { dest: 7, route: None, capacity: 10.0 });
+        let mut h = History::new().at(10, EventKind::OutageBegan { dest: 7, route: None });
+        h = h.at(20, EventKind::Unreached { sender: 0, dest: 7, route: None });
+        h = h.at(1_000, EventKind::OutageEnded { dest: 7, route: None, capacity: 10.0 });
         let senders = by.iter().flat_map(|&(sender, many)| (0..many).map(move |_| sender));
         for (i, sender) in senders.enumerate() {
             let i = i as u64;
             let id = format!("m{i}");
-            let handed = What::HandedIn {
+            let handed = EventKind::HandedIn {
                 sender,
                 id: id.clone(),
                 message: i,
                 class: 0,
                 effect: Effect::Keyed,
                 dest: 7,
-                expires: 9_000 * MS,
+                lifetime: 9_000 * MS,
             };
             h = h.at(1_005, handed).call_of(sender, 1_010, i, 3, &id).answered(1_020, i, 200);
         }
@@ -248,11 +253,13 @@
 #[test]
 fn worth_is_whole_in_time_and_half_one_aim_later() {
     let day = delivered("a").0;
-    let wanted = |ms: Us| reckon(&day, &[Worth { wanted: ms * MS, whole: 2.0, least: 0.3 }]);
-    assert_eq!((wanted(20).worth, wanted(20).in_time), (1.0, 1));
-    assert_eq!((wanted(10).worth, wanted(10).late), (0.5, 1));
-    assert_eq!(wanted(1).worth, 0.3);
-    assert_eq!(wanted(10).why.into_iter().collect::<Vec<_>>(), [(Why::Out, 1)]);
+    let wanted = |ms: Us| {
+        score(&day, &[ValueFunction { target_latency: ms * MS, full_value: 2.0, min_value_fraction: 0.3 }])
+    };
+    assert_eq!((wanted(20).value, wanted(20).in_time), (1.0, 1));
+    assert_eq!((wanted(10).value, wanted(10).late), (0.5, 1));
+    assert_eq!(wanted(1).value, 0.3);
+    assert_eq!(wanted(10).loss_reasons.into_iter().collect::<Vec<_>>(), [(LossReason::Out, 1)]);
 }
 
 /// Endpoints 3 and 5 of the histories stand in one room, 4 in another.
@@ -267,36 +274,37 @@
         }
     };
     let may_have_run = 500;
-    assert_eq!(again(4, may_have_run)(Known::Everywhere), []);
-    assert_eq!(again(4, may_have_run)(Known::InTheRoom), [Rule::Twice]);
-    assert_eq!(again(5, may_have_run)(Known::InTheRoom), []);
-    assert_eq!(again(5, may_have_run)(Known::AtTheEndpoint), [Rule::Twice]);
-    assert_eq!(again(3, may_have_run)(Known::AtTheEndpoint), []);
-    assert_eq!(again(4, 503)(Known::AtTheEndpoint), [], "what never ran is known nowhere");
+    assert_eq!(again(4, may_have_run)(DedupScope::Everywhere), []);
+    assert_eq!(again(4, may_have_run)(DedupScope::InTheRoom), [Rule::Twice]);
+    assert_eq!(again(5, may_have_run)(DedupScope::InTheRoom), []);
+    assert_eq!(again(5, may_have_run)(DedupScope::AtTheEndpoint), [Rule::Twice]);
+    assert_eq!(again(3, may_have_run)(DedupScope::AtTheEndpoint), []);
+    assert_eq!(again(4, 503)(DedupScope::AtTheEndpoint), [], "what never ran is known nowhere");
     // Handed back, it may reach those that do not know its key.
     let handed_back = |known| {
         let h = History::new().taken_on(10, "a", Effect::Keyed, 1_000).call(20, 1, 3, "a");
         h.answered(30, 1, 500).notice(900, "a", true).rules_where(known)
     };
-    assert_eq!(handed_back(Known::Everywhere), []);
-    assert_eq!(handed_back(Known::InTheRoom), [Rule::Twice]);
+    assert_eq!(handed_back(DedupScope::Everywhere), []);
+    assert_eq!(handed_back(DedupScope::InTheRoom), [Rule::Twice]);
 }
 
 #[test]
 fn a_wait_binds_the_route_that_told_it_and_no_other() {
     let called = |endpoint: usize| {
-        let call = |call, at: Us, endpoint: usize, id: &str| What::Call {
+        let call = |call, at: Us, endpoint: usize, id: &str| EventKind::Call {
             call,
             sender: 0,
             endpoint,
             dest: 7,
             route: Some(endpoint),
-            room: 0,
+            site: 0,
             ids: vec![id.into()],
             work: 1.0,
             first_byte: at * MS,
         };
-        let wait = What::Over { call: 1, how: How::Answered { status: 429, wait: 1_000 * MS } };
+        let wait =
+            EventKind::Over { call: 1, end: CallEnd::Answered { status: 429, retry_after: 1_000 * MS } };
         let h =
             History::new().taken_on(10, "a", Effect::Safe, 5_000).at(20, call(1, 20, 3, "a")).at(30, wait);
         h.at(500, call(2, 500, endpoint, "a")).answered(510, 2, 200).rules()
@@ -314,8 +322,8 @@
         for n in 0..found {
             h = h.taken_on(n, &id(n), effect, expires);
         }
-        h = h.at(100, What::Going { sender: 0 }).at(100, What::Ended { sender: 0 });
-        h = h.at(800, What::Up { sender: 0 });
+        h = h.at(100, EventKind::Going { sender: 0 }).at(100, EventKind::Ended { sender: 0 });
+        h = h.at(800, EventKind::Up { sender: 0 });
         for n in 0..called {
             h = h.call(900 + n, n, 3, &id(n)).answered(950 + n, n, 200);
         }
--- a/crates/proof/nickelshed-lab/src/compare.rs
+++ b/crates/proof/nickelshed-lab/src/compare.rs
@@ -25,7 +25,7 @@
     }
     let gaps: Vec<f64> = pairs.iter().map(|(a, b)| b - a).collect();
     let mean = |values: &mut dyn Iterator<Item = f64>| values.sum::<f64>() / gaps.len() as f64;
-    let mut random = nickelshed_model::stream(pairs.len() as u64, 9);
+    let mut random = nickelshed_model::random_stream(pairs.len() as u64, 9);
     let mut means: Vec<f64> = (0..DRAWS)
         .map(|_| mean(&mut (0..gaps.len()).map(|_| gaps[random.random_range(0..gaps.len())])))
         .collect();
@@ -40,7 +40,7 @@
 
     #[test]
     fn noise_is_no_difference_and_a_gain_is_one() {
-        let mut random = nickelshed_model::stream(5, 1);
+        let mut random = nickelshed_model::random_stream(5, 1);
         let noise: Vec<(f64, f64)> = (0..40).map(|_| (random.random(), random.random())).collect();
         assert!(!difference(&noise).unwrap().is_seen());
         let gain: Vec<(f64, f64)> =
--- a/crates/proof/nickelshed-lab/src/explore.rs
+++ b/crates/proof/nickelshed-lab/src/explore.rs
@@ -31,7 +31,7 @@
 pub fn faults(day: &Day) -> BTreeMap<Fault, String> {
     let mut out = BTreeMap::new();
     for broken in &day.broken {
-        let words = || format!("at {} ms: {}", broken.at / 1_000, broken.words);
+        let words = || format!("at {} ms: {}", broken.at / 1_000, broken.description);
         out.entry(Fault::Broken(broken.rule)).or_insert_with(words);
     }
     if let Some(crash) = day.crashes.first() {
@@ -126,9 +126,9 @@
 /// Days that are smaller in one respect, the boldest cuts first.
 fn smaller(s: &Scenario) -> Vec<Scenario> {
     let mut out = Vec::new();
-    for i in 0..s.troubles.len() {
+    for i in 0..s.faults.len() {
         let mut less = s.clone();
-        less.troubles.remove(i);
+        less.faults.remove(i);
         out.push(less);
     }
     let mut with = |change: &dyn Fn(&mut Scenario)| {
@@ -143,18 +143,18 @@
     with(&|s| s.length = Period::ms((s.length.0.as_millis() as u64 / 2).max(1_000)));
     with(&|s| s.length = Period::ms((s.length.0.as_millis() as u64 * 4 / 5).max(1_000)));
     with(&|s| s.endpoints = 1);
-    with(&|s| s.routes_apart = false);
-    with(&|s| s.rooms = 1);
+    with(&|s| s.separate_routes = false);
+    with(&|s| s.sites = 1);
     with(&|s| s.batch = 1);
-    with(&|s| s.list_tells_rates = true);
+    with(&|s| s.discovery_reports_rates = true);
     with(&|s| _ = s.classes.pop());
-    with(&|s| s.retries = 0);
-    with(&|s| s.spoilt = Percent(0.0));
+    with(&|s| s.client_retries = 0);
+    with(&|s| s.corrupted = Percent(0.0));
     with(&|s| s.clumps = Percent(0.0));
-    with(&|s| s.limit = 0.0);
-    with(&|s| s.told_wait = Period::ms(0));
+    with(&|s| s.limit_multiple = 0.0);
+    with(&|s| s.retry_after = Period::ms(0));
     with(&|s| s.rate = (s.rate / 2.0).max(1.0));
-    with(&|s| s.discovery_late = Period::ms(0));
+    with(&|s| s.discovery_delay = Period::ms(0));
     with(&|s| s.latency = Period::ms(0));
     out
 }
--- a/crates/proof/nickelshed-lab/src/files.rs
+++ b/crates/proof/nickelshed-lab/src/files.rs
@@ -18,7 +18,7 @@
     let read = source::read::<Scenario>(text);
     let lines: Vec<String> = read.findings.iter().map(|f| f.line(path.display(), text)).collect();
     let scenario = read.value.filter(|_| lines.is_empty()).ok_or(lines.join("\n"))?;
-    let sound = scenario.sound().map_err(|why| {
+    let sound = scenario.validate().map_err(|why| {
         // The figure is named first, so it can be found again.
         let key = why.split('`').nth(1).unwrap_or_default();
         let (line, column) = position(text, text.find(key).unwrap_or(0));
--- a/crates/proof/nickelshed-lab/src/main.rs
+++ b/crates/proof/nickelshed-lab/src/main.rs
@@ -1,11 +1,11 @@
 //! The program `nickelshed-lab`: its arguments, and what it prints of days.
 use clap::{Parser, Subcommand};
-use nickelshed_judge::{Account, State};
+use nickelshed_judge::{DestinationState, TimeAccount};
 use nickelshed_lab::{
     accounted, crossings, difference, each, explore, files, kills, memory, play, play_so, Crossing, Day,
     Draw, Every, Explored, Manner,
 };
-use nickelshed_model::{draw, draw_large, Scenario};
+use nickelshed_model::{random_large_scenario, random_scenario, Scenario};
 use std::fmt::Write as _;
 use std::io::Write as _;
 use std::ops::Range;
@@ -152,24 +152,30 @@
     let _ = std::io::stdout().lock().write_all(text.as_bytes());
 }
 
-fn state(state: State) -> &'static str {
+fn state(state: DestinationState) -> &'static str {
     match state {
-        State::Well => "well",
-        State::Unseen => "out, not seen yet",
-        State::Sick => "out, seen",
-        State::Returning => "returning",
+        DestinationState::Well => "well",
+        DestinationState::Unseen => "out, not seen yet",
+        DestinationState::Sick => "out, seen",
+        DestinationState::Returning => "returning",
     }
 }
 
-fn booked(account: &Account) -> String {
+fn booked(account: &TimeAccount) -> String {
     let mut out = String::new();
     let _ = writeln!(
         out,
         "  {:.1}% of slot time in vain; by how destinations stood, in seconds:",
-        100.0 * account.in_vain()
+        100.0 * account.wasted_fraction()
     );
-    let time = |of: (State, bool, bool)| account.slots.get(&of).copied().unwrap_or(0) as f64 / 1e6;
-    for s in [State::Well, State::Unseen, State::Sick, State::Returning] {
+    let time =
+        |of: (DestinationState, bool, bool)| account.slot_time.get(&of).copied().unwrap_or(0) as f64 / 1e6;
+    for s in [
+        DestinationState::Well,
+        DestinationState::Unseen,
+        DestinationState::Sick,
+        DestinationState::Returning,
+    ] {
         let [a, b, c, d] =
             [(true, true), (true, false), (false, true), (false, false)].map(|(f, u)| time((s, f, u)));
         if a + b + c + d > 0.0 {
@@ -180,8 +186,8 @@
             );
         }
     }
-    let all: usize = account.causes.values().sum();
-    for ((s, doing), n) in &account.causes {
+    let all: usize = account.late_causes.values().sum();
+    for ((s, doing), n) in &account.late_causes {
         let part = 100.0 * *n as f64 / all.max(1) as f64;
         let _ = writeln!(
             out,
@@ -189,7 +195,7 @@
             state(*s)
         );
     }
-    let (calm, amid) = account.well_p99_ms;
+    let (calm, amid) = account.healthy_p99_ms;
     if amid > 0.0 {
         let _ = writeln!(
             out,
@@ -213,17 +219,17 @@
     let _ = writeln!(
         out,
         "  worth {:.4}: {} messages, {} in time, {} late, {} not delivered; p50 {:.0} ms, p99 {:.0} ms",
-        r.worth, r.messages, r.in_time, r.late, r.lost, r.p50_ms, r.p99_ms
+        r.value, r.messages, r.in_time, r.late, r.lost, r.p50_ms, r.p99_ms
     );
     let _ = writeln!(
         out,
         "  {:.4} is reached by one who knows how every destination stands: {:.3} of that here",
         reachable,
-        r.worth / reachable.max(1e-9)
+        r.value / reachable.max(1e-9)
     );
-    let _ = writeln!(out, "  {} calls, {} turned away", r.calls, r.turned_away);
+    let _ = writeln!(out, "  {} calls, {} turned away", r.calls, r.rejected);
     let why: Vec<String> =
-        r.why.iter().map(|(why, n)| format!("{n} {}", format!("{why:?}").to_lowercase())).collect();
+        r.loss_reasons.iter().map(|(why, n)| format!("{n} {}", format!("{why:?}").to_lowercase())).collect();
     if !why.is_empty() {
         let _ = writeln!(out, "  late or not delivered, by what took their time: {}", why.join(", "));
     }
@@ -234,7 +240,7 @@
             "  BROKEN {:?} at {} ms: {} (events {:?})",
             broken.rule,
             broken.at / 1_000,
-            broken.words,
+            broken.description,
             broken.events
         );
     }
@@ -343,7 +349,7 @@
         let (a, b) = (figure(&simulated), figure(&real));
         format!("{name:>24} {a:>12.4} {b:>12.4} {:>+12.4}\n", b - a)
     };
-    let why = |why| move |d: &Day| d.reckoning.why.get(&why).copied().unwrap_or(0) as f64;
+    let why = |why| move |d: &Day| d.reckoning.loss_reasons.get(&why).copied().unwrap_or(0) as f64;
     let mut out = format!(
         "{}, seed {seed}\n{:>24} {:>12} {:>12} {:>12}\n",
         path.display(),
@@ -352,15 +358,15 @@
         "sockets",
         "difference"
     );
-    out += &row("worth", &|d| d.reckoning.worth);
+    out += &row("worth", &|d| d.reckoning.value);
     out += &row("in time", &|d| d.reckoning.in_time as f64);
     out += &row("late", &|d| d.reckoning.late as f64);
     out += &row("not delivered", &|d| d.reckoning.lost as f64);
-    out += &row("refused at the door", &why(nickelshed_judge::Why::Refused));
+    out += &row("refused at the door", &why(nickelshed_judge::LossReason::Refused));
     out += &row("median, ms", &|d| d.reckoning.p50_ms);
     out += &row("p99, ms", &|d| d.reckoning.p99_ms);
     out += &row("calls", &|d| d.reckoning.calls as f64);
-    out += &row("turned away", &|d| d.reckoning.turned_away as f64);
+    out += &row("turned away", &|d| d.reckoning.rejected as f64);
     out += &row("rules broken", &|d| d.broken.len() as f64);
     for (name, day) in [("simulated", &simulated), ("sockets", &real)] {
         for broken in day.broken.iter().take(5) {
@@ -369,7 +375,7 @@
                 "  {name}: BROKEN {:?} at {} ms: {}",
                 broken.rule,
                 broken.at / 1_000,
-                broken.words
+                broken.description
             );
         }
         for crash in &day.crashes {
@@ -437,7 +443,7 @@
     let (first, second) = (files::read(a)?, files::read(b)?);
     let pairs = seeds.flat_map(|seed| [(first.clone(), seed), (second.clone(), seed)]);
     let days = worths(&pairs.collect::<Vec<_>>(), jobs)?;
-    let worth = |d: &Day| d.reckoning.worth;
+    let worth = |d: &Day| d.reckoning.value;
     let pairs: Vec<(f64, f64)> = days.chunks(2).map(|pair| (worth(&pair[0]), worth(&pair[1]))).collect();
     let mean = |part: fn(&(f64, f64)) -> f64| pairs.iter().map(part).sum::<f64>() / pairs.len() as f64;
     let broken = |of: usize| days.iter().skip(of).step_by(2).filter(|d| !d.is_clean()).count();
@@ -478,14 +484,15 @@
     print(&format!("{key:>12}    worth    least   in time      p99    refused  not clean\n"));
     for (value, days) in values.iter().zip(played.chunks((seeds.end - seeds.start) as usize)) {
         let mean = |part: &dyn Fn(&Day) -> f64| days.iter().map(part).sum::<f64>() / days.len() as f64;
-        let least = days.iter().map(|d| d.reckoning.worth).fold(1.0, f64::min);
+        let least = days.iter().map(|d| d.reckoning.value).fold(1.0, f64::min);
         let in_time = mean(&|d| d.reckoning.in_time as f64 / d.reckoning.messages.max(1) as f64);
-        let refused =
-            mean(&|d| d.reckoning.why.get(&nickelshed_judge::Why::Refused).copied().unwrap_or(0) as f64);
+        let refused = mean(&|d| {
+            d.reckoning.loss_reasons.get(&nickelshed_judge::LossReason::Refused).copied().unwrap_or(0) as f64
+        });
         let unclean = days.iter().filter(|d| !d.is_clean()).count();
         print(&format!(
             "{value:>12}   {:.4}   {least:.4}    {in_time:.4} {:>6.0}ms   {refused:8.1}   {unclean:8}\n",
-            mean(&|d| d.reckoning.worth),
+            mean(&|d| d.reckoning.value),
             mean(&|d| d.reckoning.p99_ms)
         ));
     }
@@ -497,11 +504,11 @@
         Command::Run { scenarios, seed, trace } => run(&scenarios, seed, trace.as_deref()),
         Command::Report { scenario, seed, out } => report(&scenario, seed, &out),
         Command::Explore { seeds, large, seconds, jobs: asked, keep, no_cut } => {
-            let draw = if large { draw_large } else { draw };
+            let draw = if large { random_large_scenario } else { random_scenario };
             explore_and_keep(draw, seeds, seconds, jobs(asked), (!no_cut).then_some(&keep))
         }
         Command::Draw { seed, large, out } => {
-            let day = if large { draw_large(seed) } else { draw(seed) };
+            let day = if large { random_large_scenario(seed) } else { random_scenario(seed) };
             files::write(&out, &day, &format!("The day of seed {seed}.")).map(|()| true)
         }
         Command::Kills { scenario, seed, operations, bytes, jobs: asked } => {
--- a/crates/proof/nickelshed-lab/src/play.rs
+++ b/crates/proof/nickelshed-lab/src/play.rs
@@ -12,9 +12,10 @@
 use nickelshed_config::sidecar::{Effect, Scope};
 use nickelshed_config::units::{Percent, Period};
 use nickelshed_judge::{
-    account, judge, reckon, Account, Broken, Event, Figures, Known, Reckoning, Us, What, Worth,
+    account_time, judge, score, DedupScope, Event, EventKind, RuleParameters, ScoreReport, TimeAccount, Us,
+    ValueFunction, Violation,
 };
-use nickelshed_model::{arrivals, soonest, Kind, Mix, Scenario, Trouble};
+use nickelshed_model::{arrivals, oracle, FaultKind, InjectedFault, Scenario, TrafficClass};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -40,8 +41,8 @@
 #[derive(Clone, Debug)]
 pub struct Day {
     pub events: Vec<Event>,
-    pub broken: Vec<Broken>,
-    pub reckoning: Reckoning,
+    pub broken: Vec<Violation>,
+    pub reckoning: ScoreReport,
     /// Why a sender ended by itself, or a part of it did.
     pub crashes: Vec<String>,
     pub length: Duration,
@@ -81,16 +82,16 @@
 /// What a sender is told of a day's deployment, in the platform's form.
 fn settings(s: &Scenario, lie: Option<Lie>, sender: usize) -> Value {
     let ns = |p: nickelshed_config::units::Period| p.ns();
-    let figures = Figures::default();
-    let multiple = if lie == Some(Lie::KnowsNoCold) { 1_000.0 } else { figures.fall_multiple };
-    let window = if lie == Some(Lie::ForgetsWindow) { 3_600_000_000_000 } else { ns(s.repeat_window) };
-    let scope = match s.repeats_known_by {
+    let figures = RuleParameters::default();
+    let multiple = if lie == Some(Lie::KnowsNoCold) { 1_000.0 } else { figures.overload_multiple };
+    let window = if lie == Some(Lie::ForgetsWindow) { 3_600_000_000_000 } else { ns(s.dedup_window) };
+    let scope = match s.dedup_scope {
         _ if lie == Some(Lie::TrustsAllWithRepeats) => "all",
         Scope::Destination => "all",
         Scope::Zone => "zone",
         Scope::Endpoint => "endpoint",
     };
-    let class = |c: &Mix| {
+    let class = |c: &TrafficClass| {
         let effect = match c.effect {
             _ if lie == Some(Lie::RepeatsUnsafe) => "safe",
             Effect::Safe => "safe",
@@ -98,29 +99,29 @@
             Effect::Unsafe => "unsafe",
         };
         json!({"Name": c.name, "PromiseNs": ns(c.wanted_within), "DeadlineNs": ns(c.abandoned_after),
-            "Effect": effect, "DedupScope": scope, "WindowNs": window, "Worth": c.worth, "LateWorth": LATE_WORTH})
+            "Effect": effect, "DedupScope": scope, "WindowNs": window, "Worth": c.value, "LateWorth": LATE_WORTH})
     };
-    let rooms: Vec<String> = (0..s.rooms).map(|r| format!("room-{r}")).collect();
+    let rooms: Vec<String> = (0..s.sites).map(|r| format!("room-{r}")).collect();
     json!({"NInstances": s.senders, "TickNs": 5_000_000, "Kinds": ["plain"], "Localities": rooms,
-        "Zone": s.room(sender), "Weights": if s.list_tells_rates { "rough" } else { "none" },
+        "Zone": s.site_of(sender), "Weights": if s.discovery_reports_rates { "rough" } else { "none" },
         "Feedback": {"Source": "piggyback", "Fields": ["x0", "x1"]},
-        "FamilyInfo": {"CallsOut": s.slots, "Decay": "halves", "KindBatch": [s.batch], "SeparateRoutes": [s.routes_apart]},
-        "Limits": {"Peers": s.notes, "MaxOpen": s.held, "MaxAttempts": 8, "Cancel": true, "IdleCloseNs": 5_000_000_000u64,
+        "FamilyInfo": {"CallsOut": s.slots, "Decay": "halves", "KindBatch": [s.batch], "SeparateRoutes": [s.separate_routes]},
+        "Limits": {"Peers": s.membership_enabled, "MaxOpen": s.max_open_messages, "MaxAttempts": 8, "Cancel": true, "IdleCloseNs": 5_000_000_000u64,
             "DialTimeoutNs": 1_000_000_000, "MaxRetryAfterNs": 3_000_000_000u64},
-        "Safety": {"StartCapacity": figures.start_capacity, "ColdNs": figures.cold * 1_000,
-            "FallMultiple": multiple, "OverloadForNs": figures.fall_for * 1_000},
-        "Services": s.mix().iter().map(class).collect::<Vec<_>>()})
+        "Safety": {"StartCapacity": figures.start_capacity, "ColdNs": figures.slow_start * 1_000,
+            "FallMultiple": multiple, "OverloadForNs": figures.overload_window * 1_000},
+        "Services": s.traffic_classes().iter().map(class).collect::<Vec<_>>()})
 }
 
 fn config(scenario: &Scenario, lie: Option<Lie>, sender: usize, home: u16, seed: u64) -> String {
     // Each has all of them in one order; without leave the list is not looked at.
     let peers: Vec<String> = (0..scenario.senders as usize)
-        .filter(|_| scenario.notes)
+        .filter(|_| scenario.membership_enabled)
         .map(|s| notes_address(s).to_string())
         .collect();
     json!({"name": format!("n{sender}"), "peers": peers, "peer_listen": notes_address(sender).to_string(), "seed": format!("{:x}", seed ^ (sender as u64) << 32),
         "discovery": agent_address(sender, home).to_string(),
-        "limits": {"memory_mb": 64, "sockets": 1_024, "disk_mb": scenario.disk as f64 / 1e6},
+        "limits": {"memory_mb": 64, "sockets": 1_024, "disk_mb": scenario.disk_bytes as f64 / 1e6},
         // At each start of a process it is what its machine had last.
         "known": {"generation": 0, "reset": true, "instances": []},
         "settings": settings(scenario, lie, sender)})
@@ -128,40 +129,40 @@
 }
 
 /// The destinations that a trouble meets: those with most traffic first.
-fn met(world: &World, trouble: &Trouble) -> Vec<u64> {
-    (1..=u64::from(trouble.of(world.scenario.destinations))).collect()
+fn met(world: &World, trouble: &InjectedFault) -> Vec<u64> {
+    (1..=u64::from(trouble.affected_destinations(world.scenario.destinations))).collect()
 }
 
-async fn outage(world: Rc<World>, trouble: Trouble) {
+async fn outage(world: Rc<World>, trouble: InjectedFault) {
     let kind = trouble.kind;
     for dest in met(&world, &trouble) {
         let place = &world.destinations[&dest];
-        place.system.borrow_mut().begin(kind, trouble.size, trouble.to());
+        place.system.borrow_mut().start_fault(kind, trouble.magnitude, trouble.end());
         if kind.is_outage() {
             let routes = place.system.borrow().routes();
-            routes.into_iter().for_each(|route| world.note(What::OutageBegan { dest, route }));
+            routes.into_iter().for_each(|route| world.note(EventKind::OutageBegan { dest, route }));
         }
-        if kind == Kind::Refused {
+        if kind == FaultKind::Refused {
             for (_, p) in standing(&world, dest) {
                 world.net.close(p.address);
             }
             place.resets.notify_waiters();
         }
     }
-    sleep_until(world.instant(trouble.to())).await;
+    sleep_until(world.instant(trouble.end())).await;
     for dest in met(&world, &trouble) {
         let place = &world.destinations[&dest];
-        place.system.borrow_mut().end(world.now(), kind);
+        place.system.borrow_mut().end_fault(world.now(), kind);
         if kind.is_outage() {
             let system = place.system.borrow();
             for route in system.routes() {
-                world.note(What::OutageEnded { dest, route, capacity: system.capacity(route) });
+                world.note(EventKind::OutageEnded { dest, route, capacity: system.capacity(route) });
             }
             drop(system);
             // What hung on its connections is gone with what it was.
             place.resets.notify_waiters();
         }
-        if kind == Kind::Refused {
+        if kind == FaultKind::Refused {
             for (number, p) in standing(&world, dest) {
                 listen(&world, dest, number, p.address).await;
             }
@@ -182,24 +183,24 @@
 fn tell_late(world: &Rc<World>, changes: Vec<usize>) {
     let world = world.clone();
     spawn_local(async move {
-        sleep(world.scenario.discovery_late.0).await;
+        sleep(world.scenario.discovery_delay.0).await;
         world.tell(&changes);
     });
 }
 
-async fn drain(world: Rc<World>, trouble: Trouble) {
+async fn drain(world: Rc<World>, trouble: InjectedFault) {
     for dest in met(&world, &trouble) {
         let Some((number, place)) = standing(&world, dest).into_iter().next() else { continue };
         let old = world.list(number, Place { lifecycle: "Terminating", ..place.clone() });
         // Where only the same endpoint knows a repeat, nobody could tell the new one from it before the list does.
-        let takes = trouble.kind == Kind::Replace && world.scenario.repeats_known_by != Scope::Endpoint;
+        let takes = trouble.kind == FaultKind::Replace && world.scenario.dedup_scope != Scope::Endpoint;
         let (new, at) = open_endpoint(&world, dest, takes.then_some(&place)).await;
         let new = world.list(new, at);
         tell_late(&world, vec![old, new]);
         let (world, gone) = (world.clone(), Place { lifecycle: "Gone", ..place.clone() });
         spawn_local(async move {
             sleep(Duration::from_secs(3)).await;
-            world.destinations[&dest].system.borrow_mut().remove(number);
+            world.destinations[&dest].system.borrow_mut().remove_endpoint(number);
             if !takes {
                 world.net.close(gone.address);
             }
@@ -227,14 +228,14 @@
 }
 
 /// A trouble that begins now.
-fn now(world: &World, kind: Kind, lasts: u64) -> Trouble {
-    Trouble {
+fn now(world: &World, kind: FaultKind, lasts: u64) -> InjectedFault {
+    InjectedFault {
         kind,
         at: Period::ms(world.now() / 1_000),
-        lasts: Period::ms(lasts),
-        part: Percent(0.5),
-        senders: Percent(1.0),
-        size: 2.0,
+        duration: Period::ms(lasts),
+        destination_fraction: Percent(0.5),
+        sender_fraction: Percent(1.0),
+        magnitude: 2.0,
     }
 }
 
@@ -259,61 +260,63 @@
         Happening::Resets => return world.destinations.values().for_each(|d| d.resets.notify_waiters()),
         Happening::IdleCloses => return world.destinations.values().for_each(|d| d.closes.notify_waiters()),
         Happening::EndsNew => return world.ends_new.set(world.now() + 1_000_000),
-        Happening::Hangup => (Kind::Reload, 0),
-        Happening::Mute => (Kind::Mute, 4_000),
-        Happening::Drain => (Kind::Drain, 0),
-        Happening::Shut => (Kind::Shut, 3_000),
-        Happening::Silent => (Kind::Silent, 3_000),
+        Happening::Hangup => (FaultKind::Reload, 0),
+        Happening::Mute => (FaultKind::Mute, 4_000),
+        Happening::Drain => (FaultKind::Drain, 0),
+        Happening::Shut => (FaultKind::Shut, 3_000),
+        Happening::Silent => (FaultKind::Silent, 3_000),
     };
     let happens = now(&world, kind, lasts);
     trouble(world, processes, happens, seed).await;
 }
 
-async fn trouble(world: Rc<World>, processes: Rc<Vec<Process>>, trouble: Trouble, seed: u64) {
-    sleep_until(world.instant(trouble.from())).await;
-    let met = |sender: &usize| trouble.meets(*sender, processes.len());
+async fn trouble(world: Rc<World>, processes: Rc<Vec<Process>>, trouble: InjectedFault, seed: u64) {
+    sleep_until(world.instant(trouble.start())).await;
+    let met = |sender: &usize| trouble.affects_sender(*sender, processes.len());
     let tell = |control: Control| {
         (0..processes.len()).filter(met).for_each(|s| _ = processes[s].control.send(control));
     };
     match trouble.kind {
-        kind if kind.is_of_systems() => outage(world, trouble).await,
-        Kind::Drain | Kind::Replace => drain(world, trouble).await,
-        Kind::Restart => {
+        kind if kind.affects_destinations() => outage(world, trouble).await,
+        FaultKind::Drain | FaultKind::Replace => drain(world, trouble).await,
+        FaultKind::Restart => {
             tell(Control::Terminate);
             sleep(TO_KILL).await;
             tell(Control::Kill);
         }
-        Kind::Kill => tell(Control::Kill),
-        Kind::Roll => roll(&processes, &trouble).await,
-        Kind::Cut => {
-            let until = world.instant(trouble.to());
+        FaultKind::Kill => tell(Control::Kill),
+        FaultKind::Roll => roll(&processes, &trouble).await,
+        FaultKind::Cut => {
+            let until = world.instant(trouble.end());
             let rooms = world.clone();
             let between = Box::new(move |sender, to| rooms.are_apart(sender, to));
             world.net.sever(Severed { until, between });
         }
-        Kind::Impatient => world.impatient.set(trouble.to()),
-        Kind::Pause => tell(Control::Pause(trouble.lasts.0)),
-        Kind::Reload => reload(world, processes, seed).await,
-        Kind::Mute => {
+        FaultKind::Impatient => world.impatient.set(trouble.end()),
+        FaultKind::Pause => tell(Control::Pause(trouble.duration.0)),
+        FaultKind::Reload => reload(world, processes, seed).await,
+        FaultKind::Mute => {
             (0..processes.len()).filter(met).for_each(|s| world.agents[s].mute.set(true));
-            sleep_until(world.instant(trouble.to())).await;
+            sleep_until(world.instant(trouble.end())).await;
             world.unmute();
         }
-        Kind::Jump => world.net.jump((trouble.size * 1e3) as i64),
-        Kind::Stall => {
-            let until = world.instant(trouble.to());
+        FaultKind::Jump => world.net.jump((trouble.magnitude * 1e3) as i64),
+        FaultKind::Stall => {
+            let until = world.instant(trouble.end());
             (0..processes.len()).filter(met).for_each(|s| world.lives[s].stall(until));
         }
-        Kind::Rude => rude::visit(world, trouble, seed).await,
+        FaultKind::Rude => rude::visit(world, trouble, seed).await,
         // What is left is in the traffic already.
         _ => {}
     }
 }
 
 /// Restarts those that it meets a tenth at a time, every second tenth without a warning.
-async fn roll(processes: &[Process], trouble: &Trouble) {
-    let met: Vec<&Process> =
-        (0..processes.len()).filter(|s| trouble.meets(*s, processes.len())).map(|s| &processes[s]).collect();
+async fn roll(processes: &[Process], trouble: &InjectedFault) {
+    let met: Vec<&Process> = (0..processes.len())
+        .filter(|s| trouble.affects_sender(*s, processes.len()))
+        .map(|s| &processes[s])
+        .collect();
     let mut going: Vec<&Process> = Vec::new();
     for (number, tenth) in met.chunks(met.len().div_ceil(10).max(1)).enumerate() {
         going.drain(..).for_each(|p| _ = p.control.send(Control::Kill));
@@ -324,37 +327,37 @@
         if gently {
             going.extend(tenth);
         }
-        sleep((trouble.lasts.0 / 10).max(TO_KILL)).await;
+        sleep((trouble.duration.0 / 10).max(TO_KILL)).await;
     }
     going.iter().for_each(|p| _ = p.control.send(Control::Kill));
 }
 
 /// Two outages of a destination that overlap would be one of an unknown kind: only the first is played. So it is with two
 /// of a kind that the first one's end would take back.
-fn played(scenario: &Scenario) -> Vec<Trouble> {
-    let mut troubles = scenario.troubles.clone();
-    troubles.sort_by_key(|t| t.from());
+fn played(scenario: &Scenario) -> Vec<InjectedFault> {
+    let mut troubles = scenario.faults.clone();
+    troubles.sort_by_key(|t| t.start());
     let mut until: Us = 0;
     let mut processes: Us = 0;
-    let cold = Figures::default().cold;
-    let mut kinds: BTreeMap<Kind, Us> = BTreeMap::new();
+    let cold = RuleParameters::default().slow_start;
+    let mut kinds: BTreeMap<FaultKind, Us> = BTreeMap::new();
     troubles.retain(|t| {
-        if matches!(t.kind, Kind::Cut | Kind::Lower | Kind::Lossy | Kind::Impatient) {
+        if matches!(t.kind, FaultKind::Cut | FaultKind::Lower | FaultKind::Lossy | FaultKind::Impatient) {
             let until = kinds.entry(t.kind).or_default();
-            let free = t.from() >= *until;
-            *until = if free { t.to() } else { *until };
+            let free = t.start() >= *until;
+            *until = if free { t.end() } else { *until };
             return free;
         }
-        if t.kind.is_outage() || t.kind == Kind::Slow {
-            let free = t.from() >= until;
-            until = if free { t.to() + cold } else { until };
+        if t.kind.is_outage() || t.kind == FaultKind::Slow {
+            let free = t.start() >= until;
+            until = if free { t.end() + cold } else { until };
             return free;
         }
-        if matches!(t.kind, Kind::Restart | Kind::Kill | Kind::Pause | Kind::Roll) {
-            let free = t.from() >= processes;
-            let takes = if t.kind == Kind::Roll { 11 * TO_KILL.as_micros() as Us } else { 4_300_000 };
+        if matches!(t.kind, FaultKind::Restart | FaultKind::Kill | FaultKind::Pause | FaultKind::Roll) {
+            let free = t.start() >= processes;
+            let takes = if t.kind == FaultKind::Roll { 11 * TO_KILL.as_micros() as Us } else { 4_300_000 };
             // Until it runs again, and has done what it owes.
-            processes = if free { t.to().max(t.from() + takes) + 2_000_000 } else { processes };
+            processes = if free { t.end().max(t.start() + takes) + 2_000_000 } else { processes };
             return free;
         }
         true
@@ -363,27 +366,33 @@
 }
 
 /// What the messages of each class are worth.
-fn worths(scenario: &Scenario) -> Vec<Worth> {
-    let worth =
-        |c: &Mix| Worth { wanted: c.wanted_within.0.as_micros() as Us, whole: c.worth, least: LATE_WORTH };
-    scenario.mix().iter().map(worth).collect()
+fn worths(scenario: &Scenario) -> Vec<ValueFunction> {
+    let worth = |c: &TrafficClass| ValueFunction {
+        target_latency: c.wanted_within.0.as_micros() as Us,
+        full_value: c.value,
+        min_value_fraction: LATE_WORTH,
+    };
+    scenario.traffic_classes().iter().map(worth).collect()
 }
 
 /// Where a day's slots and time went, and the worth that one reaches who knows how every destination stands. Apart from
 /// the day, as days that are only judged need neither.
-pub fn accounted(scenario: &Scenario, seed: u64, day: &Day) -> (Account, f64) {
+pub fn accounted(scenario: &Scenario, seed: u64, day: &Day) -> (TimeAccount, f64) {
     let worths = worths(scenario);
-    (account(&day.events, &worths, Figures::default().cold), reachable(scenario, seed, &worths))
+    (
+        account_time(&day.events, &worths, RuleParameters::default().slow_start),
+        reachable(scenario, seed, &worths),
+    )
 }
 
 /// The part of the worth asked for that `soonest` delivers.
-fn reachable(scenario: &Scenario, seed: u64, worths: &[Worth]) -> f64 {
-    let soonest = soonest(scenario, seed);
+fn reachable(scenario: &Scenario, seed: u64, worths: &[ValueFunction]) -> f64 {
+    let soonest = oracle(scenario, seed);
     let (mut asked, mut got) = (0.0, 0.0);
     for arrival in arrivals(scenario, seed) {
         let worth = worths[arrival.class];
-        asked += worth.whole;
-        got += soonest[arrival.message as usize].map_or(0.0, |took| worth.after(took));
+        asked += worth.full_value;
+        got += soonest[arrival.message as usize].map_or(0.0, |took| worth.value_after(took));
     }
     got / f64::max(asked, 1e-9)
 }
@@ -430,36 +439,36 @@
         spawn_local(trouble(world.clone(), processes.clone(), t, seed));
     }
     let kept = RefCell::new((0..scenario.senders).map(|_| Vec::new()).collect());
-    let classes = scenario.mix();
+    let classes = scenario.traffic_classes();
     let clients = Rc::new(Clients { world: world.clone(), host: world.net.host(None), kept, classes });
     for arrival in arrivals(&scenario, seed) {
         sleep_until(world.instant(arrival.at)).await;
         spawn_local(clients.clone().hand_in(arrival));
     }
     sleep_until(world.instant(scenario.length.0.as_micros() as Us)).await;
-    sleep(scenario.longest() + AFTERWARDS).await;
+    sleep(scenario.max_message_lifetime() + AFTERWARDS).await;
     let addresses: BTreeMap<_, _> =
         world.list.borrow().iter().map(|(number, p)| (p.address, (*number, p.dest))).collect();
     for (at, sender, to) in world.net.refused() {
         if let Some(&(number, dest)) = addresses.get(&to) {
             let route = world.destinations[&dest].system.borrow().route_of(number);
-            world.note_at(world.us(at), What::Unreached { sender, dest, route });
+            world.note_at(world.us(at), EventKind::Unreached { sender, dest, route });
         }
     }
     let mut events = world.events.borrow().clone();
     events.sort_by_key(|e| e.at);
-    let known = match scenario.repeats_known_by {
-        Scope::Destination => Known::Everywhere,
-        Scope::Zone => Known::InTheRoom,
-        Scope::Endpoint => Known::AtTheEndpoint,
+    let known = match scenario.dedup_scope {
+        Scope::Destination => DedupScope::Everywhere,
+        Scope::Zone => DedupScope::InTheRoom,
+        Scope::Endpoint => DedupScope::AtTheEndpoint,
     };
-    let window = scenario.repeat_window.0.as_micros() as Us;
-    let figures = Figures { window, known, ..Figures::default() };
+    let window = scenario.dedup_window.0.as_micros() as Us;
+    let figures = RuleParameters { dedup_window: window, dedup_scope: known, ..RuleParameters::default() };
     let mut crashes = world.crashes.borrow().clone();
     crashes.extend(PANICS.with(|p| p.borrow_mut().take()).unwrap_or_default());
     Day {
         broken: judge(&events, figures),
-        reckoning: reckon(&events, &worths(&scenario)),
+        reckoning: score(&events, &worths(&scenario)),
         crashes,
         length: world.net.start().elapsed(),
         done: world.lives.iter().map(|life| life.done()).collect(),
@@ -481,7 +490,7 @@
 /// # Errors
 /// If the scenario can't be played.
 pub fn play_so(scenario: &Scenario, seed: u64, manner: Manner) -> Result<Day, String> {
-    scenario.sound()?;
+    scenario.validate()?;
     watch_panics();
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = match manner.over_sockets {
--- a/crates/proof/nickelshed-lab/src/process.rs
+++ b/crates/proof/nickelshed-lab/src/process.rs
@@ -6,7 +6,7 @@
 use nickelshed::{serve, Form, Operator, Signals, Told};
 use nickelshed_host::Host;
 use nickelshed_journal::Storage;
-use nickelshed_judge::{Us, What};
+use nickelshed_judge::{EventKind, Us};
 use nickelshed_testkit::Disk;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -82,13 +82,13 @@
         let health = spawn_local(healthy(world.clone(), sender, up.clone()));
         let result = loop {
             if life.is_dead() {
-                world.note(What::Going { sender });
+                world.note(EventKind::Going { sender });
                 break None;
             }
             if let Some(until) = life.still() {
                 // Not even a kill reaches a process in the middle of an operation on its disk.
                 let time = until.saturating_duration_since(Instant::now()).as_micros() as Us;
-                world.note(What::Stopped { sender, time });
+                world.note(EventKind::Stopped { sender, duration: time });
                 sleep_until(until).await;
             }
             tokio::select! {
@@ -97,19 +97,19 @@
                 told = control.recv() => match told {
                     None => return,
                     Some(Control::Terminate) => {
-                        world.note(What::Going { sender });
+                        world.note(EventKind::Going { sender });
                         up.set(false);
                         if let Some(end) = end.take() {
                             let _ = end.send(());
                         }
                     }
                     Some(Control::Kill) => {
-                        world.note(What::Going { sender });
+                        world.note(EventKind::Going { sender });
                         break None;
                     }
                     // Nothing of it is polled meanwhile.
                     Some(Control::Pause(time)) => {
-                        world.note(What::Stopped { sender, time: time.as_micros() as Us });
+                        world.note(EventKind::Stopped { sender, duration: time.as_micros() as Us });
                         sleep(time).await;
                     }
                     Some(Control::Hangup) => _ = hangup.try_send(()),
@@ -123,7 +123,7 @@
             }
         };
         drop(process);
-        world.note(What::Ended { sender });
+        world.note(EventKind::Ended { sender });
         health.abort();
         up.set(false);
         if let Some(Err(error)) = &result {
@@ -131,7 +131,7 @@
                 .crashes
                 .borrow_mut()
                 .push(format!("sender {sender} at {} ms: {error}", world.now() / 1_000));
-            world.note(What::Going { sender });
+            world.note(EventKind::Going { sender });
         }
         if result.is_some() && end.take().is_none() {
             // It has ended as it was told; its machine kills what is left, and starts it again.
@@ -158,7 +158,7 @@
             link.write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").await;
             if link.read().await.is_some_and(|a| a.status() == 200) {
                 up.set(true);
-                return world.note(What::Up { sender });
+                return world.note(EventKind::Up { sender });
             }
         }
         sleep(Duration::from_millis(10)).await;
--- a/crates/proof/nickelshed-lab/src/report/mod.rs
+++ b/crates/proof/nickelshed-lab/src/report/mod.rs
@@ -3,7 +3,7 @@
 pub mod series;
 
 use crate::Day;
-use nickelshed_judge::{Broken, Us};
+use nickelshed_judge::{Us, Violation};
 use nickelshed_model::Scenario;
 use series::{series, Life};
 use std::fmt::Write;
@@ -70,7 +70,7 @@
         return "<p class=\"kept\">All six rules were kept, and nothing crashed.</p>".into();
     }
     let mut out = String::from("<ul class=\"broken\">");
-    let word = |b: &Broken| format!("{:?} at {} ms: {}", b.rule, b.at / 1_000, b.words);
+    let word = |b: &Violation| format!("{:?} at {} ms: {}", b.rule, b.at / 1_000, b.description);
     let broken = day.broken.iter().take(BROKEN).map(word);
     for line in broken.chain(day.crashes.iter().map(|c| format!("crash: {c}"))) {
         let _ = write!(out, "<li>{}</li>", escaped(&line));
@@ -84,7 +84,7 @@
 fn table(day: &Day) -> String {
     let r = &day.reckoning;
     let mut rows = vec![
-        ("worth delivered of what was asked for".to_string(), format!("{:.4}", r.worth)),
+        ("worth delivered of what was asked for".to_string(), format!("{:.4}", r.value)),
         ("messages".into(), r.messages.to_string()),
         ("in time".into(), r.in_time.to_string()),
         ("late".into(), r.late.to_string()),
@@ -92,9 +92,9 @@
         ("median to delivery".into(), format!("{:.0} ms", r.p50_ms)),
         ("99 of 100 within".into(), format!("{:.0} ms", r.p99_ms)),
         ("calls".into(), r.calls.to_string()),
-        ("turned away".into(), r.turned_away.to_string()),
+        ("turned away".into(), r.rejected.to_string()),
     ];
-    for (why, count) in &r.why {
+    for (why, count) in &r.loss_reasons {
         let why = format!("{why:?}").to_lowercase();
         rows.push((format!("late or not delivered, mostly {why}"), count.to_string()));
     }
@@ -108,7 +108,7 @@
 fn lives(scenario: &Scenario, mut lives: Vec<Life>) -> String {
     lives.sort_by_key(|l| (l.took.is_some(), std::cmp::Reverse(l.took), l.message));
     lives.truncate(LIVES);
-    let classes = scenario.mix();
+    let classes = scenario.traffic_classes();
     let class = |n: usize| classes.get(n).map_or("unknown", |c| c.name.as_str());
     let life = |l: &Life| {
         let steps: Vec<_> = l.steps.iter().map(|s| (s.at, s.to, s.words.as_str())).collect();
--- a/crates/proof/nickelshed-lab/src/report/series.rs
+++ b/crates/proof/nickelshed-lab/src/report/series.rs
@@ -1,5 +1,5 @@
 //! A day's history as series over time, and as the life of each message. Pure: events in, figures out.
-use nickelshed_judge::{Event, How, Us, What};
+use nickelshed_judge::{CallEnd, Event, EventKind, Us};
 use std::collections::{BTreeMap, HashMap};
 
 /// How an attempt ended, as coarsely as a plot tells it.
@@ -15,12 +15,12 @@
 impl Answer {
     pub const ALL: [Answer; 4] = [Answer::Served, Answer::TurnedAway, Answer::Failed, Answer::Nothing];
 
-    fn of(how: &How) -> Answer {
+    fn of(how: &CallEnd) -> Answer {
         match how {
-            How::Answered { status: 200, .. } => Answer::Served,
-            How::Answered { status: 429 | 503, .. } => Answer::TurnedAway,
-            How::Answered { .. } | How::Spoilt => Answer::Failed,
-            How::Closed => Answer::Nothing,
+            CallEnd::Answered { status: 200, .. } => Answer::Served,
+            CallEnd::Answered { status: 429 | 503, .. } => Answer::TurnedAway,
+            CallEnd::Answered { .. } | CallEnd::Spoilt => Answer::Failed,
+            CallEnd::Closed => Answer::Nothing,
         }
     }
 
@@ -112,8 +112,8 @@
 pub fn series(events: &[Event], bucket: Us) -> Series {
     let bucket = bucket.max(1);
     let length = events.last().map_or(0, |e| e.at / bucket) as usize + 1;
-    let sender = |e: &Event| match &e.what {
-        What::HandedIn { sender, .. } | What::Call { sender, .. } => sender + 1,
+    let sender = |e: &Event| match &e.kind {
+        EventKind::HandedIn { sender, .. } | EventKind::Call { sender, .. } => sender + 1,
         _ => 0,
     };
     let senders = events.iter().map(sender).max().unwrap_or(0);
@@ -193,8 +193,8 @@
 
     fn take(&mut self, event: &Event, bucket: usize) {
         let at = event.at;
-        match &event.what {
-            What::HandedIn { sender, id, message, class, dest, .. } => {
+        match &event.kind {
+            EventKind::HandedIn { sender, id, message, class, dest, .. } => {
                 self.series.handed_in[bucket] += 1;
                 self.first.entry(*message).or_insert(at);
                 let life = self.lives.entry(*message).or_default();
@@ -203,7 +203,7 @@
                 self.tries.entry(id.clone()).or_insert(new);
                 self.step(*message, at, format!("handed in to sender {sender} as {id}"));
             }
-            What::Heard { id, status } => {
+            EventKind::Heard { id, status } => {
                 self.change(id, |t| t.taken_on |= matches!(status, 200 | 202));
                 let words = match status {
                     200 | 202 => "taken on".to_string(),
@@ -214,13 +214,13 @@
                     self.step(message, at, words);
                 }
             }
-            What::Left { id } => {
+            EventKind::Left { id } => {
                 self.change(id, |t| t.over = true);
                 if let Some(message) = self.of(id) {
                     self.step(message, at, "its client left".into());
                 }
             }
-            What::Call { call, sender, endpoint, ids, .. } => {
+            EventKind::Call { call, sender, endpoint, ids, .. } => {
                 self.out[*sender] += 1;
                 let mut steps = Vec::new();
                 for id in ids {
@@ -232,23 +232,25 @@
                 }
                 self.calls.insert(*call, Call { sender: *sender, ids: ids.clone(), steps });
             }
-            What::Over { call, how } => self.over(*call, how, at, bucket),
-            What::Notice { id, handed_back, .. } => {
+            EventKind::Over { call, end: how } => self.over(*call, how, at, bucket),
+            EventKind::Notice { id, returned: handed_back, .. } => {
                 self.change(id, |t| t.over = true);
                 if let Some(message) = self.of(id) {
                     let words = if *handed_back { "handed back" } else { "given up" };
                     self.step(message, at, words.into());
                 }
             }
-            What::Ran { id, .. } => {
+            EventKind::Ran { id, .. } => {
                 if let Some(message) = self.of(id) {
                     self.step(message, at, "took effect".into());
                 }
             }
-            What::OutageBegan { dest, route } => self.begin(outage(*dest, *route), at),
-            What::OutageEnded { dest, route, .. } => self.end(&outage(*dest, *route), at),
-            What::FellOver { dest, route } => self.begin(format!("{} fell over", outage(*dest, *route)), at),
-            What::Told { sender, endpoint, open } => {
+            EventKind::OutageBegan { dest, route } => self.begin(outage(*dest, *route), at),
+            EventKind::OutageEnded { dest, route, .. } => self.end(&outage(*dest, *route), at),
+            EventKind::FellOver { dest, route } => {
+                self.begin(format!("{} fell over", outage(*dest, *route)), at)
+            }
+            EventKind::Told { sender, endpoint, accepts_calls: open } => {
                 let what = format!("endpoint {endpoint} closed, sender {sender}");
                 if *open {
                     self.end(&what, at);
@@ -256,22 +258,22 @@
                     self.begin(what, at);
                 }
             }
-            What::Going { sender } => {
+            EventKind::Going { sender } => {
                 let what = format!("sender {sender} restarts");
                 if !self.open.contains_key(&what) {
                     self.begin(what, at);
                 }
             }
-            What::Up { sender } => self.end(&format!("sender {sender} restarts"), at),
-            What::Stopped { sender, time } => {
+            EventKind::Up { sender } => self.end(&format!("sender {sender} restarts"), at),
+            EventKind::Stopped { sender, duration: time } => {
                 let what = format!("sender {sender} stands still");
                 self.series.stretches.push(Stretch { what, from: at, to: Some(at + time) });
             }
-            What::Unreached { .. } | What::Ended { .. } => {}
+            EventKind::Unreached { .. } | EventKind::Ended { .. } => {}
         }
     }
 
-    fn over(&mut self, call: u64, how: &How, at: Us, bucket: usize) {
+    fn over(&mut self, call: u64, how: &CallEnd, at: Us, bucket: usize) {
         // One that had ended before its last byte came is not out.
         let Some(call) = self.calls.remove(&call) else { return };
         self.out[call.sender] = self.out[call.sender].saturating_sub(1);
@@ -286,10 +288,12 @@
             let Some(life) = self.lives.get_mut(&message) else { continue };
             life.steps[step].to = Some(at);
             let words = match how {
-                How::Answered { status, wait: 0 } => format!(": {status}"),
-                How::Answered { status, wait } => format!(": {status}, told to wait {} ms", wait / 1_000),
-                How::Spoilt => ": spoilt".to_string(),
-                How::Closed => ": no answer".to_string(),
+                CallEnd::Answered { status, retry_after: 0 } => format!(": {status}"),
+                CallEnd::Answered { status, retry_after: wait } => {
+                    format!(": {status}, told to wait {} ms", wait / 1_000)
+                }
+                CallEnd::Spoilt => ": spoilt".to_string(),
+                CallEnd::Closed => ": no answer".to_string(),
             };
             life.steps[step].words.push_str(&words);
             if answer == Answer::Served && life.took.is_none() {
@@ -312,26 +316,26 @@
     use super::*;
     use nickelshed_judge::Effect;
 
-    fn day(events: Vec<(Us, What)>) -> Series {
+    fn day(events: Vec<(Us, EventKind)>) -> Series {
         let events: Vec<Event> =
-            events.into_iter().map(|(ms, what)| Event { at: ms * 1_000, what }).collect();
+            events.into_iter().map(|(ms, what)| Event { at: ms * 1_000, kind: what }).collect();
         series(&events, 100_000)
     }
 
-    fn handed(id: &str, message: u64) -> What {
+    fn handed(id: &str, message: u64) -> EventKind {
         let (class, effect) = (0, Effect::Keyed);
-        What::HandedIn { sender: 0, id: id.into(), message, class, effect, dest: 7, expires: 1_000_000 }
+        EventKind::HandedIn { sender: 0, id: id.into(), message, class, effect, dest: 7, lifetime: 1_000_000 }
     }
 
-    fn call(call: u64, id: &str) -> What {
+    fn call(call: u64, id: &str) -> EventKind {
         let ids = vec![id.to_string()];
-        What::Call {
+        EventKind::Call {
             call,
             sender: 0,
             endpoint: 3,
             dest: 7,
             route: None,
-            room: 0,
+            site: 0,
             ids,
             work: 1.0,
             first_byte: 0,
@@ -340,8 +344,9 @@
 
     #[test]
     fn a_message_is_held_while_it_is_taken_on_and_neither_out_nor_over() {
-        let heard = |status| What::Heard { id: "a".into(), status };
-        let answered = |call, status| What::Over { call, how: How::Answered { status, wait: 0 } };
+        let heard = |status| EventKind::Heard { id: "a".into(), status };
+        let answered =
+            |call, status| EventKind::Over { call, end: CallEnd::Answered { status, retry_after: 0 } };
         let series = day(vec![
             (10, handed("a", 1)),
             (20, heard(202)),
@@ -368,10 +373,10 @@
     #[test]
     fn an_outage_is_a_stretch_from_its_beginning_to_its_end_or_that_of_the_day() {
         let series = day(vec![
-            (100, What::OutageBegan { dest: 7, route: None }),
-            (200, What::OutageBegan { dest: 8, route: Some(4) }),
-            (300, What::OutageEnded { dest: 7, route: None, capacity: 1.0 }),
-            (400, What::Stopped { sender: 0, time: 50_000 }),
+            (100, EventKind::OutageBegan { dest: 7, route: None }),
+            (200, EventKind::OutageBegan { dest: 8, route: Some(4) }),
+            (300, EventKind::OutageEnded { dest: 7, route: None, capacity: 1.0 }),
+            (400, EventKind::Stopped { sender: 0, duration: 50_000 }),
         ]);
         let seen: Vec<_> = series.stretches.iter().map(|s| (s.what.as_str(), s.from, s.to)).collect();
         assert_eq!(
--- a/crates/proof/nickelshed-lab/src/rude.rs
+++ b/crates/proof/nickelshed-lab/src/rude.rs
@@ -3,7 +3,7 @@
 use crate::stands::sender_address;
 use crate::world::World;
 use nickelshed_host::{Host, Stream};
-use nickelshed_model::{stream, Random, Trouble};
+use nickelshed_model::{random_stream, InjectedFault, Random};
 use rand::{Rng, RngExt};
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,13 +35,13 @@
 ];
 
 /// As long as the trouble lasts, `size` of them come to each sender every tenth of a second.
-pub async fn visit(world: Rc<World>, trouble: Trouble, seed: u64) {
-    let mut random = stream(seed, 5);
-    let until = world.instant(trouble.to());
-    let class = world.scenario.mix().first().map_or(String::new(), |c| c.name.clone());
+pub async fn visit(world: Rc<World>, trouble: InjectedFault, seed: u64) {
+    let mut random = random_stream(seed, 5);
+    let until = world.instant(trouble.end());
+    let class = world.scenario.traffic_classes().first().map_or(String::new(), |c| c.name.clone());
     while Instant::now() < until {
         for sender in 0..world.scenario.senders as usize {
-            for _ in 0..trouble.size.round().max(1.0) as usize {
+            for _ in 0..trouble.magnitude.round().max(1.0) as usize {
                 let text = request(&mut random, &class);
                 let ends = random.random::<bool>();
                 spawn_local(guest(world.clone(), sender, text, ends));
--- a/crates/proof/nickelshed-lab/src/stands.rs
+++ b/crates/proof/nickelshed-lab/src/stands.rs
@@ -6,8 +6,8 @@
 use base64::Engine;
 use nickelshed_config::sidecar::Effect;
 use nickelshed_host::{Host, Listener};
-use nickelshed_judge::{Effect as Judged, How, Us, What};
-use nickelshed_model::{Arrival, Call, Happened, Mix, System};
+use nickelshed_judge::{CallEnd, Effect as Judged, EventKind, Us};
+use nickelshed_model::{Arrival, CallMessage, CallOutcome, SimulatedDestination, TrafficClass};
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -29,9 +29,9 @@
     let own = own(2, number);
     let address = after.map_or(SocketAddr::from((own, 5000)), |old| old.address);
     world.net.close(address);
-    let room = after.map_or(world.scenario.room(number), |old| old.room);
+    let room = after.map_or(world.scenario.site_of(number), |old| old.room);
     world.rooms.borrow_mut().insert(number, room);
-    world.destinations[&dest].system.borrow_mut().add(number, room);
+    world.destinations[&dest].system.borrow_mut().add_endpoint(number, room);
     listen(world, dest, number, address).await;
     (number, Place { name: format!("e-{number}"), address, dest, room, lifecycle: "Ready" })
 }
@@ -88,63 +88,63 @@
         let (calls, sender) = if several { members(&request.body) } else { only(&request) };
         let ids: Vec<String> = calls.iter().map(|c| c.id.clone()).collect();
         let route = world.destinations[&dest].system.borrow().route_of(endpoint);
-        world.note(What::Call {
+        world.note(EventKind::Call {
             call: number,
             sender,
             endpoint,
             dest,
             route,
-            room: world.rooms.borrow().get(&endpoint).copied().unwrap_or(0),
+            site: world.rooms.borrow().get(&endpoint).copied().unwrap_or(0),
             ids: ids.clone(),
-            work: System::work(calls.len()),
+            work: SimulatedDestination::call_cost(calls.len()),
             first_byte: world.us(request.first_byte),
         });
         let fate = {
             let mut random = world.random.borrow_mut();
             let mut system = world.destinations[&dest].system.borrow_mut();
-            let fell = system.has_fallen(endpoint);
-            let fate = system.call(world.now(), endpoint, &calls, &mut random);
-            if system.has_fallen(endpoint) && !fell {
-                world.note(What::FellOver { dest, route });
+            let fell = system.has_collapsed(endpoint);
+            let fate = system.handle_call(world.now(), endpoint, &calls, &mut random);
+            if system.has_collapsed(endpoint) && !fell {
+                world.note(EventKind::FellOver { dest, route });
             }
             fate
         };
-        for (id, ran) in ids.iter().zip(&fate.ran) {
+        for (id, ran) in ids.iter().zip(&fate.executions) {
             let Some((at, true)) = *ran else { continue };
             let (world, id, message) = (world.clone(), id.clone(), number_of(id));
             spawn_local(async move {
                 sleep_until(world.instant(at)).await;
-                world.note(What::Ran { id, message });
+                world.note(EventKind::Ran { id, message });
             });
         }
-        let at = match fate.happened {
-            Happened::Answered { at, .. } | Happened::Spoilt { at } | Happened::Reset { at } => {
+        let at = match fate.outcome {
+            CallOutcome::Answered { at, .. } | CallOutcome::Corrupted { at } | CallOutcome::Reset { at } => {
                 world.instant(at)
             }
-            Happened::Nothing => Instant::now() + Duration::from_secs(3_600),
+            CallOutcome::NoAnswer => Instant::now() + Duration::from_secs(3_600),
         };
         // A sender that has closed already has called it off, though the endpoint has not heard yet.
-        let over = |link: &Link, how: How| {
+        let over = |link: &Link, how: CallEnd| {
             let closed = link.stream.other_ended().map(|at| world.us(at)).filter(|at| *at <= world.now());
-            let (at, how) = closed.map_or((world.now(), how), |at| (at, How::Closed));
-            world.note_at(at, What::Over { call: number, how });
+            let (at, how) = closed.map_or((world.now(), how), |at| (at, CallEnd::Closed));
+            world.note_at(at, EventKind::Over { call: number, end: how });
         };
         tokio::select! {
             biased;
             () = resets.notified() => {
-                over(&link, How::Closed);
+                over(&link, CallEnd::Closed);
                 return link.stream.reset();
             }
-            () = link.ended() => return over(&link, How::Closed),
+            () = link.ended() => return over(&link, CallEnd::Closed),
             () = sleep_until(at) => {}
         }
-        match fate.happened {
-            Happened::Answered { status, wait, .. } => {
+        match fate.outcome {
+            CallOutcome::Answered { status, retry_after: wait, .. } => {
                 // What does not pass is not told.
                 let wait = if link.stream.is_severed() { 0 } else { wait };
-                over(&link, How::Answered { status, wait });
+                over(&link, CallEnd::Answered { status, retry_after: wait });
                 told = (wait > 0).then(|| (world.last_event(), Instant::now() + world.scenario.latency.0));
-                let report = world.destinations[&dest].system.borrow_mut().report(world.now(), endpoint);
+                let report = world.destinations[&dest].system.borrow_mut().load_report(world.now(), endpoint);
                 let report = report.map_or(String::new(), |(x0, x1)| {
                     format!("Endpoint-Load-Metrics: TEXT x0={x0:.3}, x1={x1:.3}\r\n")
                 });
@@ -162,14 +162,14 @@
                     return;
                 }
             }
-            Happened::Spoilt { .. } => {
-                over(&link, How::Spoilt);
+            CallOutcome::Corrupted { .. } => {
+                over(&link, CallEnd::Spoilt);
                 if !link.write(SPOILT).await {
                     return;
                 }
             }
-            Happened::Reset { .. } | Happened::Nothing => {
-                over(&link, How::Closed);
+            CallOutcome::Reset { .. } | CallOutcome::NoAnswer => {
+                over(&link, CallEnd::Closed);
                 return link.stream.reset();
             }
         }
@@ -177,17 +177,17 @@
 }
 
 /// The message of a call that holds one, and its sender.
-fn only(request: &Message) -> (Vec<Call>, usize) {
+fn only(request: &Message) -> (Vec<CallMessage>, usize) {
     let id = request.header("x-trace-id").unwrap_or_default().to_string();
     let key = request.header("idempotency-key").map(str::to_string);
-    (vec![Call { id, key }], sender_of(&request.body))
+    (vec![CallMessage { id, key }], sender_of(&request.body))
 }
 
 /// The messages of a call that holds several, and their sender; none where it can't be read.
-fn members(body: &[u8]) -> (Vec<Call>, usize) {
+fn members(body: &[u8]) -> (Vec<CallMessage>, usize) {
     let list: Vec<Value> = serde_json::from_slice(body).unwrap_or_default();
     let text = |v: &Value, key: &str| v.get(key).and_then(Value::as_str).map(str::to_string);
-    let call = |v: &Value| Some(Call { id: text(v, "id")?, key: text(v, "key") });
+    let call = |v: &Value| Some(CallMessage { id: text(v, "id")?, key: text(v, "key") });
     let first = list.first().and_then(|v| text(v, "body")).unwrap_or_default();
     let first = base64::engine::general_purpose::STANDARD.decode(first).unwrap_or_default();
     (list.iter().filter_map(call).collect(), sender_of(&first))
@@ -249,7 +249,7 @@
     for line in String::from_utf8_lossy(&request.body).lines() {
         let Ok(notice) = serde_json::from_str::<Value>(line) else { continue };
         let id = notice["message"].as_str().unwrap_or_default().to_string();
-        world.note(What::Notice { sender, id, handed_back: notice["outcome"] == "handed_back" });
+        world.note(EventKind::Notice { sender, id, returned: notice["outcome"] == "handed_back" });
     }
 }
 
@@ -279,7 +279,7 @@
     let from = index.filter(|i| *i as usize <= generation).unwrap_or(0) as usize;
     let last = world.entries(sender, from..generation, whole);
     for (endpoint, (_, open)) in &last {
-        world.note(What::Told { sender, endpoint: *endpoint, open: *open });
+        world.note(EventKind::Told { sender, endpoint: *endpoint, accepts_calls: *open });
     }
     agent.told.set(generation);
     let instances: Vec<Value> = last.into_values().map(|(entry, _)| entry).collect();
@@ -307,7 +307,7 @@
     pub world: Rc<World>,
     pub host: LabHost,
     pub kept: RefCell<Vec<Vec<Link>>>,
-    pub classes: Vec<Mix>,
+    pub classes: Vec<TrafficClass>,
 }
 
 impl Clients {
@@ -331,7 +331,7 @@
                 Some((status @ (0 | 429 | 503), after)) => {
                     tries += 1;
                     // Without an answer the message comes again too, under a new id.
-                    if tries > world.scenario.retries && status != 0 || tries > 3 {
+                    if tries > world.scenario.client_retries && status != 0 || tries > 3 {
                         return;
                     }
                     let again = if world.is_impatient() { AGAIN_AT_ONCE } else { after.unwrap_or(AGAIN) };
@@ -371,14 +371,14 @@
             if !link.write(&request).await {
                 continue;
             }
-            world.note(What::HandedIn {
+            world.note(EventKind::HandedIn {
                 sender: arrival.sender,
                 id: id.to_string(),
                 message: arrival.message,
                 class: arrival.class,
                 effect,
                 dest: arrival.dest,
-                expires: left.as_micros() as Us,
+                lifetime: left.as_micros() as Us,
             });
             let patience = if world.is_impatient() { CLIENT / 10 } else { CLIENT };
             let answer = tokio::select! {
@@ -388,18 +388,18 @@
             };
             match answer {
                 None => {
-                    world.note(What::Left { id: id.to_string() });
+                    world.note(EventKind::Left { id: id.to_string() });
                     return Some((0, None));
                 }
                 // It was closed while it stood idle: the request goes on a new one.
                 Some(None) if used => continue,
                 Some(None) => {
-                    world.note(What::Heard { id: id.to_string(), status: 0 });
+                    world.note(EventKind::Heard { id: id.to_string(), status: 0 });
                     return Some((0, None));
                 }
                 Some(Some(answer)) => {
                     let status = answer.status();
-                    world.note(What::Heard { id: id.to_string(), status });
+                    world.note(EventKind::Heard { id: id.to_string(), status });
                     let after = answer.header("retry-after").and_then(|a| a.parse::<f64>().ok());
                     if answer.header("connection").is_none_or(|c| !c.eq_ignore_ascii_case("close")) {
                         self.kept.borrow_mut()[arrival.sender].push(link);
--- a/crates/proof/nickelshed-lab/src/world.rs
+++ b/crates/proof/nickelshed-lab/src/world.rs
@@ -5,8 +5,8 @@
 use crate::net::Net;
 use crate::stands::sender_of_notes;
 use crate::wire::Machines;
-use nickelshed_judge::{Event, How, Us, What};
-use nickelshed_model::{shares, stream, Random, Scenario, System};
+use nickelshed_judge::{CallEnd, Event, EventKind, Us};
+use nickelshed_model::{random_stream, traffic_shares, Random, Scenario, SimulatedDestination};
 use rand::RngExt;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -50,7 +50,7 @@
 
 /// A customer system with what its endpoints' connections need to know.
 pub struct Destination {
-    pub system: RefCell<System>,
+    pub system: RefCell<SimulatedDestination>,
     /// What the list says of its rate: a rough figure.
     pub hint: f64,
     /// Told when connections are to be reset; those who wait are woken in the order in which they came.
@@ -89,17 +89,17 @@
 
 impl World {
     pub fn new(scenario: &Scenario, seed: u64, manner: Manner) -> Rc<World> {
-        let shares = shares(scenario);
-        let mut random = stream(seed, 3);
+        let shares = traffic_shares(scenario);
+        let mut random = random_stream(seed, 3);
         let destination = |(i, share): (usize, &f64)| {
-            let mut system = System::new(scenario, scenario.rate * share);
+            let mut system = SimulatedDestination::new(scenario, scenario.rate * share);
             // As many as it will have, so that its capacity is known before they are listed.
-            (0..scenario.endpoints as usize).for_each(|e| system.add(usize::MAX - e, 0));
+            (0..scenario.endpoints as usize).for_each(|e| system.add_endpoint(usize::MAX - e, 0));
             let capacity: f64 = system.routes().into_iter().map(|r| system.capacity(r)).sum();
             let routes = system.routes().len().max(1) as f64;
             // Of one route, where they are apart.
             let hint = capacity / routes * random.random_range(0.8..1.25);
-            (0..scenario.endpoints as usize).for_each(|e| system.remove(usize::MAX - e));
+            (0..scenario.endpoints as usize).for_each(|e| system.remove_endpoint(usize::MAX - e));
             (
                 i as u64 + 1,
                 Destination {
@@ -118,7 +118,7 @@
             lives: (0..scenario.senders as usize).map(|s| Rc::new(Life::new(s, cut(s)))).collect(),
             scenario: scenario.clone(),
             events: RefCell::default(),
-            random: RefCell::new(stream(seed, 2)),
+            random: RefCell::new(random_stream(seed, 2)),
             destinations: shares.iter().enumerate().map(destination).collect(),
             list: RefCell::default(),
             agents: (0..scenario.senders).map(|_| Agent::default()).collect(),
@@ -144,7 +144,7 @@
         self.net.start() + Duration::from_micros(at)
     }
 
-    pub fn note(&self, what: What) {
+    pub fn note(&self, what: EventKind) {
         self.note_at(self.now(), what);
     }
 
@@ -158,16 +158,16 @@
 
     /// The wait that an answer told has reached nobody.
     pub fn unsay_wait(&self, event: usize) {
-        if let Some(What::Over { how: How::Answered { wait, .. }, .. }) =
-            self.events.borrow_mut().get_mut(event).map(|e| &mut e.what)
+        if let Some(EventKind::Over { end: CallEnd::Answered { retry_after: wait, .. }, .. }) =
+            self.events.borrow_mut().get_mut(event).map(|e| &mut e.kind)
         {
             *wait = 0;
         }
     }
 
     /// The history is put in order at the end of the day.
-    pub fn note_at(&self, at: Us, what: What) {
-        self.events.borrow_mut().push(Event { at, what });
+    pub fn note_at(&self, at: Us, what: EventKind) {
+        self.events.borrow_mut().push(Event { at, kind: what });
     }
 
     /// Lists an endpoint anew, for agents that hear of it at once.
@@ -207,7 +207,7 @@
                 let list = self.list.borrow();
                 (list[change].0, list[change].1.lifecycle == "Ready")
             };
-            self.note_at(self.now().max(moved), What::Told { sender, endpoint, open });
+            self.note_at(self.now().max(moved), EventKind::Told { sender, endpoint, accepts_calls: open });
         }
     }
 
@@ -233,11 +233,11 @@
     /// Whether one of the two, a sender and an endpoint or another sender's notes, stands in the first room and the other one
     /// does not.
     pub fn are_apart(&self, sender: usize, to: SocketAddr) -> bool {
-        let room = sender_of_notes(to).map(|other| self.scenario.room(other)).or_else(|| {
+        let room = sender_of_notes(to).map(|other| self.scenario.site_of(other)).or_else(|| {
             let list = self.list.borrow();
             list.iter().rev().find(|(_, place)| place.address == to).map(|(_, place)| place.room)
         });
-        room.is_some_and(|room| (room == 0) != (self.scenario.room(sender) == 0))
+        room.is_some_and(|room| (room == 0) != (self.scenario.site_of(sender) == 0))
     }
 
     /// The list as a sender last had it, for its next process. While its agent says nothing it holds all that counts as
--- a/crates/proof/nickelshed-lab/tests/days.rs
+++ b/crates/proof/nickelshed-lab/tests/days.rs
@@ -1,11 +1,11 @@
 //! Days of the whole sender: the same each time, clean where they should be, and kept finds.
 use nickelshed_config::sidecar::Effect;
 use nickelshed_config::units::{Percent, Period};
-use nickelshed_judge::{Event, How, Rule, What};
+use nickelshed_judge::{CallEnd, Event, EventKind, Rule};
 use nickelshed_lab::{
     crossings, cut, faults, files, kills, play, play_so, Crossing, Day, Every, Fault, Happening, Lie, Manner,
 };
-use nickelshed_model::{draw, Kind, Scenario, Trouble};
+use nickelshed_model::{random_scenario, FaultKind, InjectedFault, Scenario};
 use std::path::{Path, PathBuf};
 
 fn folder(name: &str) -> Vec<PathBuf> {
@@ -27,13 +27,13 @@
 #[test]
 fn the_same_seed_is_the_same_bytes() {
     for seed in [3, 6, 8, 11] {
-        let first = trace(&play(&draw(seed), seed).unwrap());
+        let first = trace(&play(&random_scenario(seed), seed).unwrap());
         assert!(first.lines().count() > 500);
         let beside: Vec<_> = (0..3u64)
             .map(|i| {
                 std::thread::spawn(move || {
-                    play(&draw(seed + 100 + i), i).unwrap();
-                    trace(&play(&draw(seed), seed).unwrap())
+                    play(&random_scenario(seed + 100 + i), i).unwrap();
+                    trace(&play(&random_scenario(seed), seed).unwrap())
                 })
             })
             .collect();
@@ -46,7 +46,7 @@
                 differs.map(|n| (first.lines().nth(n), other.lines().nth(n)))
             );
         }
-        assert!(trace(&play(&draw(seed), seed + 1).unwrap()) != first);
+        assert!(trace(&play(&random_scenario(seed), seed + 1).unwrap()) != first);
     }
 }
 
@@ -68,7 +68,8 @@
                 .filter(|(name, at, _)| path.ends_with(name) && *at == seed)
                 .map(|(.., rule)| *rule);
             let open: Vec<Rule> = open.collect();
-            let (crashes, words) = (&day.crashes, day.broken.iter().map(|b| &b.words).collect::<Vec<_>>());
+            let (crashes, words) =
+                (&day.crashes, day.broken.iter().map(|b| &b.description).collect::<Vec<_>>());
             assert!(
                 crashes.is_empty() && broken == open,
                 "{} seed {seed}: {crashes:?} {words:?}",
@@ -85,7 +86,7 @@
 fn senders_that_keep_a_view_of_one_another_break_no_rule_and_play_the_same_each_time() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../lab/scenarios/large-notes.toml");
     let scenario = files::read(&path).unwrap();
-    let alone = play(&Scenario { notes: false, ..scenario.clone() }, 1).unwrap();
+    let alone = play(&Scenario { membership_enabled: false, ..scenario.clone() }, 1).unwrap();
     let day = play(&scenario, 1).unwrap();
     assert!(day.is_clean(), "{:?} {:?}", day.crashes, day.broken);
     // Each probes another about once a second, for as long as it runs.
@@ -107,29 +108,29 @@
 /// A kill at each twentieth of a second of a day with a drain, told waits and a cold return, by two senders.
 #[test]
 fn a_kill_at_any_time_breaks_no_rule() {
-    let trouble = |kind, at: u64, lasts: u64| Trouble {
+    let trouble = |kind, at: u64, lasts: u64| InjectedFault {
         kind,
         at: Period::ms(at),
-        lasts: Period::ms(lasts),
-        part: Percent(0.5),
-        senders: Percent(1.0),
-        size: 2.0,
+        duration: Period::ms(lasts),
+        destination_fraction: Percent(0.5),
+        sender_fraction: Percent(1.0),
+        magnitude: 2.0,
     };
     let scenario = Scenario {
         length: Period::ms(5_000),
         senders: 2,
         rate: 40.0,
         destinations: 4,
-        limit: 1.5,
-        told_wait: Period::ms(600),
+        limit_multiple: 1.5,
+        retry_after: Period::ms(600),
         abandoned_after: Period::ms(6_000),
-        discovery_late: Period::ms(100),
-        troubles: vec![trouble(Kind::Drain, 1_000, 0), trouble(Kind::Refused, 1_200, 1_500)],
+        discovery_delay: Period::ms(100),
+        faults: vec![trouble(FaultKind::Drain, 1_000, 0), trouble(FaultKind::Refused, 1_200, 1_500)],
         ..Scenario::default()
     };
     for kill in (800..4_800).step_by(50) {
         let mut day = scenario.clone();
-        day.troubles.push(trouble(Kind::Kill, kill, 0));
+        day.faults.push(trouble(FaultKind::Kill, kill, 0));
         let day = play(&day, 1).unwrap();
         assert!(day.is_clean(), "killed at {kill} ms: {:?} {:?}", day.crashes, day.broken);
     }
@@ -156,16 +157,16 @@
         senders: 2,
         rate: 30.0,
         destinations: 3,
-        limit: 0.0,
+        limit_multiple: 0.0,
         abandoned_after: Period::ms(3_000),
         wanted_within: Period::ms(1_500),
-        troubles: vec![Trouble {
-            kind: Kind::Refused,
+        faults: vec![InjectedFault {
+            kind: FaultKind::Refused,
             at: Period::ms(500),
-            lasts: Period::ms(800),
-            part: Percent(0.3),
-            senders: Percent(1.0),
-            size: 1.0,
+            duration: Period::ms(800),
+            destination_fraction: Percent(0.3),
+            sender_fraction: Percent(1.0),
+            magnitude: 1.0,
         }],
         ..Scenario::default()
     };
@@ -191,24 +192,24 @@
 /// destinations that drop no repeats.
 #[test]
 fn a_find_is_cut_down_to_what_matters() {
-    let trouble = |kind| Trouble {
+    let trouble = |kind| InjectedFault {
         kind,
         at: Period::ms(2_000),
-        lasts: Period::ms(3_000),
-        part: Percent(1.0),
-        senders: Percent(1.0),
-        size: 2.0,
+        duration: Period::ms(3_000),
+        destination_fraction: Percent(1.0),
+        sender_fraction: Percent(1.0),
+        magnitude: 2.0,
     };
     let scenario = Scenario {
         length: Period::ms(8_000),
         effect: nickelshed_config::sidecar::Effect::Safe,
-        troubles: vec![trouble(Kind::Slow), trouble(Kind::Burst), trouble(Kind::Mute)],
+        faults: vec![trouble(FaultKind::Slow), trouble(FaultKind::Burst), trouble(FaultKind::Mute)],
         ..Scenario::default()
     };
     let fault = Fault::Crash;
     assert!(!faults(&play(&scenario, 1).unwrap()).contains_key(&fault));
     let find = cut(fault, 1, scenario.clone());
-    assert_eq!((find.words.as_str(), find.scenario.troubles.len()), ("", 3), "what shows nothing is not cut");
+    assert_eq!((find.words.as_str(), find.scenario.faults.len()), ("", 3), "what shows nothing is not cut");
 }
 
 /// Each guard that is undone is caught, by random days alone. How long that took is in docs/operations/lab.md.
@@ -218,10 +219,11 @@
         let mut hours = 0.0;
         let breaks = |day: &Day| day.broken.iter().any(|b| b.rule == lie.breaks());
         let caught = (1..=150).find(|&seed| {
-            let day = play_so(&draw(seed), seed, Manner { lie: Some(lie), ..Manner::default() }).unwrap();
+            let day = play_so(&random_scenario(seed), seed, Manner { lie: Some(lie), ..Manner::default() })
+                .unwrap();
             hours += day.length.as_secs_f64() / 3_600.0;
             // And it is the lie: without it the same day is clean.
-            breaks(&day) && !breaks(&play(&draw(seed), seed).unwrap())
+            breaks(&day) && !breaks(&play(&random_scenario(seed), seed).unwrap())
         });
         println!("{lie:?}: caught by seed {caught:?} after {hours:.2} simulated hours");
         assert!(caught.is_some(), "{lie:?} is not caught in {hours:.1} simulated hours");
@@ -249,15 +251,15 @@
 #[test]
 fn whatever_happens_at_any_place_of_a_full_sender_breaks_no_rule() {
     let jobs = std::thread::available_parallelism().map_or(1, |n| n.get());
-    let full = Scenario { held: 6, rate: 40.0, limit: 0.4, ..crossings_day() };
+    let full = Scenario { max_open_messages: 6, rate: 40.0, limit_multiple: 0.4, ..crossings_day() };
     for seed in [1, 2] {
         let whole = play(&full, seed).unwrap();
         let came = |id: &str| {
-            let handed = |e: &&Event| matches!(&e.what, What::HandedIn { id: i, .. } if i == id);
+            let handed = |e: &&Event| matches!(&e.kind, EventKind::HandedIn { id: i, .. } if i == id);
             whole.events.iter().find(handed).unwrap().at
         };
-        let waited = whole.events.iter().filter(|e| match &e.what {
-            What::Heard { id, status: 202 | 503 } => e.at - came(id) > 100_000,
+        let waited = whole.events.iter().filter(|e| match &e.kind {
+            EventKind::Heard { id, status: 202 | 503 } => e.at - came(id) > 100_000,
             _ => false,
         });
         assert!(waited.count() > 3, "the room is never full");
@@ -289,7 +291,7 @@
 /// An endpoint that ends a connection as it takes it has been tried: the same attempt does not try it over and over.
 #[test]
 fn endpoints_that_end_new_connections_are_not_called_on_and_on() {
-    let brief = Scenario { rate: 2.0, length: Period::ms(2_000), troubles: Vec::new(), ..crossings_day() };
+    let brief = Scenario { rate: 2.0, length: Period::ms(2_000), faults: Vec::new(), ..crossings_day() };
     let steps = |crossing| {
         let day = play_so(&brief, 1, Manner { crossing, ..Manner::default() }).unwrap();
         assert!(day.is_clean(), "{:?}", day.broken);
@@ -313,12 +315,16 @@
             let left: Vec<(&str, u64)> = day
                 .events
                 .iter()
-                .filter_map(
-                    |e| if let What::Left { id } = &e.what { Some((id.as_str(), e.at)) } else { None },
-                )
+                .filter_map(|e| {
+                    if let EventKind::Left { id } = &e.kind {
+                        Some((id.as_str(), e.at))
+                    } else {
+                        None
+                    }
+                })
                 .collect();
             for e in &day.events {
-                let What::Call { ids, first_byte, .. } = &e.what else { continue };
+                let EventKind::Call { ids, first_byte, .. } = &e.kind else { continue };
                 let unheard = ids.iter().any(|id| left.iter().any(|(l, at)| l == id && at <= first_byte));
                 if unheard {
                     called.push((sender, step, after, ids.clone()));
@@ -338,29 +344,29 @@
         effect: Effect::Unsafe,
         wanted_within: Period::ms(300),
         abandoned_after: Period::ms(500),
-        service: Period::ms(380),
-        limit: 0.0,
+        service_time: Period::ms(380),
+        limit_multiple: 0.0,
         servers: 32,
         ..Scenario::default()
     };
     let (day, ms) = (play(&scenario, 1).unwrap(), 1_000);
     assert!(day.is_clean(), "{:?}", day.broken);
     let answered = |id: &str, from: u64, to: u64| {
-        let calls = day.events.iter().filter_map(|e| match &e.what {
-            What::Call { call, ids, .. } if ids.iter().any(|i| i == id) => Some(*call),
+        let calls = day.events.iter().filter_map(|e| match &e.kind {
+            EventKind::Call { call, ids, .. } if ids.iter().any(|i| i == id) => Some(*call),
             _ => None,
         });
         let calls: Vec<u64> = calls.collect();
         day.events.iter().any(|e| {
-            matches!(&e.what, What::Over { call, how: How::Answered { status: 200, .. } } if calls.contains(call))
+            matches!(&e.kind, EventKind::Over { call, end: CallEnd::Answered { status: 200, .. } } if calls.contains(call))
                 && (from..to).contains(&e.at)
         })
     };
     let mut late = 0;
     for e in &day.events {
-        let What::HandedIn { id, expires, .. } = &e.what else { continue };
+        let EventKind::HandedIn { id, lifetime: expires, .. } = &e.kind else { continue };
         let end = e.at + expires;
-        let told = day.events.iter().any(|n| matches!(&n.what, What::Notice { id: i, .. } if i == id));
+        let told = day.events.iter().any(|n| matches!(&n.kind, EventKind::Notice { id: i, .. } if i == id));
         // On its way for 10 ms: read within the last 30.
         if answered(id, end - 40 * ms, end - 11 * ms) {
             late += 1;
--- a/crates/proof/nickelshed-model/src/draw.rs
+++ b/crates/proof/nickelshed-model/src/draw.rs
@@ -1,6 +1,6 @@
 //! Days drawn from the whole space of the model, for looking for what nobody thought of.
-use crate::scenario::{Kind, Mix, Scenario, Trouble};
-use crate::{stream, Random};
+use crate::scenario::{FaultKind, InjectedFault, Scenario, TrafficClass};
+use crate::{random_stream, Random};
 use nickelshed_config::sidecar::{Effect, Scope};
 use nickelshed_config::units::{Percent, Period};
 use rand::RngExt;
@@ -14,8 +14,8 @@
 }
 
 /// The day of a seed.
-pub fn draw(seed: u64) -> Scenario {
-    let random = &mut stream(seed, 0);
+pub fn random_scenario(seed: u64) -> Scenario {
+    let random = &mut random_stream(seed, 0);
     let length = random.random_range(8_000..=30_000u64);
     let effects = [Effect::Keyed, Effect::Keyed, Effect::Unsafe, Effect::Safe];
     let abandoned = random.random_range(2_000..=16_000u64);
@@ -25,68 +25,68 @@
         senders: random.random_range(1..=3),
         rate: between(random, 5.0, 120.0),
         clumps: Percent(between(random, 0.0, 0.3)),
-        retries: random.random_range(0..=2),
+        client_retries: random.random_range(0..=2),
         effect: effects[random.random_range(0..effects.len())],
         wanted_within: Period::ms(abandoned / 5),
         abandoned_after: Period::ms(abandoned),
-        repeat_window: ms(random, 1_000, 20_000),
+        dedup_window: ms(random, 1_000, 20_000),
         slots: random.random_range(3..=64),
-        held: random.random_range(8..=600),
-        disk: random.random_range(200_000..=3_000_000),
+        max_open_messages: random.random_range(8..=600),
+        disk_bytes: random.random_range(200_000..=3_000_000),
         destinations: random.random_range(1..=20),
         endpoints: random.random_range(1..=4),
         skew: between(random, 0.0, 1.2),
-        service: ms(random, 5, 400),
-        spread: between(random, 0.1, 1.0),
+        service_time: ms(random, 5, 400),
+        service_time_sigma: between(random, 0.1, 1.0),
         servers: random.random_range(1..=8),
-        queue: random.random_range(0..=32),
-        limit: if random.random::<bool>() { between(random, 0.8, 3.0) } else { 0.0 },
-        told_wait: if random.random::<bool>() { ms(random, 100, 2_000) } else { Period::ms(0) },
-        spoilt: Percent(if random.random::<f64>() < 0.2 { between(random, 0.0, 0.2) } else { 0.0 }),
+        queue_capacity: random.random_range(0..=32),
+        limit_multiple: if random.random::<bool>() { between(random, 0.8, 3.0) } else { 0.0 },
+        retry_after: if random.random::<bool>() { ms(random, 100, 2_000) } else { Period::ms(0) },
+        corrupted: Percent(if random.random::<f64>() < 0.2 { between(random, 0.0, 0.2) } else { 0.0 }),
         latency: ms(random, 0, 40),
-        discovery_late: ms(random, 0, 3_000),
+        discovery_delay: ms(random, 0, 3_000),
         ..Scenario::default()
     };
     for _ in 0..random.random_range(0..=4) {
-        let kind = Kind::FIRST[random.random_range(0..Kind::FIRST.len())];
-        scenario.troubles.push(Trouble {
+        let kind = FaultKind::DRAWN_FIRST[random.random_range(0..FaultKind::DRAWN_FIRST.len())];
+        scenario.faults.push(InjectedFault {
             kind,
             at: ms(random, 500, length),
-            lasts: ms(random, 200, 8_000),
-            part: Percent(between(random, 0.05, 1.0)),
-            senders: Percent(1.0),
-            size: between(random, 1.2, 4.0),
+            duration: ms(random, 200, 8_000),
+            destination_fraction: Percent(between(random, 0.05, 1.0)),
+            sender_fraction: Percent(1.0),
+            magnitude: between(random, 1.2, 4.0),
         });
     }
     // Half of the days are of a deployment with rooms, routes apart, batches or several classes.
     if random.random::<bool>() {
-        scenario.rooms = random.random_range(1..=2);
-        scenario.routes_apart = random.random::<f64>() < 0.4;
+        scenario.sites = random.random_range(1..=2);
+        scenario.separate_routes = random.random::<f64>() < 0.4;
         scenario.batch = if random.random::<f64>() < 0.4 { random.random_range(2..=10) } else { 1 };
-        scenario.list_tells_rates = random.random::<bool>();
+        scenario.discovery_reports_rates = random.random::<bool>();
         let scopes = [Scope::Destination, Scope::Zone, Scope::Endpoint];
-        scenario.repeats_known_by = scopes[random.random_range(0..scopes.len())];
+        scenario.dedup_scope = scopes[random.random_range(0..scopes.len())];
         for i in 0..random.random_range(0..=3) {
             let abandoned = random.random_range(2_000..=16_000u64);
-            scenario.classes.push(Mix {
+            scenario.classes.push(TrafficClass {
                 name: format!("class-{i}"),
-                part: Percent(between(random, 0.1, 1.0)),
+                traffic_share: Percent(between(random, 0.1, 1.0)),
                 effect: effects[random.random_range(0..effects.len())],
                 wanted_within: Period::ms(abandoned / 5),
                 abandoned_after: Period::ms(abandoned),
-                worth: between(random, 0.5, 4.0),
+                value: between(random, 0.5, 4.0),
             });
         }
     }
-    for kind in [Kind::Stall, Kind::Rude] {
+    for kind in [FaultKind::Stall, FaultKind::Rude] {
         if random.random::<f64>() < 0.15 {
-            scenario.troubles.push(Trouble {
+            scenario.faults.push(InjectedFault {
                 kind,
                 at: ms(random, 500, length),
-                lasts: ms(random, 200, 4_000),
-                part: Percent(1.0),
-                senders: Percent(1.0),
-                size: between(random, 1.0, 6.0),
+                duration: ms(random, 200, 4_000),
+                destination_fraction: Percent(1.0),
+                sender_fraction: Percent(1.0),
+                magnitude: between(random, 1.0, 6.0),
             });
         }
     }
@@ -98,8 +98,8 @@
 
 /// The day of a seed with hundreds of senders that share nothing: one large trouble that meets many of them, and one more
 /// of any kind.
-pub fn draw_large(seed: u64) -> Scenario {
-    let random = &mut stream(seed, 6);
+pub fn random_large_scenario(seed: u64) -> Scenario {
+    let random = &mut random_stream(seed, 6);
     let length = random.random_range(9_000..=15_000u64);
     let senders = random.random_range(60..=300u32);
     let abandoned = random.random_range(4_000..=10_000u64);
@@ -111,96 +111,104 @@
         senders,
         rate: f64::from(senders) * between(random, 0.5, 2.0),
         clumps: Percent(between(random, 0.0, 0.1)),
-        retries: random.random_range(0..=2),
+        client_retries: random.random_range(0..=2),
         effect: effects[random.random_range(0..effects.len())],
         wanted_within: Period::ms(abandoned / 4),
         abandoned_after: Period::ms(abandoned),
-        repeat_window: ms(random, 3_000, 15_000),
-        repeats_known_by: scopes[random.random_range(0..scopes.len())],
+        dedup_window: ms(random, 3_000, 15_000),
+        dedup_scope: scopes[random.random_range(0..scopes.len())],
         slots: random.random_range(4..=10),
-        held: random.random_range(20..=120),
+        max_open_messages: random.random_range(20..=120),
         destinations: random.random_range(8..=16),
         endpoints: 2,
-        rooms: random.random_range(2..=4),
-        routes_apart: random.random::<f64>() < 0.25,
-        list_tells_rates: random.random::<f64>() < 0.75,
+        sites: random.random_range(2..=4),
+        separate_routes: random.random::<f64>() < 0.25,
+        discovery_reports_rates: random.random::<f64>() < 0.75,
         skew: between(random, 0.2, 1.0),
-        service: ms(random, 20, 250),
+        service_time: ms(random, 20, 250),
         servers: random.random_range(8..=32),
-        queue: random.random_range(8..=64),
-        limit: if random.random::<f64>() < 0.75 { between(random, 0.8, 2.5) } else { 0.0 },
-        told_wait: if random.random::<bool>() { ms(random, 200, 1_500) } else { Period::ms(0) },
+        queue_capacity: random.random_range(8..=64),
+        limit_multiple: if random.random::<f64>() < 0.75 { between(random, 0.8, 2.5) } else { 0.0 },
+        retry_after: if random.random::<bool>() { ms(random, 200, 1_500) } else { Period::ms(0) },
         latency: ms(random, 1, 25),
-        discovery_late: ms(random, 50, 1_000),
+        discovery_delay: ms(random, 50, 1_000),
         ..Scenario::default()
     };
-    let trouble = |kind, at: u64, lasts: u64, part: f64, senders: f64, size: f64| Trouble {
+    let trouble = |kind, at: u64, lasts: u64, part: f64, senders: f64, size: f64| InjectedFault {
         kind,
         at: Period::ms(at),
-        lasts: Period::ms(lasts),
-        part: Percent(part),
-        senders: Percent(senders),
-        size,
+        duration: Period::ms(lasts),
+        destination_fraction: Percent(part),
+        sender_fraction: Percent(senders),
+        magnitude: size,
     };
     let at = random.random_range(1_500..=3_500u64);
-    scenario.troubles = match LARGE[seed as usize % LARGE.len()] {
+    scenario.faults = match LARGE[seed as usize % LARGE.len()] {
         "herd" => vec![
-            trouble(Kind::Kill, at, 0, 1.0, 0.7, 2.0),
-            trouble(Kind::Lower, at + 500, 6_000, between(random, 0.2, 0.8), 1.0, between(random, 1.5, 4.0)),
-            trouble(Kind::Kill, at + 6_500, 0, 1.0, 0.3, 2.0),
+            trouble(FaultKind::Kill, at, 0, 1.0, 0.7, 2.0),
+            trouble(
+                FaultKind::Lower,
+                at + 500,
+                6_000,
+                between(random, 0.2, 0.8),
+                1.0,
+                between(random, 1.5, 4.0),
+            ),
+            trouble(FaultKind::Kill, at + 6_500, 0, 1.0, 0.3, 2.0),
         ],
         "region" => {
-            let kinds = [Kind::Silent, Kind::Refused, Kind::Hung, Kind::Reset, Kind::Shut];
+            let kinds =
+                [FaultKind::Silent, FaultKind::Refused, FaultKind::Hung, FaultKind::Reset, FaultKind::Shut];
             vec![
                 trouble(kinds[random.random_range(0..kinds.len())], at, 5_000, 0.4, 1.0, 2.0),
-                trouble(Kind::Burst, at + 5_000, 2_000, 1.0, 1.0, 1.5),
+                trouble(FaultKind::Burst, at + 5_000, 2_000, 1.0, 1.0, 1.5),
             ]
         }
         "split" => vec![
-            trouble(Kind::Cut, at, 6_000, 1.0, 1.0, 2.0),
-            trouble(Kind::Mute, at, 4_000, 1.0, between(random, 0.3, 1.0), 2.0),
-            trouble(Kind::Drain, at + 1_000, 0, 0.3, 1.0, 2.0),
-            trouble(Kind::Lossy, at + 2_000, 4_000, 0.5, 1.0, between(random, 8.0, 30.0)),
+            trouble(FaultKind::Cut, at, 6_000, 1.0, 1.0, 2.0),
+            trouble(FaultKind::Mute, at, 4_000, 1.0, between(random, 0.3, 1.0), 2.0),
+            trouble(FaultKind::Drain, at + 1_000, 0, 0.3, 1.0, 2.0),
+            trouble(FaultKind::Lossy, at + 2_000, 4_000, 0.5, 1.0, between(random, 8.0, 30.0)),
         ],
         "lowered" => vec![
-            trouble(Kind::Lower, at, 5_000, 0.8, 1.0, between(random, 1.5, 6.0)),
-            trouble(Kind::Impatient, at, 4_000, 1.0, 1.0, 2.0),
+            trouble(FaultKind::Lower, at, 5_000, 0.8, 1.0, between(random, 1.5, 6.0)),
+            trouble(FaultKind::Impatient, at, 4_000, 1.0, 1.0, 2.0),
         ],
         "lossy" => {
-            scenario.spoilt = Percent(between(random, 0.005, 0.05));
-            vec![trouble(Kind::Lossy, at, 6_000, 1.0, 1.0, between(random, 6.0, 30.0))]
+            scenario.corrupted = Percent(between(random, 0.005, 0.05));
+            vec![trouble(FaultKind::Lossy, at, 6_000, 1.0, 1.0, between(random, 6.0, 30.0))]
         }
         _ => vec![
-            trouble(Kind::Roll, 500, length, 1.0, between(random, 0.3, 1.0), 2.0),
-            trouble(Kind::Drain, at, 0, 0.6, 1.0, 2.0),
-            trouble(Kind::Drain, at + 2_500, 0, 0.6, 1.0, 2.0),
+            trouble(FaultKind::Roll, 500, length, 1.0, between(random, 0.3, 1.0), 2.0),
+            trouble(FaultKind::Drain, at, 0, 0.6, 1.0, 2.0),
+            trouble(FaultKind::Drain, at + 2_500, 0, 0.6, 1.0, 2.0),
         ],
     };
     let further = [
-        Kind::Silent,
-        Kind::Refused,
-        Kind::Errors,
-        Kind::Slow,
-        Kind::Drain,
-        Kind::Replace,
-        Kind::Pause,
-        Kind::Reload,
-        Kind::Mute,
-        Kind::Jump,
-        Kind::Burst,
-        Kind::Stall,
-        Kind::Lower,
-        Kind::Impatient,
+        FaultKind::Silent,
+        FaultKind::Refused,
+        FaultKind::Errors,
+        FaultKind::Slow,
+        FaultKind::Drain,
+        FaultKind::Replace,
+        FaultKind::Pause,
+        FaultKind::Reload,
+        FaultKind::Mute,
+        FaultKind::Jump,
+        FaultKind::Burst,
+        FaultKind::Stall,
+        FaultKind::Lower,
+        FaultKind::Impatient,
     ];
-    scenario.troubles.push(Trouble {
+    scenario.faults.push(InjectedFault {
         kind: further[random.random_range(0..further.len())],
         at: ms(random, 500, length),
-        lasts: ms(random, 300, 5_000),
-        part: Percent(between(random, 0.05, 0.6)),
-        senders: Percent(between(random, 0.05, 1.0)),
-        size: between(random, 1.3, 4.0),
+        duration: ms(random, 300, 5_000),
+        destination_fraction: Percent(between(random, 0.05, 0.6)),
+        sender_fraction: Percent(between(random, 0.05, 1.0)),
+        magnitude: between(random, 1.3, 4.0),
     });
     // Drawn last, so that a seed's day stays but for this.
-    scenario.notes = random.random::<f64>() < 0.3;
+    scenario.membership_enabled = random.random::<f64>() < 0.3;
     scenario
 }
--- a/crates/proof/nickelshed-model/src/lib.rs
+++ b/crates/proof/nickelshed-model/src/lib.rs
@@ -6,11 +6,11 @@
 mod system;
 mod traffic;
 
-pub use draw::{draw, draw_large};
-pub use scenario::{Kind, Mix, Scenario, Trouble};
-pub use soonest::soonest;
-pub use system::{Call, Fate, Happened, System};
-pub use traffic::{arrivals, shares, Arrival};
+pub use draw::{random_large_scenario, random_scenario};
+pub use scenario::{FaultKind, InjectedFault, Scenario, TrafficClass};
+pub use soonest::oracle;
+pub use system::{CallMessage, CallOutcome, CallResult, SimulatedDestination};
+pub use traffic::{arrivals, traffic_shares, Arrival};
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha12Rng;
@@ -20,7 +20,7 @@
 pub type Random = ChaCha12Rng;
 
 /// A stream of random numbers of its own for each part of a day: what one part draws changes nothing for the others.
-pub fn stream(seed: u64, part: u64) -> Random {
+pub fn random_stream(seed: u64, part: u64) -> Random {
     let mut random = ChaCha12Rng::seed_from_u64(seed);
     random.set_stream(part);
     random
--- a/crates/proof/nickelshed-model/src/scenario.rs
+++ b/crates/proof/nickelshed-model/src/scenario.rs
@@ -21,7 +21,8 @@
     /// The part of the messages that come in clumps for one destination.
     pub clumps: Percent,
     /// How often a client hands in again what was refused.
-    pub retries: u32,
+    #[serde(rename = "retries")]
+    pub client_retries: u32,
     /// What a second run of a message does.
     pub effect: Effect,
     /// A message is wanted within this.
@@ -29,56 +30,71 @@
     /// A message is given up after this.
     pub abandoned_after: Period,
     /// How long destinations drop repeats.
-    pub repeat_window: Period,
+    #[serde(rename = "repeat_window")]
+    pub dedup_window: Period,
     /// Which endpoints of a destination know a repeat: all, those of one room, or only the same one.
-    pub repeats_known_by: Scope,
+    #[serde(rename = "repeats_known_by")]
+    pub dedup_scope: Scope,
     /// Calls that a sender may have out.
     pub slots: u32,
     /// Messages that a sender may hold.
-    pub held: u32,
+    #[serde(rename = "held")]
+    pub max_open_messages: u32,
     /// Bytes of disk that a sender has.
-    pub disk: u64,
+    #[serde(rename = "disk")]
+    pub disk_bytes: u64,
     /// Customer systems.
     pub destinations: u32,
     /// Endpoints of each.
     pub endpoints: u32,
     /// Rooms in which endpoints and senders stand, by turns.
-    pub rooms: u32,
+    #[serde(rename = "rooms")]
+    pub sites: u32,
     /// Each endpoint is a route of its own, with its own limit, waits and outages.
-    pub routes_apart: bool,
+    #[serde(rename = "routes_apart")]
+    pub separate_routes: bool,
     /// Messages that a call may hold at most.
     pub batch: u32,
     /// The list names a rough rate for each destination.
-    pub list_tells_rates: bool,
+    #[serde(rename = "list_tells_rates")]
+    pub discovery_reports_rates: bool,
     /// How unevenly destinations are used: 0 is evenly, 1 much for few.
     pub skew: f64,
     /// What an endpoint takes for a message: the median.
-    pub service: Period,
+    #[serde(rename = "service")]
+    pub service_time: Period,
     /// How much that spreads: the sigma of its logarithm.
-    pub spread: f64,
+    #[serde(rename = "spread")]
+    pub service_time_sigma: f64,
     /// Messages that an endpoint works on at once.
     pub servers: u32,
     /// Messages that wait at an endpoint at most; more are answered 503.
-    pub queue: u32,
+    #[serde(rename = "queue")]
+    pub queue_capacity: u32,
     /// A destination's limit as a multiple of its share of the traffic; 0 for none. Above it, it answers 503, or 429
     /// with a wait.
-    pub limit: f64,
+    #[serde(rename = "limit")]
+    pub limit_multiple: f64,
     /// The wait that is told above the limit; 0 for none.
-    pub told_wait: Period,
+    #[serde(rename = "told_wait")]
+    pub retry_after: Period,
     /// The part of the answers that come spoilt.
-    pub spoilt: Percent,
+    #[serde(rename = "spoilt")]
+    pub corrupted: Percent,
     /// One way between senders and endpoints.
     pub latency: Period,
     /// How late discovery's changes come.
-    pub discovery_late: Period,
+    #[serde(rename = "discovery_late")]
+    pub discovery_delay: Period,
     /// Senders may send one another notes, and so keep a view of who is there.
-    pub notes: bool,
+    #[serde(rename = "notes")]
+    pub membership_enabled: bool,
     /// Classes that share the traffic. Without any there is one, by `effect`, `wanted_within` and `abandoned_after`.
     #[serde(rename = "class", skip_serializing_if = "Vec::is_empty")]
-    pub classes: Vec<Mix>,
+    pub classes: Vec<TrafficClass>,
     /// What goes wrong.
     #[serde(rename = "trouble")]
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<InjectedFault>,
 }
 
 impl Default for Scenario {
@@ -89,34 +105,34 @@
             senders: 1,
             rate: 50.0,
             clumps: Percent(0.1),
-            retries: 1,
+            client_retries: 1,
             effect: Effect::Keyed,
             wanted_within: Period::ms(3_000),
             abandoned_after: Period::ms(16_000),
-            repeat_window: Period::ms(15_000),
-            repeats_known_by: Scope::Destination,
+            dedup_window: Period::ms(15_000),
+            dedup_scope: Scope::Destination,
             slots: 32,
-            held: 300,
-            disk: 3_000_000,
+            max_open_messages: 300,
+            disk_bytes: 3_000_000,
             destinations: 10,
             endpoints: 2,
-            rooms: 1,
-            routes_apart: false,
+            sites: 1,
+            separate_routes: false,
             batch: 1,
-            list_tells_rates: true,
+            discovery_reports_rates: true,
             skew: 0.8,
-            service: Period::ms(160),
-            spread: 0.4,
+            service_time: Period::ms(160),
+            service_time_sigma: 0.4,
             servers: 4,
-            queue: 16,
-            limit: 1.5,
-            told_wait: Period::ms(0),
-            spoilt: Percent(0.0),
+            queue_capacity: 16,
+            limit_multiple: 1.5,
+            retry_after: Period::ms(0),
+            corrupted: Percent(0.0),
             latency: Period::ms(10),
-            discovery_late: Period::ms(500),
-            notes: false,
+            discovery_delay: Period::ms(500),
+            membership_enabled: false,
             classes: Vec::new(),
-            troubles: Vec::new(),
+            faults: Vec::new(),
         }
     }
 }
@@ -124,16 +140,17 @@
 /// A class of messages and its part of the traffic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Mix {
+pub struct TrafficClass {
     pub name: String,
     /// Its part of the messages; the parts of all add up to one, or are taken in proportion.
-    pub part: Percent,
+    #[serde(rename = "part")]
+    pub traffic_share: Percent,
     pub effect: Effect,
     pub wanted_within: Period,
     pub abandoned_after: Period,
     /// What a message is worth that is delivered in time.
-    #[serde(default = "one")]
-    pub worth: f64,
+    #[serde(default = "one", rename = "worth")]
+    pub value: f64,
 }
 
 fn one() -> f64 {
@@ -143,23 +160,23 @@
 /// What goes wrong, when and with how much.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
-    pub kind: Kind,
+pub struct InjectedFault {
+    pub kind: FaultKind,
     /// From when on.
     pub at: Period,
     /// For how long, where that has a meaning.
-    #[serde(default)]
-    pub lasts: Period,
+    #[serde(default, rename = "lasts")]
+    pub duration: Period,
     /// The part of the destinations that it meets, those with most traffic first; at least one.
-    #[serde(default = "half")]
-    pub part: Percent,
+    #[serde(default = "half", rename = "part")]
+    pub destination_fraction: Percent,
     /// The part of the senders that it meets, spread evenly over them; at least one.
-    #[serde(default = "one_whole")]
-    pub senders: Percent,
+    #[serde(default = "one_whole", rename = "senders")]
+    pub sender_fraction: Percent,
     /// How much: of a burst the multiple of the rate, of slowness that of the service time, of a clock's jump the
     /// seconds, of a lowered limit what it is divided by, of loss every which call it meets.
-    #[serde(default = "two")]
-    pub size: f64,
+    #[serde(default = "two", rename = "size")]
+    pub magnitude: f64,
 }
 
 fn one_whole() -> Percent {
@@ -176,7 +193,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Endpoints take calls and say nothing; nothing runs. They come back cold.
     Silent,
     /// Endpoints run what they get and never answer. They come back cold.
@@ -227,91 +244,91 @@
     Impatient,
 }
 
-impl Kind {
+impl FaultKind {
     /// Those that random days are drawn from first; what came later is drawn after them, so that a seed's day stays.
-    pub const FIRST: [Kind; 16] = [
-        Kind::Silent,
-        Kind::Hung,
-        Kind::Refused,
-        Kind::Reset,
-        Kind::Shut,
-        Kind::Errors,
-        Kind::Slow,
-        Kind::Drain,
-        Kind::Replace,
-        Kind::Restart,
-        Kind::Kill,
-        Kind::Pause,
-        Kind::Reload,
-        Kind::Mute,
-        Kind::Jump,
-        Kind::Burst,
+    pub const DRAWN_FIRST: [FaultKind; 16] = [
+        FaultKind::Silent,
+        FaultKind::Hung,
+        FaultKind::Refused,
+        FaultKind::Reset,
+        FaultKind::Shut,
+        FaultKind::Errors,
+        FaultKind::Slow,
+        FaultKind::Drain,
+        FaultKind::Replace,
+        FaultKind::Restart,
+        FaultKind::Kill,
+        FaultKind::Pause,
+        FaultKind::Reload,
+        FaultKind::Mute,
+        FaultKind::Jump,
+        FaultKind::Burst,
     ];
 
     /// Whether destinations are out while it lasts, and come back cold.
     pub fn is_outage(self) -> bool {
-        use Kind::*;
+        use FaultKind::*;
         matches!(self, Silent | Hung | Refused | Reset | Shut | Errors)
     }
 
     /// Whether it does something to customer systems, and is taken back from them at its end.
-    pub fn is_of_systems(self) -> bool {
-        self.is_outage() || matches!(self, Kind::Slow | Kind::Lower | Kind::Lossy)
+    pub fn affects_destinations(self) -> bool {
+        self.is_outage() || matches!(self, FaultKind::Slow | FaultKind::Lower | FaultKind::Lossy)
     }
 }
 
-impl Trouble {
-    pub fn from(&self) -> Us {
+impl InjectedFault {
+    pub fn start(&self) -> Us {
         self.at.0.as_micros() as Us
     }
 
-    pub fn to(&self) -> Us {
-        self.from() + self.lasts.0.as_micros() as Us
+    pub fn end(&self) -> Us {
+        self.start() + self.duration.0.as_micros() as Us
     }
 
     /// How many of so many destinations it meets.
-    pub fn of(&self, destinations: u32) -> u32 {
-        ((f64::from(destinations) * self.part.0).round() as u32).clamp(1, destinations.max(1))
+    pub fn affected_destinations(&self, destinations: u32) -> u32 {
+        ((f64::from(destinations) * self.destination_fraction.0).round() as u32).clamp(1, destinations.max(1))
     }
 
     /// Whether it meets a sender of so many: every so-manieth, so that all rooms have their part.
-    pub fn meets(&self, sender: usize, senders: usize) -> bool {
-        let part = self.senders.0.max(1.0 / senders.max(1) as f64);
+    pub fn affects_sender(&self, sender: usize, senders: usize) -> bool {
+        let part = self.sender_fraction.0.max(1.0 / senders.max(1) as f64);
         ((sender + 1) as f64 * part + 1e-9).floor() > (sender as f64 * part + 1e-9).floor()
     }
 }
 
 impl Scenario {
     /// Its classes, by their numbers: one where the file names none.
-    pub fn mix(&self) -> Vec<Mix> {
+    pub fn traffic_classes(&self) -> Vec<TrafficClass> {
         if !self.classes.is_empty() {
             return self.classes.clone();
         }
-        vec![Mix {
+        vec![TrafficClass {
             name: "alert".into(),
-            part: Percent(1.0),
+            traffic_share: Percent(1.0),
             effect: self.effect,
             wanted_within: self.wanted_within,
             abandoned_after: self.abandoned_after,
-            worth: 1.0,
+            value: 1.0,
         }]
     }
 
     /// The longest that a message may live.
-    pub fn longest(&self) -> std::time::Duration {
-        self.mix().iter().map(|c| c.abandoned_after.0).max().unwrap_or(self.abandoned_after.0)
+    pub fn max_message_lifetime(&self) -> std::time::Duration {
+        self.traffic_classes().iter().map(|c| c.abandoned_after.0).max().unwrap_or(self.abandoned_after.0)
     }
 
     /// The room of the endpoint or sender with that number.
-    pub fn room(&self, number: usize) -> usize {
-        number % self.rooms.max(1) as usize
+    pub fn site_of(&self, number: usize) -> usize {
+        number % self.sites.max(1) as usize
     }
 
     /// What keeps it from being played, in a sentence.
     ///
     /// # Errors
     /// If a figure is out of its range.
-    pub fn sound(&self) -> Result<(), String> {
+    pub fn validate(&self) -> Result<(), String> {
         let range = |name: &str, n: f64, least: f64, most: f64| {
             (least..=most)
                 .contains(&n)
@@ -322,29 +339,29 @@
         range("senders", self.senders.into(), 1.0, 1_000.0)?;
         range("rate", self.rate, 0.1, 10_000.0)?;
         range("clumps", self.clumps.0, 0.0, 1.0)?;
-        range("spoilt", self.spoilt.0, 0.0, 1.0)?;
+        range("spoilt", self.corrupted.0, 0.0, 1.0)?;
         range("destinations", self.destinations.into(), 1.0, 10_000.0)?;
         range("endpoints", self.endpoints.into(), 1.0, 16.0)?;
-        range("rooms", self.rooms.into(), 1.0, 8.0)?;
+        range("rooms", self.sites.into(), 1.0, 8.0)?;
         range("batch", self.batch.into(), 1.0, 100.0)?;
         range("servers", self.servers.into(), 1.0, 1_000.0)?;
         range("slots", self.slots.into(), 2.0, 65_536.0)?;
         range("skew", self.skew, 0.0, 3.0)?;
-        range("spread", self.spread, 0.0, 3.0)?;
-        range("limit", self.limit, 0.0, 1_000.0)?;
-        range("retries", self.retries.into(), 0.0, 10.0)?;
+        range("spread", self.service_time_sigma, 0.0, 3.0)?;
+        range("limit", self.limit_multiple, 0.0, 1_000.0)?;
+        range("retries", self.client_retries.into(), 0.0, 10.0)?;
         range("wanted_within", self.wanted_within.0.as_secs_f64(), 0.001, 3_600.0)?;
         range("abandoned_after", self.abandoned_after.0.as_secs_f64(), 0.01, 3_600.0)?;
         for class in &self.classes {
-            range("part", class.part.0, 0.001, 1.0)?;
-            range("worth", class.worth, 0.001, 1_000.0)?;
+            range("part", class.traffic_share.0, 0.001, 1.0)?;
+            range("worth", class.value, 0.001, 1_000.0)?;
             range("wanted_within", class.wanted_within.0.as_secs_f64(), 0.001, 3_600.0)?;
             range("abandoned_after", class.abandoned_after.0.as_secs_f64(), 0.01, 3_600.0)?;
         }
-        for trouble in &self.troubles {
-            range("part", trouble.part.0, 0.0, 1.0)?;
-            range("senders", trouble.senders.0, 0.0, 1.0)?;
-            range("size", trouble.size, 0.0, 1_000.0)?;
+        for trouble in &self.faults {
+            range("part", trouble.destination_fraction.0, 0.0, 1.0)?;
+            range("senders", trouble.sender_fraction.0, 0.0, 1.0)?;
+            range("size", trouble.magnitude, 0.0, 1_000.0)?;
         }
         Ok(())
     }
--- a/crates/proof/nickelshed-model/src/traffic.rs
+++ b/crates/proof/nickelshed-model/src/traffic.rs
@@ -1,6 +1,6 @@
 //! What clients hand in: when, for whom, in clumps and bursts. Drawn ahead, so that it does not depend on answers.
-use crate::scenario::{Kind, Scenario};
-use crate::{stream, Us};
+use crate::scenario::{FaultKind, Scenario};
+use crate::{random_stream, Us};
 use rand::RngExt;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,7 +15,7 @@
 }
 
 /// The share of the traffic that each destination has, the largest first; they add up to 1.
-pub fn shares(scenario: &Scenario) -> Vec<f64> {
+pub fn traffic_shares(scenario: &Scenario) -> Vec<f64> {
     let raw: Vec<f64> = (1..=scenario.destinations).map(|i| f64::from(i).powf(-scenario.skew)).collect();
     let all: f64 = raw.iter().sum();
     raw.into_iter().map(|r| r / all).collect()
@@ -23,8 +23,8 @@
 
 /// All messages of a day in the order of their times.
 pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
-    let mut random = stream(seed, 1);
-    let shares = shares(scenario);
+    let mut random = random_stream(seed, 1);
+    let shares = traffic_shares(scenario);
     let pick = |random: &mut crate::Random| {
         let mut left: f64 = random.random();
         let at = shares.iter().position(|share| {
@@ -37,9 +37,9 @@
     let mut out: Vec<Arrival> = Vec::new();
     let mut now = 0.0f64;
     while (now as Us) < end {
-        let burst = scenario.troubles.iter().filter(|t| t.kind == Kind::Burst);
+        let burst = scenario.faults.iter().filter(|t| t.kind == FaultKind::Burst);
         let times: f64 =
-            burst.filter(|t| (t.from()..t.to()).contains(&(now as Us))).map(|t| t.size).product();
+            burst.filter(|t| (t.start()..t.end()).contains(&(now as Us))).map(|t| t.magnitude).product();
         // Clumps bring their messages beside those that come one by one.
         let rate = (scenario.rate * times * (1.0 - scenario.clumps.0)).max(0.01);
         now += -(1.0 - random.random::<f64>()).ln() / rate * 1e6;
@@ -62,8 +62,8 @@
     out.retain(|a| a.at < end);
     out.sort_by_key(|a| (a.at, a.sender, a.dest));
     // From a stream of their own: what classes there are changes nothing for times and destinations.
-    let mut random = stream(seed, 4);
-    let parts: Vec<f64> = scenario.mix().iter().map(|c| c.part.0).collect();
+    let mut random = random_stream(seed, 4);
+    let parts: Vec<f64> = scenario.traffic_classes().iter().map(|c| c.traffic_share.0).collect();
     for (message, arrival) in out.iter_mut().enumerate() {
         arrival.message = message as u64;
         let mut left = random.random::<f64>() * parts.iter().sum::<f64>();
