--- a/crates/proof/nickelshed-judge/src/account.rs
+++ b/crates/proof/nickelshed-judge/src/account.rs
@@ -1,79 +1,87 @@
-//! Where slots and time went on a day, by how destinations stood: what a change of routing, limits or retries has to move.
+//! Accounts for slot time and message latency by the state of the destinations. The result shows which losses
+//! a change of routing, limits or retries can reduce.
 use crate::event::{CallEnd, Event, EventKind, Us};
 use crate::worth::ValueFunction;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How a destination stands, and what a sender can know of it.
+/// State of a destination, as far as one sender can know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DestinationState {
+    /// Available and warmed up.
     Well,
-    /// Out, and no call of this sender has failed there since.
+    /// Unavailable; no call of this sender has failed there since the outage began.
     Unseen,
-    /// Out, and the sender has seen it.
+    /// Unavailable; a call of this sender has failed there.
     Sick,
-    /// Back, and cold.
+    /// Available again and in slow start.
     Returning,
 }
 
-/// What became of a stretch of a message's time.
+/// Phase of a message's life, to which a part of its latency is attributed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MessagePhase {
-    /// Held by its sender before the first attempt.
+    /// Queued at its sender before the first attempt.
     Held,
-    /// Out in an attempt that did not deliver it.
+    /// In flight in an attempt that did not deliver it.
     OutInVain,
-    /// Held between two attempts.
+    /// Queued between two attempts.
     Between,
-    /// Out in the attempt that delivered it.
+    /// In flight in the attempt that delivered it.
     Delivered,
-    /// Refused, and not handed in again yet.
+    /// At the client: refused or ended by its sender, and not submitted again yet.
     Away,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TimeAccount {
-    /// Microseconds of slots, by the state when the call began, whether it was a message's first, and whether it
-    /// delivered any.
+    /// Slot time in microseconds, by the state of the destination when the call began, whether the call was
+    /// the first attempt of all of its messages, and whether it delivered them.
     pub slot_time: BTreeMap<(DestinationState, bool, bool), Us>,
-    /// Messages late or not delivered, by what took most of their time and how their destination stood when that began.
+    /// Number of messages late or not delivered, by the phase that took most of their time and the state of
+    /// the destination when that phase began.
     pub late_causes: BTreeMap<(DestinationState, MessagePhase), usize>,
-    /// One in a hundred of the messages for destinations that are well took longer, in milliseconds: while none is out,
-    /// and while any is. Infinite where as many were never delivered.
+    /// 99th percentile of the latency in milliseconds, over messages whose destination was available
+    /// throughout: submitted while no destination was unavailable, and submitted while any was. Infinite if
+    /// the percentile falls on a message that was never delivered.
     pub healthy_p99_ms: (f64, f64),
 }
 
 impl TimeAccount {
-    /// The part of all slot time that delivered nothing; 0 where there was none.
+    /// Fraction of the slot time that delivered nothing; 0 without any slot time.
     pub fn wasted_fraction(&self) -> f64 {
         let all: Us = self.slot_time.values().sum();
-        let vain: Us = self.slot_time.iter().filter(|((.., useful), _)| !useful).map(|(_, time)| time).sum();
-        vain as f64 / all.max(1) as f64
+        let wasted: Us =
+            self.slot_time.iter().filter(|((.., delivered), _)| !delivered).map(|(_, time)| time).sum();
+        wasted as f64 / all.max(1) as f64
     }
 }
 
+/// Destinations in an outage, the last recovery of each, and the senders that observed the current outage.
 #[derive(Default)]
-struct Destinations {
-    out: BTreeSet<u64>,
-    back: BTreeMap<u64, Us>,
-    seen: BTreeSet<(usize, u64)>,
+struct OutageTracker {
+    in_outage: BTreeSet<u64>,
+    recovered_at: BTreeMap<u64, Us>,
+    observed_by: BTreeSet<(usize, u64)>,
 }
 
-impl Destinations {
-    fn state(&self, sender: usize, dest: u64, at: Us, cold: Us) -> DestinationState {
-        match self.back.get(&dest) {
-            _ if self.out.contains(&dest) && self.seen.contains(&(sender, dest)) => DestinationState::Sick,
-            _ if self.out.contains(&dest) => DestinationState::Unseen,
-            Some(back) if at < back + cold => DestinationState::Returning,
+impl OutageTracker {
+    fn state(&self, sender: usize, dest: u64, at: Us, slow_start: Us) -> DestinationState {
+        match self.recovered_at.get(&dest) {
+            _ if self.in_outage.contains(&dest) && self.observed_by.contains(&(sender, dest)) => {
+                DestinationState::Sick
+            }
+            _ if self.in_outage.contains(&dest) => DestinationState::Unseen,
+            Some(recovered_at) if at < recovered_at + slow_start => DestinationState::Returning,
             _ => DestinationState::Well,
         }
     }
 
-    fn failed(&mut self, sender: usize, dest: u64) {
-        if self.out.contains(&dest) {
-            self.seen.insert((sender, dest));
+    fn record_failure(&mut self, sender: usize, dest: u64) {
+        if self.in_outage.contains(&dest) {
+            self.observed_by.insert((sender, dest));
         }
     }
 }
@@ -82,139 +90,159 @@
     class: usize,
     dest: u64,
     sender: usize,
-    first: Us,
-    delivered: Option<Us>,
-    tried: bool,
-    over: bool,
-    /// What it is doing, since when, and how its destination stood then.
-    doing: (MessagePhase, Us, DestinationState),
-    spent: BTreeMap<(DestinationState, MessagePhase), Us>,
-    /// Some destination was out when it was handed in.
-    amid: bool,
+    first_submitted_at: Us,
+    delivered_at: Option<Us>,
+    is_attempted: bool,
+    is_finished: bool,
+    /// Current phase, when it began, and the state of the destination at that time.
+    phase: (MessagePhase, Us, DestinationState),
+    time_spent: BTreeMap<(DestinationState, MessagePhase), Us>,
+    /// Whether any destination was unavailable when the message was first submitted.
+    submitted_in_outage: bool,
 }
 
 impl Message {
-    /// Ends what it was doing, as `was` if that is known better now.
-    fn turn(&mut self, at: Us, was: Option<MessagePhase>, to: MessagePhase, state: DestinationState) {
-        let (doing, since, stood) = self.doing;
-        *self.spent.entry((stood, was.unwrap_or(doing))).or_default() += at.saturating_sub(since);
-        self.doing = (to, at, state);
+    /// Ends the current phase and attributes its time to `actual`, or to the phase itself if that is None.
+    fn change_phase(
+        &mut self,
+        at: Us,
+        actual: Option<MessagePhase>,
+        next: MessagePhase,
+        state: DestinationState,
+    ) {
+        let (phase, since, state_then) = self.phase;
+        *self.time_spent.entry((state_then, actual.unwrap_or(phase))).or_default() +=
+            at.saturating_sub(since);
+        self.phase = (next, at, state);
     }
 }
 
-struct Out<'a> {
+struct InFlightCall<'a> {
     sender: usize,
     dest: u64,
-    from: Us,
+    started_at: Us,
     state: DestinationState,
-    first: bool,
+    is_first_attempt: bool,
     ids: &'a [String],
 }
 
-/// Books a day; `classes` by the numbers that messages were handed in with, `cold`: how long a destination is cold.
-pub fn account_time(events: &[Event], classes: &[ValueFunction], cold: Us) -> TimeAccount {
-    let mut at_all = Destinations::default();
+/// Accounts for a run. `classes` is indexed by the class number of the submissions; `slow_start` is the
+/// duration of a destination's slow start.
+pub fn account_time(events: &[Event], classes: &[ValueFunction], slow_start: Us) -> TimeAccount {
+    let mut outages = OutageTracker::default();
     let mut messages: BTreeMap<u64, Message> = BTreeMap::new();
-    let mut number: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut calls: BTreeMap<u64, Out> = BTreeMap::new();
+    let mut by_id: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut calls: BTreeMap<u64, InFlightCall> = BTreeMap::new();
     let mut account = TimeAccount::default();
     for event in events {
         let at = event.at;
         match &event.kind {
             EventKind::OutageBegan { dest, .. } => {
-                at_all.out.insert(*dest);
-                at_all.seen.retain(|(_, d)| d != dest);
+                outages.in_outage.insert(*dest);
+                outages.observed_by.retain(|(_, observed)| observed != dest);
             }
             EventKind::OutageEnded { dest, .. } => {
-                at_all.out.remove(dest);
-                at_all.back.insert(*dest, at);
+                outages.in_outage.remove(dest);
+                outages.recovered_at.insert(*dest, at);
             }
-            EventKind::Unreached { sender, dest, .. } => at_all.failed(*sender, *dest),
+            EventKind::Unreached { sender, dest, .. } => outages.record_failure(*sender, *dest),
             EventKind::HandedIn { sender, id, message, class, dest, .. } => {
-                number.insert(id, *message);
-                let state = at_all.state(*sender, *dest, at, cold);
-                let amid = !at_all.out.is_empty();
+                by_id.insert(id, *message);
+                let state = outages.state(*sender, *dest, at, slow_start);
+                let during_outages = !outages.in_outage.is_empty();
                 let m = messages.entry(*message).or_insert_with(|| Message {
                     class: *class,
                     dest: *dest,
                     sender: *sender,
-                    first: at,
-                    delivered: None,
-                    tried: false,
-                    over: false,
-                    doing: (MessagePhase::Held, at, state),
-                    spent: BTreeMap::new(),
-                    amid,
+                    first_submitted_at: at,
+                    delivered_at: None,
+                    is_attempted: false,
+                    is_finished: false,
+                    phase: (MessagePhase::Held, at, state),
+                    time_spent: BTreeMap::new(),
+                    submitted_in_outage: during_outages,
                 });
-                m.turn(at, None, MessagePhase::Held, state);
-                (m.sender, m.tried, m.over) = (*sender, false, false);
+                m.change_phase(at, None, MessagePhase::Held, state);
+                (m.sender, m.is_attempted, m.is_finished) = (*sender, false, false);
             }
             EventKind::Heard { id, status } if !matches!(status, 200 | 202) => {
-                let Some(m) = number.get(id.as_str()).and_then(|n| messages.get_mut(n)) else { continue };
-                let state = at_all.state(m.sender, m.dest, at, cold);
-                m.turn(at, None, MessagePhase::Away, state);
+                let Some(m) = by_id.get(id.as_str()).and_then(|n| messages.get_mut(n)) else { continue };
+                let state = outages.state(m.sender, m.dest, at, slow_start);
+                m.change_phase(at, None, MessagePhase::Away, state);
             }
             EventKind::Call { call, sender, dest, ids, first_byte, .. } => {
-                let state = at_all.state(*sender, *dest, *first_byte, cold);
+                let state = outages.state(*sender, *dest, *first_byte, slow_start);
                 let mut first = true;
                 for id in ids {
-                    let Some(m) = number.get(id.as_str()).and_then(|n| messages.get_mut(n)) else { continue };
-                    first &= !std::mem::replace(&mut m.tried, true);
-                    m.turn(*first_byte, None, MessagePhase::OutInVain, state);
+                    let Some(m) = by_id.get(id.as_str()).and_then(|n| messages.get_mut(n)) else { continue };
+                    first &= !std::mem::replace(&mut m.is_attempted, true);
+                    m.change_phase(*first_byte, None, MessagePhase::OutInVain, state);
                 }
                 calls.insert(
                     *call,
-                    Out { sender: *sender, dest: *dest, from: *first_byte, state, first, ids },
+                    InFlightCall {
+                        sender: *sender,
+                        dest: *dest,
+                        started_at: *first_byte,
+                        state,
+                        is_first_attempt: first,
+                        ids,
+                    },
                 );
             }
-            EventKind::Over { call, end: how } => {
-                let Some(out) = calls.remove(call) else { continue };
-                let useful = matches!(how, CallEnd::Answered { status: 200, .. });
-                *account.slot_time.entry((out.state, out.first, useful)).or_default() +=
-                    at.saturating_sub(out.from);
-                if !useful {
-                    at_all.failed(out.sender, out.dest);
+            EventKind::Over { call, end } => {
+                let Some(ended) = calls.remove(call) else { continue };
+                let delivered = matches!(end, CallEnd::Answered { status: 200, .. });
+                *account.slot_time.entry((ended.state, ended.is_first_attempt, delivered)).or_default() +=
+                    at.saturating_sub(ended.started_at);
+                if !delivered {
+                    outages.record_failure(ended.sender, ended.dest);
                 }
-                let state = at_all.state(out.sender, out.dest, at, cold);
-                for id in out.ids {
-                    let Some(m) = number.get(id.as_str()).and_then(|n| messages.get_mut(n)) else { continue };
-                    m.turn(at, useful.then_some(MessagePhase::Delivered), MessagePhase::Between, state);
-                    if useful {
-                        m.delivered.get_or_insert(at);
-                        m.over = true;
+                let state = outages.state(ended.sender, ended.dest, at, slow_start);
+                for id in ended.ids {
+                    let Some(m) = by_id.get(id.as_str()).and_then(|n| messages.get_mut(n)) else { continue };
+                    m.change_phase(
+                        at,
+                        delivered.then_some(MessagePhase::Delivered),
+                        MessagePhase::Between,
+                        state,
+                    );
+                    if delivered {
+                        m.delivered_at.get_or_insert(at);
+                        m.is_finished = true;
                     }
                 }
             }
             EventKind::Notice { id, .. } => {
-                let Some(m) = number.get(id.as_str()).and_then(|n| messages.get_mut(n)) else { continue };
-                if !std::mem::replace(&mut m.over, true) {
-                    let state = at_all.state(m.sender, m.dest, at, cold);
-                    m.turn(at, None, MessagePhase::Away, state);
+                let Some(m) = by_id.get(id.as_str()).and_then(|n| messages.get_mut(n)) else { continue };
+                if !std::mem::replace(&mut m.is_finished, true) {
+                    let state = outages.state(m.sender, m.dest, at, slow_start);
+                    m.change_phase(at, None, MessagePhase::Away, state);
                 }
             }
             _ => {}
         }
     }
-    let mut well: [Vec<Us>; 2] = Default::default();
-    for m in messages.values() {
-        let took = m.delivered.map(|at| at - m.first);
-        let wanted = classes.get(m.class).map_or(Us::MAX, |c| c.target_latency);
-        if m.spent.keys().all(|(state, _)| *state == DestinationState::Well) {
-            well[usize::from(m.amid)].push(took.unwrap_or(Us::MAX));
+    let mut latencies: [Vec<Us>; 2] = Default::default();
+    for message in messages.values() {
+        let latency = message.delivered_at.map(|at| at - message.first_submitted_at);
+        let target_latency = classes.get(message.class).map_or(Us::MAX, |c| c.target_latency);
+        if message.time_spent.keys().all(|(state, _)| *state == DestinationState::Well) {
+            latencies[usize::from(message.submitted_in_outage)].push(latency.unwrap_or(Us::MAX));
         }
-        if took.is_none_or(|t| t > wanted) {
-            let most = m.spent.iter().max_by_key(|(_, time)| **time).map(|(cause, _)| *cause);
+        if latency.is_none_or(|t| t > target_latency) {
+            let longest = message.time_spent.iter().max_by_key(|(_, time)| **time).map(|(cause, _)| *cause);
             *account
                 .late_causes
-                .entry(most.unwrap_or((DestinationState::Well, MessagePhase::Away)))
+                .entry(longest.unwrap_or((DestinationState::Well, MessagePhase::Away)))
                 .or_default() += 1;
         }
     }
-    let [calm, amid] = well.map(|mut times| {
-        times.sort_unstable();
-        let at = (times.len().max(1) - 1) * 99 / 100;
-        times.get(at).map_or(0.0, |t| if *t == Us::MAX { f64::INFINITY } else { *t as f64 / 1e3 })
+    let [without_outages, during_outages] = latencies.map(|mut sorted| {
+        sorted.sort_unstable();
+        let index = (sorted.len().max(1) - 1) * 99 / 100;
+        sorted.get(index).map_or(0.0, |t| if *t == Us::MAX { f64::INFINITY } else { *t as f64 / 1e3 })
     });
-    account.healthy_p99_ms = (calm, amid);
+    account.healthy_p99_ms = (without_outages, during_outages);
     account
 }
--- a/crates/proof/nickelshed-judge/src/event.rs
+++ b/crates/proof/nickelshed-judge/src/event.rs
@@ -1,11 +1,11 @@
-//! What is seen on the wire: by clients, customer systems, discovery and the platform. Nothing here is told by a sender
-//! of itself.
+//! Events of a run as observed by clients, simulated destinations, discovery and the platform. No event is
+//! reported by a sender about itself.
 use serde::Serialize;
 
-/// Microseconds since the start of the day.
+/// Microseconds since the start of the run.
 pub type Us = u64;
 
-/// What a message's class lets happen twice.
+/// How often a message of a class may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
@@ -14,7 +14,7 @@
     Unsafe,
 }
 
-/// Which endpoints of a destination know a repeat of a keyed message.
+/// The endpoints of a destination that recognise and drop a repeat of a keyed message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DedupScope {
@@ -24,72 +24,80 @@
     AtTheEndpoint,
 }
 
-/// How a call ended, as its endpoint saw it.
+/// How a call ended, as observed by its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallEnd {
-    /// The first line of an answer was written; a wait that it told, in microseconds.
+    /// The status line of a response was written. `retry_after` is the wait that it requested, in
+    /// microseconds, or 0.
     Answered {
         status: u16,
         #[serde(rename = "wait")]
         retry_after: Us,
     },
-    /// What was written can't be read as an answer.
+    /// The bytes written cannot be parsed as a response.
     Spoilt,
-    /// The connection ended, by whichever side. When its sender ended it, at the time it did.
+    /// Either side closed the connection. If the sender closed it, the event has the time at which the sender
+    /// did so.
     Closed,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
 pub enum EventKind {
-    /// A client has written a request's last byte. `message` is the same when it hands in again.
+    /// A client wrote the last byte of a submission. `message` stays the same when the client submits the
+    /// message again.
     HandedIn {
         sender: usize,
         id: String,
         message: u64,
-        /// Its class, by which worth is counted.
+        /// Number of the class, an index into the `classes` that `score` and `account_time` take.
         class: usize,
         effect: Effect,
         dest: u64,
+        /// Time from submission until the message expires.
         #[serde(rename = "expires")]
         lifetime: Us,
     },
-    /// The client has read its answer; 0 if the connection ended without one.
+    /// The client read the response; `status` is 0 if the connection ended without one.
     Heard { id: String, status: u16 },
-    /// The client has waited long enough and closed.
+    /// The client timed out and closed its connection.
     Left { id: String },
-    /// A call's last byte has come. `first_byte`: when its sender wrote the first.
+    /// The last byte of a call arrived at its endpoint. `first_byte` is the time at which the sender wrote
+    /// the first byte.
     Call {
         call: u64,
         sender: usize,
         endpoint: usize,
         dest: u64,
-        /// The endpoint, where a destination's endpoints are routes apart; then waits and returns count for it alone.
+        /// The endpoint, if each endpoint is a separate route; retry-after waits and recoveries then apply to
+        /// this endpoint alone.
         #[serde(skip_serializing_if = "Option::is_none")]
         route: Option<usize>,
         #[serde(rename = "room")]
         site: usize,
         ids: Vec<String>,
-        /// What it costs its endpoint, in messages that come alone: several in one call cost less than each by itself.
+        /// Cost to the endpoint in units of one single-message call. A batch costs less than its messages
+        /// sent one by one.
         work: f64,
         first_byte: Us,
     },
+    /// A call ended.
     Over {
         call: u64,
         #[serde(flatten)]
         end: CallEnd,
     },
-    /// It took effect; a repeat that its destination dropped did not.
+    /// A message took effect. A repeat that the destination dropped has no such event.
     Ran { id: String, message: u64 },
-    /// A sender tried to reach a destination and was refused, or found nobody.
+    /// A sender's connection attempt to a destination was refused or found no listener.
     Unreached {
         sender: usize,
         dest: u64,
         #[serde(skip_serializing_if = "Option::is_none")]
         route: Option<usize>,
     },
-    /// Discovery has written to a sender whether an endpoint takes new work.
+    /// Discovery notified a sender whether an endpoint accepts new calls.
     Told {
         sender: usize,
         endpoint: usize,
@@ -101,36 +109,38 @@
         #[serde(skip_serializing_if = "Option::is_none")]
         route: Option<usize>,
     },
-    /// `capacity`: messages a second that it takes once it is warm.
+    /// A destination recovered. `capacity` is the number of messages per second that it serves once warmed
+    /// up.
     OutageEnded {
         dest: u64,
         #[serde(skip_serializing_if = "Option::is_none")]
         route: Option<usize>,
         capacity: f64,
     },
-    /// It was sent more than it could stand while cold, and stays down.
+    /// A recovering destination was overloaded, collapsed, and stays unavailable.
     FellOver {
         dest: u64,
         #[serde(skip_serializing_if = "Option::is_none")]
         route: Option<usize>,
     },
+    /// A sender reported the outcome of a message; `returned` is true if it was returned unexecuted.
     Notice {
         sender: usize,
         id: String,
         #[serde(rename = "handed_back")]
         returned: bool,
     },
-    /// A sender was told to end, or was killed.
+    /// A sender received SIGTERM or SIGKILL.
     Going { sender: usize },
-    /// Its process has ended, and what that was told with it.
+    /// A sender's process exited. Retry-after waits reported to it are void, because they are not persisted.
     Ended { sender: usize },
-    /// Its process stands still for so long.
+    /// A sender's process is suspended for `duration`.
     Stopped {
         sender: usize,
         #[serde(rename = "time")]
         duration: Us,
     },
-    /// It has answered that it may be used.
+    /// A sender answered its health check as ready.
     Up { sender: usize },
 }
 
--- a/crates/proof/nickelshed-judge/src/lib.rs
+++ b/crates/proof/nickelshed-judge/src/lib.rs
@@ -1,5 +1,5 @@
-//! The judge: from what was seen on the wire it decides which of the six rules were broken, when and by which events,
-//! and what the day was worth. It knows nothing of the sender and does no I/O.
+//! Checks a history of observed events against the six delivery rules, scores the value that a run delivered
+//! and accounts for slot time and message latency. Independent of the sender's code; does no I/O.
 mod account;
 mod event;
 mod rules;
--- a/crates/proof/nickelshed-judge/src/rules.rs
+++ b/crates/proof/nickelshed-judge/src/rules.rs
@@ -1,34 +1,42 @@
-//! The six rules, each against a history.
+//! Checks the six delivery rules against a history of events.
 use crate::event::{CallEnd, DedupScope, Effect, Event, EventKind, Us};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const MS: Us = 1_000;
-/// Each time limit is so much longer on sockets than its figure.
-const LEEWAY: Us = 50 * MS;
-/// A message is lost if it has no end so long after its time is up.
-const OVERDUE: Us = 300 * MS;
-/// After a start nothing is overdue for so long.
-const AFTER_START: Us = 1_500 * MS;
-/// Calls that come so soon after a wait was told are let through: they were on their way.
-const ON_THE_WAY: Us = 100 * MS;
-/// A cold destination falls when more work than this comes in its window, given what its settings allow then: twice the
-/// deviation of a Poisson sum, and two, are left to chance.
-fn fall_over(allowed: f64) -> f64 {
+/// Tolerance added to each time limit, for delays of sockets and scheduling.
+const TIMING_TOLERANCE: Us = 50 * MS;
+/// A message that has no outcome this long after its expiry counts as lost.
+const FINISH_GRACE: Us = 300 * MS;
+/// After a restart or a suspension of a sender, no deadline applies for this long.
+const RESTART_GRACE: Us = 1_500 * MS;
+/// Calls that begin within this time after a retry-after wait was written are allowed: the sender may not
+/// have received the response yet.
+const RETRY_AFTER_GRACE: Us = 100 * MS;
+/// Work within the overload window above which a destination in slow start collapses, for an `allowed` amount
+/// of work. The margin above `allowed` is twice the standard deviation of a Poisson-distributed sum, plus
+/// two, so that random bunching of arrivals alone causes no collapse.
+fn collapse_threshold(allowed: f64) -> f64 {
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
-/// So few messages that a restart found untried say nothing of how it goes about them.
-const FEW: usize = 4;
+/// With fewer recovered messages that were never attempted, `Rule::Untried` is not evaluated: so small a
+/// sample may fail by chance.
+const MIN_UNATTEMPTED: usize = 4;
 
-/// The rules' figures.
+/// Parameters of the rules.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleParameters {
+    /// Time in which a sender may still begin calls at an endpoint after discovery reported it as draining.
     pub drain_grace: Us,
     pub dedup_window: Us,
     pub dedup_scope: DedupScope,
+    /// Capacity at the start of slow start, as a fraction of the full capacity.
     pub start_capacity: f64,
+    /// Duration of slow start.
     pub slow_start: Us,
+    /// A destination in slow start collapses if it receives this multiple of its current capacity over
+    /// `overload_window`.
     pub overload_multiple: f64,
     pub overload_window: Us,
 }
@@ -50,23 +58,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// A message that was taken on has no end, or two.
+    /// An accepted message has no outcome, or two; or a submission got no answer.
     Lost,
-    /// An effect twice, or a repeat that its class does not allow.
+    /// A message took effect twice, or was repeated when its class does not allow it.
     Twice,
-    /// Two attempts of a message out at once.
+    /// Two attempts of one message were in flight at once.
     AtOnce,
-    /// New work for an endpoint that drains or is gone.
+    /// A call began at an endpoint that discovery had reported as draining or removed.
     Drain,
-    /// A returning destination was pushed over.
+    /// A recovering destination was overloaded, and more than two thirds of the work came from senders that had
+    /// observed its outage.
     Pushed,
-    /// A call during a wait that was told.
+    /// A call began during a retry-after wait.
     Wait,
-    /// Over half of what restarts found taken on, untried and in time got no call.
+    /// More than half of the accepted messages that restarts recovered, never attempted and not expired, got
+    /// no call.
     Untried,
 }
 
-/// A rule that was broken, and the numbers of the events by which.
+/// A violation of a rule. `events` are the indices of the events that show it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
     pub rule: Rule,
@@ -76,24 +86,25 @@
     pub events: Vec<usize>,
 }
 
-/// What is known of a message's attempt.
+/// An attempt of a message.
 struct Attempt {
     call: u64,
-    /// Who knows the message's key since.
-    known_by: usize,
-    event: usize,
-    first_byte: Us,
-    over: Option<(Us, CallEnd)>,
+    /// Site or endpoint that remembers the key of the message from this attempt on; 0 if the whole
+    /// destination does.
+    dedup_domain: usize,
+    event_number: usize,
+    first_byte_at: Us,
+    end: Option<(Us, CallEnd)>,
 }
 
 impl Attempt {
-    /// An answer that proves that it did not run.
+    /// Whether the response proves that the attempt did not execute.
     fn never_ran(&self) -> bool {
-        matches!(self.over, Some((_, CallEnd::Answered { status: 400 | 410 | 413 | 429 | 503 | 504, .. })))
+        matches!(self.end, Some((_, CallEnd::Answered { status: 400 | 410 | 413 | 429 | 503 | 504, .. })))
     }
 
-    fn delivered(&self) -> Option<Us> {
-        match self.over {
+    fn delivered_at(&self) -> Option<Us> {
+        match self.end {
             Some((at, CallEnd::Answered { status: 200, .. })) => Some(at),
             _ => None,
         }
@@ -101,424 +112,458 @@
 }
 
 struct Message {
-    handed_in: usize,
-    at: Us,
+    submission_event: usize,
+    submitted_at: Us,
     sender: usize,
     effect: Effect,
-    expires: Us,
-    taken_on: Option<Us>,
-    left: bool,
+    lifetime: Us,
+    accepted_at: Option<Us>,
+    has_client_left: bool,
     attempts: Vec<Attempt>,
     notices: Vec<(usize, Us, bool)>,
-    ran: Vec<usize>,
+    execution_events: Vec<usize>,
 }
 
 #[derive(Default)]
 struct Destination {
-    out: Option<Us>,
-    /// When the last outage ended, and what it can do warm.
-    back: Option<(Us, f64)>,
-    /// Senders that saw a call fail there in the outage.
-    saw: BTreeSet<usize>,
-    /// Calls sent since it is back: when, by whom, in which event, and their work.
-    sent: VecDeque<(Us, usize, usize, f64)>,
-    /// For each sender until when it was told to wait, when that was written, and by which event.
-    waits: BTreeMap<usize, (Us, Us, usize)>,
+    outage_start: Option<Us>,
+    /// End of the last outage, and the capacity when warmed up.
+    recovery: Option<(Us, f64)>,
+    /// Senders whose calls failed there during the outage.
+    aware_senders: BTreeSet<usize>,
+    /// Calls since the recovery: time, sender, event index and work.
+    recent_calls: VecDeque<(Us, usize, usize, f64)>,
+    /// The longest retry-after wait by sender: its end, when it was written, and the index of the event that
+    /// reported it.
+    retry_after_waits: BTreeMap<usize, (Us, Us, usize)>,
 }
 
-/// A destination, and its endpoint where that is a route apart.
+/// A destination, and the endpoint if each endpoint is a separate route.
 type Route = (u64, Option<usize>);
 
-struct Judge<'a> {
+struct Checker<'a> {
     events: &'a [Event],
-    figures: RuleParameters,
-    broken: Vec<Violation>,
+    parameters: RuleParameters,
+    violations: Vec<Violation>,
     messages: BTreeMap<&'a str, Message>,
-    /// By route, where a destination's endpoints are apart.
+    /// By route; one entry per destination unless its endpoints are separate routes.
     destinations: BTreeMap<Route, Destination>,
-    /// The sender, the route and the messages of each call.
+    /// The sender, route and message ids of each call.
     calls: BTreeMap<u64, (usize, Route, &'a [String])>,
-    /// Since when, and by which event, a sender was told that an endpoint takes nothing new.
-    closed: BTreeMap<(usize, usize), (Us, usize)>,
-    /// Ends of calls that had ended before their last byte came.
-    early: BTreeMap<u64, (Us, CallEnd)>,
-    /// When senders stood still.
-    stops: Vec<(usize, Us, Us)>,
-    /// For each sender the times in which nothing is overdue.
-    restarts: BTreeMap<usize, Vec<(Us, Us)>>,
-    /// What each sender held at the end of its last process without an attempt.
-    held: BTreeMap<usize, Vec<&'a str>>,
-    /// Of these what was still in time at the next start, and the event of that start.
-    untried: Vec<(&'a str, usize)>,
+    /// By sender and endpoint: when discovery notified the sender that the endpoint accepts no new calls, and
+    /// the index of that event.
+    draining: BTreeMap<(usize, usize), (Us, usize)>,
+    /// Ends of calls whose last byte has not arrived yet.
+    early_ends: BTreeMap<u64, (Us, CallEnd)>,
+    /// Suspensions of senders: sender, start and end.
+    stalls: Vec<(usize, Us, Us)>,
+    /// Intervals by sender in which no deadline applies.
+    restart_windows: BTreeMap<usize, Vec<(Us, Us)>>,
+    /// Messages that each sender had accepted but not attempted when its last process exited.
+    unattempted_at_exit: BTreeMap<usize, Vec<&'a str>>,
+    /// Those of them that had not expired at the next start, and the index of the event of that start.
+    unattempted: Vec<(&'a str, usize)>,
 }
 
-/// Every rule that a history breaks, in the order of its events. Events are in the order of their times; a day must
-/// have run on until all that was taken on is over.
-pub fn judge(events: &[Event], figures: RuleParameters) -> Vec<Violation> {
-    let mut judge = Judge {
+/// Returns all violations of the rules in a history, in the order of their times. The events must be in the
+/// order of their times, and the run must have continued until every accepted message finished.
+pub fn judge(events: &[Event], parameters: RuleParameters) -> Vec<Violation> {
+    let mut checker = Checker {
         events,
-        figures,
-        broken: Vec::new(),
+        parameters,
+        violations: Vec::new(),
         messages: BTreeMap::new(),
         destinations: BTreeMap::new(),
         calls: BTreeMap::new(),
-        closed: BTreeMap::new(),
-        early: BTreeMap::new(),
-        stops: Vec::new(),
-        restarts: BTreeMap::new(),
-        held: BTreeMap::new(),
-        untried: Vec::new(),
+        draining: BTreeMap::new(),
+        early_ends: BTreeMap::new(),
+        stalls: Vec::new(),
+        restart_windows: BTreeMap::new(),
+        unattempted_at_exit: BTreeMap::new(),
+        unattempted: Vec::new(),
     };
     for number in 0..events.len() {
-        judge.take(number);
+        checker.apply(number);
     }
-    judge.ends();
-    judge.tried();
-    judge.broken.sort_by_key(|b| (b.at, b.rule));
-    judge.broken
+    checker.check_finished();
+    checker.check_unattempted();
+    checker.violations.sort_by_key(|v| (v.at, v.rule));
+    checker.violations
 }
 
-impl<'a> Judge<'a> {
-    fn say(&mut self, rule: Rule, at: Us, words: String, events: Vec<usize>) {
-        self.broken.push(Violation { rule, at, description: words, events });
+impl<'a> Checker<'a> {
+    fn report(&mut self, rule: Rule, at: Us, description: String, events: Vec<usize>) {
+        self.violations.push(Violation { rule, at, description, events });
     }
 
-    fn take(&mut self, number: usize) {
+    fn apply(&mut self, number: usize) {
         let events: &'a [Event] = self.events;
         let at = events[number].at;
         match &events[number].kind {
-            EventKind::HandedIn { sender, id, effect, lifetime: expires, .. } => {
+            EventKind::HandedIn { sender, id, effect, lifetime, .. } => {
                 let message = Message {
-                    handed_in: number,
-                    at,
+                    submission_event: number,
+                    submitted_at: at,
                     sender: *sender,
                     effect: *effect,
-                    expires: *expires,
-                    taken_on: None,
-                    left: false,
+                    lifetime: *lifetime,
+                    accepted_at: None,
+                    has_client_left: false,
                     attempts: Vec::new(),
                     notices: Vec::new(),
-                    ran: Vec::new(),
+                    execution_events: Vec::new(),
                 };
-                // On another connection it is the same one once more.
+                // A second submission of the same id on another connection is the same message.
                 self.messages.entry(id).or_insert(message);
             }
-            EventKind::Heard { id, status } => self.heard(number, at, id, *status),
+            EventKind::Heard { id, status } => self.record_answer(number, at, id, *status),
             EventKind::Left { id } => {
                 if let Some(m) = self.messages.get_mut(id.as_str()) {
-                    m.left = true;
+                    m.has_client_left = true;
                 }
             }
-            EventKind::Call { call, sender, endpoint, dest, route, site: room, ids, work, first_byte } => {
-                let place = (*dest, *route);
-                self.calls.insert(*call, (*sender, place, ids));
-                self.drain(number, *sender, *endpoint, *first_byte);
-                self.wait(number, *sender, place, *first_byte);
-                let known_by = match self.figures.dedup_scope {
+            EventKind::Call { call, sender, endpoint, dest, route, site, ids, work, first_byte } => {
+                let target = (*dest, *route);
+                self.calls.insert(*call, (*sender, target, ids));
+                self.check_drain(number, *sender, *endpoint, *first_byte);
+                self.check_retry_after(number, *sender, target, *first_byte);
+                let dedup_domain = match self.parameters.dedup_scope {
                     DedupScope::Everywhere => 0,
-                    DedupScope::InTheRoom => *room,
+                    DedupScope::InTheRoom => *site,
                     DedupScope::AtTheEndpoint => *endpoint,
                 };
-                ids.iter().for_each(|id| self.attempt(number, *call, known_by, id, *first_byte));
-                self.pushed(number, at, *sender, place, *work);
-                if let Some((at, how)) = self.early.remove(call) {
-                    self.over(number, at, *call, how);
+                ids.iter().for_each(|id| self.check_attempt(number, *call, dedup_domain, id, *first_byte));
+                self.check_overload(number, at, *sender, target, *work);
+                if let Some((at, end)) = self.early_ends.remove(call) {
+                    self.record_call_end(number, at, *call, end);
                 }
             }
-            EventKind::Over { call, end: how } if !self.calls.contains_key(call) => {
-                _ = self.early.insert(*call, (at, *how))
+            EventKind::Over { call, end } if !self.calls.contains_key(call) => {
+                _ = self.early_ends.insert(*call, (at, *end))
             }
-            EventKind::Over { call, end: how } => self.over(number, at, *call, *how),
+            EventKind::Over { call, end } => self.record_call_end(number, at, *call, *end),
             EventKind::Ran { id, .. } => {
                 let Some(m) = self.messages.get_mut(id.as_str()) else { return };
-                m.ran.push(number);
-                if m.ran.len() > 1 && m.effect != Effect::Safe {
-                    let ran = m.ran.clone();
-                    self.say(Rule::Twice, at, format!("{id} took effect twice"), ran);
+                m.execution_events.push(number);
+                if m.execution_events.len() > 1 && m.effect != Effect::Safe {
+                    let executions = m.execution_events.clone();
+                    self.report(Rule::Twice, at, format!("{id} took effect twice"), executions);
                 }
             }
             EventKind::Unreached { sender, dest, route } => {
                 let dest = self.destinations.entry((*dest, *route)).or_default();
-                if dest.out.is_some() {
-                    dest.saw.insert(*sender);
+                if dest.outage_start.is_some() {
+                    dest.aware_senders.insert(*sender);
                 }
             }
-            EventKind::Told { sender, endpoint, accepts_calls: open } => {
-                if *open {
-                    self.closed.remove(&(*sender, *endpoint));
+            EventKind::Told { sender, endpoint, accepts_calls } => {
+                if *accepts_calls {
+                    self.draining.remove(&(*sender, *endpoint));
                 } else {
-                    self.closed.entry((*sender, *endpoint)).or_insert((at, number));
+                    self.draining.entry((*sender, *endpoint)).or_insert((at, number));
                 }
             }
             EventKind::OutageBegan { dest, route } => {
                 let dest = self.destinations.entry((*dest, *route)).or_default();
-                (dest.out, dest.back) = (Some(at), None);
-                dest.saw.clear();
-                dest.sent.clear();
+                (dest.outage_start, dest.recovery) = (Some(at), None);
+                dest.aware_senders.clear();
+                dest.recent_calls.clear();
             }
             EventKind::OutageEnded { dest, route, capacity } => {
                 let dest = self.destinations.entry((*dest, *route)).or_default();
-                (dest.out, dest.back) = (None, Some((at, *capacity)));
+                (dest.outage_start, dest.recovery) = (None, Some((at, *capacity)));
             }
             EventKind::FellOver { .. } => {}
-            EventKind::Notice { id, returned: handed_back, .. } => self.notice(number, at, id, *handed_back),
-            EventKind::Going { sender } => self.restarts.entry(*sender).or_default().push((at, Us::MAX)),
-            EventKind::Stopped { sender, duration: time } => {
-                self.stops.push((*sender, at, at + time));
-                self.restarts.entry(*sender).or_default().push((at, at + time + AFTER_START));
+            EventKind::Notice { id, returned, .. } => self.check_notice(number, at, id, *returned),
+            EventKind::Going { sender } => {
+                self.restart_windows.entry(*sender).or_default().push((at, Us::MAX))
+            }
+            EventKind::Stopped { sender, duration } => {
+                self.stalls.push((*sender, at, at + duration));
+                self.restart_windows.entry(*sender).or_default().push((at, at + duration + RESTART_GRACE));
             }
             EventKind::Ended { sender } => {
-                for place in self.destinations.values_mut() {
-                    place.waits.remove(sender);
+                for destination in self.destinations.values_mut() {
+                    destination.retry_after_waits.remove(sender);
                 }
-                let is_untried = |m: &Message| {
+                let is_unattempted = |m: &Message| {
                     m.sender == *sender
-                        && m.taken_on.is_some()
+                        && m.accepted_at.is_some()
                         && m.attempts.is_empty()
                         && m.notices.is_empty()
                 };
-                let held = self.messages.iter().filter(|(_, m)| is_untried(m)).map(|(id, _)| *id).collect();
-                self.held.insert(*sender, held);
+                let unattempted =
+                    self.messages.iter().filter(|(_, m)| is_unattempted(m)).map(|(id, _)| *id).collect();
+                self.unattempted_at_exit.insert(*sender, unattempted);
             }
             EventKind::Up { sender } => {
-                let held = self.held.remove(sender).unwrap_or_default();
-                let in_time = |id: &&str| self.messages.get(id).is_some_and(|m| m.at + m.expires > at);
-                self.untried.extend(held.into_iter().filter(in_time).map(|id| (id, number)));
-                // One that was told to end and is then killed has begun to go twice, and is back once.
-                for (_, to) in self.restarts.get_mut(sender).into_iter().flatten() {
-                    *to = (*to).min(at + AFTER_START);
+                let unattempted = self.unattempted_at_exit.remove(sender).unwrap_or_default();
+                let is_unexpired =
+                    |id: &&str| self.messages.get(id).is_some_and(|m| m.submitted_at + m.lifetime > at);
+                self.unattempted.extend(unattempted.into_iter().filter(is_unexpired).map(|id| (id, number)));
+                // A sender that receives SIGTERM and then SIGKILL has two `Going` events and one `Up`.
+                for (_, end) in self.restart_windows.get_mut(sender).into_iter().flatten() {
+                    *end = (*end).min(at + RESTART_GRACE);
                 }
             }
         }
     }
 
-    fn heard(&mut self, number: usize, at: Us, id: &str, status: u16) {
+    fn record_answer(&mut self, number: usize, at: Us, id: &str, status: u16) {
         let Some(m) = self.messages.get_mut(id) else { return };
         match status {
-            200 | 202 => m.taken_on = Some(at),
-            0 if !m.left && !in_restart(&self.restarts, m.sender, at) => {
-                let by = vec![m.handed_in, number];
-                self.say(Rule::Lost, at, format!("{id} got no answer: its connection was ended"), by);
+            200 | 202 => m.accepted_at = Some(at),
+            0 if !m.has_client_left && !is_in_restart(&self.restart_windows, m.sender, at) => {
+                let events = vec![m.submission_event, number];
+                self.report(Rule::Lost, at, format!("{id} got no answer: its connection was closed"), events);
             }
             _ => {}
         }
     }
 
-    fn drain(&mut self, number: usize, sender: usize, endpoint: usize, first_byte: Us) {
-        let Some(&(told, by)) = self.closed.get(&(sender, endpoint)) else { return };
-        if first_byte > told + self.figures.drain_grace + LEEWAY {
-            let late = (first_byte - told) / MS;
-            let words = format!("sender {sender} began a call at endpoint {endpoint} {late} ms after it was told that it takes nothing new");
-            self.say(Rule::Drain, first_byte, words, vec![by, number]);
+    fn check_drain(&mut self, number: usize, sender: usize, endpoint: usize, first_byte: Us) {
+        let Some(&(notified_at, notification)) = self.draining.get(&(sender, endpoint)) else { return };
+        if first_byte > notified_at + self.parameters.drain_grace + TIMING_TOLERANCE {
+            let late_ms = (first_byte - notified_at) / MS;
+            let description = format!("sender {sender} began a call at endpoint {endpoint} {late_ms} ms after it was notified that the endpoint accepts no new calls");
+            self.report(Rule::Drain, first_byte, description, vec![notification, number]);
         }
     }
 
-    fn wait(&mut self, number: usize, sender: usize, place: Route, first_byte: Us) {
-        let Some(&(until, told, by)) = self.destinations.get(&place).and_then(|d| d.waits.get(&sender))
+    fn check_retry_after(&mut self, number: usize, sender: usize, route: Route, first_byte: Us) {
+        let Some(&(wait_end, written_at, source)) =
+            self.destinations.get(&route).and_then(|d| d.retry_after_waits.get(&sender))
         else {
             return;
         };
-        if first_byte > told + ON_THE_WAY && first_byte + LEEWAY < until {
-            let early = (until - first_byte) / MS;
-            let dest = named(place);
-            let words =
-                format!("sender {sender} called {dest} {early} ms before the end of a wait that it was told");
-            self.say(Rule::Wait, first_byte, words, vec![by, number]);
+        if first_byte > written_at + RETRY_AFTER_GRACE && first_byte + TIMING_TOLERANCE < wait_end {
+            let early_ms = (wait_end - first_byte) / MS;
+            let name = destination_name(route);
+            let description = format!(
+                "sender {sender} called {name} {early_ms} ms before the end of a requested retry-after wait"
+            );
+            self.report(Rule::Wait, first_byte, description, vec![source, number]);
         }
     }
 
-    fn attempt(&mut self, number: usize, call: u64, known_by: usize, id: &'a str, first_byte: Us) {
-        let window = self.figures.dedup_window;
+    fn check_attempt(&mut self, number: usize, call: u64, dedup_domain: usize, id: &'a str, first_byte: Us) {
+        let window = self.parameters.dedup_window;
         let Some(m) = self.messages.get_mut(id) else { return };
-        let mut found = Vec::new();
-        // What was called off long before it came may come after a later attempt: neither was out beside the other.
-        let called_off = self.early.get(&call).map(|(at, _)| *at);
-        let beside = |a: &&Attempt| {
-            a.over.is_none_or(|(at, _)| at > first_byte) && called_off.is_none_or(|at| at > a.first_byte)
+        let mut violations = Vec::new();
+        // A call that was cancelled long before it arrived may arrive after a later attempt began. The two
+        // overlap only if the later attempt began before the cancellation.
+        let cancelled_at = self.early_ends.get(&call).map(|(at, _)| *at);
+        let overlaps = |a: &&Attempt| {
+            a.end.is_none_or(|(at, _)| at > first_byte) && cancelled_at.is_none_or(|at| at > a.first_byte_at)
         };
-        if let Some(out) = m.attempts.iter().find(beside) {
-            found.push((
+        if let Some(other) = m.attempts.iter().find(overlaps) {
+            violations.push((
                 Rule::AtOnce,
-                format!("{id} was sent while an attempt before it was still out"),
-                out.event,
+                format!("{id} was sent while an earlier attempt was in flight"),
+                other.event_number,
             ));
         }
-        let may_have_run = m.attempts.iter().find(|a| !a.never_ran());
-        let elsewhere = m.attempts.iter().find(|a| !a.never_ran() && a.known_by != known_by);
-        if let Some(before) = elsewhere.filter(|_| m.effect == Effect::Keyed) {
-            found.push((
+        let possibly_executed = m.attempts.iter().find(|a| !a.never_ran());
+        let executed_elsewhere = m.attempts.iter().find(|a| !a.never_ran() && a.dedup_domain != dedup_domain);
+        if let Some(earlier) = executed_elsewhere.filter(|_| m.effect == Effect::Keyed) {
+            violations.push((
                 Rule::Twice,
                 format!("{id} was sent again where its key is not known"),
-                before.event,
+                earlier.event_number,
             ));
         }
-        match (m.effect, may_have_run) {
-            (Effect::Unsafe, Some(before)) => {
-                found.push((
+        match (m.effect, possibly_executed) {
+            (Effect::Unsafe, Some(earlier)) => {
+                violations.push((
                     Rule::Twice,
-                    format!("{id} may not run twice and was sent again though it may have run"),
-                    before.event,
+                    format!("{id} may not run twice and was sent again although it may have run"),
+                    earlier.event_number,
                 ));
             }
-            (Effect::Keyed, Some(before)) if first_byte > before.first_byte + window + LEEWAY => {
-                let late = (first_byte - before.first_byte - window) / MS;
-                found.push((
+            (Effect::Keyed, Some(earlier))
+                if first_byte > earlier.first_byte_at + window + TIMING_TOLERANCE =>
+            {
+                let late_ms = (first_byte - earlier.first_byte_at - window) / MS;
+                violations.push((
                     Rule::Twice,
-                    format!("{id} was sent again {late} ms after its key was forgotten"),
-                    before.event,
+                    format!("{id} was sent again {late_ms} ms after its dedup window ended"),
+                    earlier.event_number,
                 ));
             }
             _ => {}
         }
-        m.attempts.push(Attempt { call, known_by, event: number, first_byte, over: None });
-        for (rule, words, by) in found {
-            self.say(rule, first_byte, words, vec![by, number]);
+        m.attempts.push(Attempt {
+            call,
+            dedup_domain,
+            event_number: number,
+            first_byte_at: first_byte,
+            end: None,
+        });
+        for (rule, description, earlier_event) in violations {
+            self.report(rule, first_byte, description, vec![earlier_event, number]);
         }
     }
 
-    fn over(&mut self, number: usize, at: Us, call: u64, how: CallEnd) {
-        let Some(&(sender, place, ids)) = self.calls.get(&call) else { return };
+    fn record_call_end(&mut self, number: usize, at: Us, call: u64, end: CallEnd) {
+        let Some(&(sender, route, ids)) = self.calls.get(&call) else { return };
         for id in ids {
             let attempts = self.messages.get_mut(id.as_str()).map(|m| &mut m.attempts);
-            if let Some(attempt) = attempts.into_iter().flatten().find(|a| a.call == call && a.over.is_none())
+            if let Some(attempt) = attempts.into_iter().flatten().find(|a| a.call == call && a.end.is_none())
             {
-                attempt.over = Some((at, how));
+                attempt.end = Some((at, end));
             }
         }
-        let served = matches!(how, CallEnd::Answered { status: 200, .. });
-        let place = self.destinations.entry(place).or_default();
-        if !served && place.out.is_some() {
-            place.saw.insert(sender);
+        let served = matches!(end, CallEnd::Answered { status: 200, .. });
+        let destination = self.destinations.entry(route).or_default();
+        if !served && destination.outage_start.is_some() {
+            destination.aware_senders.insert(sender);
         }
-        if let CallEnd::Answered { retry_after: wait, .. } = how {
-            if wait > 0 {
-                let told = place.waits.entry(sender).or_insert((0, 0, 0));
-                if at + wait > told.0 {
-                    *told = (at + wait, at, number);
+        if let CallEnd::Answered { retry_after, .. } = end {
+            if retry_after > 0 {
+                let longest = destination.retry_after_waits.entry(sender).or_insert((0, 0, 0));
+                if at + retry_after > longest.0 {
+                    *longest = (at + retry_after, at, number);
                 }
             }
         }
     }
 
-    /// Whether any stretch of the stated length, ending now, held more than the destination could stand.
-    fn pushed(&mut self, number: usize, at: Us, sender: usize, route: Route, work: f64) {
-        let f = self.figures;
-        let Some(place) = self.destinations.get_mut(&route) else { return };
-        let Some((back, capacity)) = place.back.filter(|(t, _)| at < *t + f.slow_start) else { return };
-        place.sent.push_back((at, sender, number, work));
-        while place.sent.front().is_some_and(|(t, ..)| *t + f.overload_window < at) {
-            place.sent.pop_front();
+    /// Checks the work that a recovering destination received within the overload window that ends now
+    /// against the work that it can serve in it.
+    fn check_overload(&mut self, number: usize, at: Us, sender: usize, route: Route, work: f64) {
+        let p = self.parameters;
+        let Some(dest) = self.destinations.get_mut(&route) else { return };
+        let Some((since, capacity)) = dest.recovery.filter(|(t, _)| at < *t + p.slow_start) else { return };
+        dest.recent_calls.push_back((at, sender, number, work));
+        while dest.recent_calls.front().is_some_and(|(t, ..)| *t + p.overload_window < at) {
+            dest.recent_calls.pop_front();
         }
-        let from = at.saturating_sub(f.overload_window).max(back);
-        let able =
-            |t: Us| f.start_capacity + (1.0 - f.start_capacity) * (t - back) as f64 / f.slow_start as f64;
-        // Its capacity rises evenly, so the mean of a stretch is that of its ends.
-        let budget =
-            f.overload_multiple * capacity * (able(from) + able(at)) / 2.0 * f.overload_window as f64 / 1e6;
-        let all: f64 = place.sent.iter().map(|(.., work)| work).sum();
-        let knowing = place.sent.iter().filter(|(_, s, ..)| place.saw.contains(s));
-        let knowing: f64 = knowing.map(|(.., work)| work).sum();
-        if all > fall_over(budget) {
-            // It has fallen, and stays down: what comes after that pushes nothing.
-            place.back = None;
-            if knowing <= all * 2.0 / 3.0 {
+        let window_start = at.saturating_sub(p.overload_window).max(since);
+        let capacity_fraction =
+            |t: Us| p.start_capacity + (1.0 - p.start_capacity) * (t - since) as f64 / p.slow_start as f64;
+        // The capacity rises linearly, so its mean over an interval is the mean of its values at both ends.
+        let allowed =
+            p.overload_multiple * capacity * (capacity_fraction(window_start) + capacity_fraction(at)) / 2.0
+                * p.overload_window as f64
+                / 1e6;
+        let total: f64 = dest.recent_calls.iter().map(|(.., work)| work).sum();
+        let aware = dest.recent_calls.iter().filter(|(_, s, ..)| dest.aware_senders.contains(s));
+        let aware: f64 = aware.map(|(.., work)| work).sum();
+        if total > collapse_threshold(allowed) {
+            // It has collapsed and stays unavailable: later calls cannot overload it.
+            dest.recovery = None;
+            if aware <= total * 2.0 / 3.0 {
                 return;
             }
-            let events: Vec<usize> = place.sent.iter().map(|(_, _, n, _)| *n).collect();
-            let dest = named(route);
-            let words = format!("{dest} was sent work for {all:.1} messages within {} ms, {} ms after its return, and could stand {budget:.1}", f.overload_window / MS, (at - back) / MS);
-            self.say(Rule::Pushed, at, words, events);
+            let events: Vec<usize> = dest.recent_calls.iter().map(|(_, _, event, _)| *event).collect();
+            let name = destination_name(route);
+            let description = format!("{name} was sent work for {total:.1} messages within {} ms, {} ms after its recovery, and could serve {allowed:.1}", p.overload_window / MS, (at - since) / MS);
+            self.report(Rule::Pushed, at, description, events);
         }
     }
 
-    fn notice(&mut self, number: usize, at: Us, id: &str, handed_back: bool) {
+    fn check_notice(&mut self, number: usize, at: Us, id: &str, returned: bool) {
         let Some(m) = self.messages.get_mut(id) else { return };
-        let mut found = Vec::new();
-        if let Some((by, ..)) = m.notices.iter().find(|(.., other)| *other != handed_back) {
-            found.push((Rule::Lost, format!("{id} was both handed back and given up"), vec![*by, number]));
+        let mut violations = Vec::new();
+        if let Some((earlier_event, ..)) = m.notices.iter().find(|(.., other)| *other != returned) {
+            violations.push((
+                Rule::Lost,
+                format!("{id} was both returned and failed"),
+                vec![*earlier_event, number],
+            ));
         }
-        // Handed in again it may reach endpoints that do not know its key.
-        let narrow = m.effect == Effect::Keyed && self.figures.dedup_scope != DedupScope::Everywhere;
-        if handed_back && (m.effect == Effect::Unsafe || narrow) && m.notices.is_empty() {
-            if let Some(before) = m.attempts.iter().find(|a| !a.never_ran()) {
-                let words = format!("{id} was handed back though it may have run, and may then run twice");
-                found.push((Rule::Twice, words, vec![before.event, number]));
+        // If the client submits the message again, it may reach endpoints that do not know its key.
+        let is_key_partly_known =
+            m.effect == Effect::Keyed && self.parameters.dedup_scope != DedupScope::Everywhere;
+        if returned && (m.effect == Effect::Unsafe || is_key_partly_known) && m.notices.is_empty() {
+            if let Some(earlier) = m.attempts.iter().find(|a| !a.never_ran()) {
+                let description =
+                    format!("{id} was returned although it may have run, and may then run twice");
+                violations.push((Rule::Twice, description, vec![earlier.event_number, number]));
             }
         }
-        m.notices.push((number, at, handed_back));
-        for (rule, words, events) in found {
-            self.say(rule, at, words, events);
+        m.notices.push((number, at, returned));
+        for (rule, description, events) in violations {
+            self.report(rule, at, description, events);
         }
     }
 
-    /// Whether restarts called for what they found untried.
-    fn tried(&mut self) {
+    /// Checks that senders attempted the unattempted messages that they recovered at a restart.
+    fn check_unattempted(&mut self) {
         let messages = &self.messages;
-        // An unsafe one that is given up may have been about to be written when its process ended: its sender can't know,
-        // and no call is the only right end. Handed back it would say of itself that it was untried.
-        let in_doubt = |m: &Message| m.effect == Effect::Unsafe && m.notices.iter().any(|(.., back)| !back);
-        let counts = |id: &str| messages.get(id).is_some_and(|m| !m.left && !in_doubt(m));
-        self.untried.retain(|(id, _)| counts(id));
-        let uncalled = |id: &str| messages.get(id).is_some_and(|m| m.attempts.is_empty());
-        let by: Vec<usize> = self.untried.iter().filter(|(id, _)| uncalled(id)).map(|(_, by)| *by).collect();
-        let (found, given_up) = (self.untried.len(), by.len());
-        if let (true, Some(last)) = (found >= FEW && given_up * 2 > found, by.last()) {
-            let words =
-                format!("of {found} messages that restarts found untried and in time {given_up} got no call");
-            let (at, events) = (self.events[*last].at, by.clone());
-            self.say(Rule::Untried, at, words, events);
+        // An unsafe message that ended as failed may have been in the middle of its first write when the
+        // process exited. The sender cannot tell, so failing it without a call is the only correct outcome.
+        // By returning it the sender states that it was never attempted, so a returned message still counts.
+        let is_uncertain =
+            |m: &Message| m.effect == Effect::Unsafe && m.notices.iter().any(|(.., returned)| !returned);
+        let is_counted = |id: &str| messages.get(id).is_some_and(|m| !m.has_client_left && !is_uncertain(m));
+        self.unattempted.retain(|(id, _)| is_counted(id));
+        let got_no_call = |id: &str| messages.get(id).is_some_and(|m| m.attempts.is_empty());
+        let start_events: Vec<usize> =
+            self.unattempted.iter().filter(|(id, _)| got_no_call(id)).map(|(_, event)| *event).collect();
+        let (recovered, without_call) = (self.unattempted.len(), start_events.len());
+        if let (true, Some(last)) =
+            (recovered >= MIN_UNATTEMPTED && without_call * 2 > recovered, start_events.last())
+        {
+            let description =
+                format!("of {recovered} unattempted, unexpired messages that restarts recovered, {without_call} got no call");
+            let (at, events) = (self.events[*last].at, start_events.clone());
+            self.report(Rule::Untried, at, description, events);
         }
     }
 
-    /// What has no end once the day is over.
-    fn ends(&mut self) {
-        let mut found = Vec::new();
+    /// Checks that every accepted message finished in time.
+    fn check_finished(&mut self) {
+        let mut violations = Vec::new();
         for (id, m) in &self.messages {
-            let Some(_) = m.taken_on.filter(|_| !m.left) else { continue };
-            let delivered = m.attempts.iter().filter_map(Attempt::delivered).min();
-            let told = m.notices.iter().map(|(_, at, _)| *at).min();
-            let mut due = m.at + m.expires + OVERDUE + LEEWAY;
-            // What came while its sender stood still was read only afterwards, and nobody told it how old it was.
-            let stopped =
-                self.stops.iter().find(|(s, from, to)| *s == m.sender && (*from..*to).contains(&m.at));
-            due += stopped.map_or(0, |(.., to)| to - m.at);
-            for (from, to) in self.restarts.get(&m.sender).into_iter().flatten() {
+            let Some(_) = m.accepted_at.filter(|_| !m.has_client_left) else { continue };
+            let delivered_at = m.attempts.iter().filter_map(Attempt::delivered_at).min();
+            let notified_at = m.notices.iter().map(|(_, at, _)| *at).min();
+            let mut due = m.submitted_at + m.lifetime + FINISH_GRACE + TIMING_TOLERANCE;
+            // A message that arrives while its sender is suspended is read only after that, and the sender
+            // cannot know how long it waited.
+            let stall = self
+                .stalls
+                .iter()
+                .find(|(sender, from, to)| *sender == m.sender && (*from..*to).contains(&m.submitted_at));
+            due += stall.map_or(0, |(.., to)| to - m.submitted_at);
+            for (from, to) in self.restart_windows.get(&m.sender).into_iter().flatten() {
                 if (*from..*to).contains(&due) {
                     due = *to;
                 }
             }
-            match (delivered, told) {
-                (None, None) => found.push((
+            match (delivered_at, notified_at) {
+                (None, None) => violations.push((
                     Rule::Lost,
                     due,
-                    format!("{id} was taken on and has no end"),
-                    vec![m.handed_in],
+                    format!("{id} was accepted and has no outcome"),
+                    vec![m.submission_event],
                 )),
                 (None, Some(at)) if at > due => {
-                    let late = (at - due) / MS;
-                    found.push((
+                    let late_ms = (at - due) / MS;
+                    violations.push((
                         Rule::Lost,
                         at,
-                        format!("{id} was told of {late} ms too late"),
-                        vec![m.handed_in],
+                        format!("the notice of {id} came {late_ms} ms too late"),
+                        vec![m.submission_event],
                     ));
                 }
                 _ => {}
             }
         }
-        for (rule, at, words, events) in found {
-            self.say(rule, at, words, events);
+        for (rule, at, description, events) in violations {
+            self.report(rule, at, description, events);
         }
     }
 }
 
-fn named((dest, route): Route) -> String {
+fn destination_name((dest, route): Route) -> String {
     match route {
         Some(endpoint) => format!("endpoint {endpoint} of destination {dest}"),
         None => format!("destination {dest}"),
     }
 }
 
-fn in_restart(restarts: &BTreeMap<usize, Vec<(Us, Us)>>, sender: usize, at: Us) -> bool {
-    restarts.get(&sender).into_iter().flatten().any(|(from, to)| (*from..*to).contains(&at))
+fn is_in_restart(restart_windows: &BTreeMap<usize, Vec<(Us, Us)>>, sender: usize, at: Us) -> bool {
+    restart_windows.get(&sender).into_iter().flatten().any(|(from, to)| (*from..*to).contains(&at))
 }
--- a/crates/proof/nickelshed-judge/src/worth.rs
+++ b/crates/proof/nickelshed-judge/src/worth.rs
@@ -1,23 +1,23 @@
-//! What a day was worth, and where its worth was lost.
+//! Scores a run: the value delivered, and the reason for each message that was late or lost.
 use crate::event::{CallEnd, Event, EventKind, Us};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Why a message was not delivered in time.
+/// Why a message was late or not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LossReason {
-    /// Refused at the door, the last time that it was handed in.
+    /// Refused by its sender at the last submission.
     Refused,
-    /// The sender held it and made no attempt.
+    /// Accepted; the sender made no attempt.
     Held,
-    /// It was out in an attempt for most of its time.
+    /// In flight for at least half of its time.
     Out,
-    /// Most of its time it waited for its next attempt.
+    /// Queued between attempts for most of its time.
     Between,
-    /// Turned away by its destination at the last attempt.
+    /// Queued for most of its time, and rejected by its destination at the last attempt.
     TurnedAway,
-    /// Its client heard nothing and left.
+    /// The client received no response to its last submission.
     Unheard,
 }
 
@@ -26,38 +26,40 @@
     pub messages: usize,
     pub in_time: usize,
     pub late: usize,
+    /// Messages that were never delivered.
     pub lost: usize,
-    /// Worth delivered over worth asked for.
+    /// Value delivered, as a fraction of what it would be if every message met its target latency.
     #[serde(rename = "worth")]
     pub value: f64,
     pub calls: usize,
-    /// Calls that were answered 429 or 503.
+    /// Calls answered 429 or 503.
     #[serde(rename = "turned_away")]
     pub rejected: usize,
-    /// How many were late or lost, by why.
+    /// Number of messages late or lost, by reason.
     #[serde(rename = "why")]
     pub loss_reasons: BTreeMap<LossReason, usize>,
-    /// Milliseconds to delivery: the median, and one in a hundred.
+    /// Median latency of the delivered messages, in milliseconds.
     pub p50_ms: f64,
+    /// 99th percentile of the latency of the delivered messages, in milliseconds.
     pub p99_ms: f64,
 }
 
 #[derive(Default)]
 struct Message {
     class: usize,
-    first: Us,
+    first_submitted_at: Us,
     ids: Vec<String>,
-    last: Us,
-    delivered: Option<Us>,
-    out: Us,
+    last_submitted_at: Us,
+    delivered_at: Option<Us>,
+    time_in_flight: Us,
     attempts: usize,
-    last_turned_away: bool,
-    refused: bool,
-    heard: bool,
+    was_last_rejected: bool,
+    was_refused: bool,
+    was_answered: bool,
 }
 
-/// What a class's messages are worth: whole within `wanted`, half with each further `wanted`, and never under the part
-/// `least` for what is delivered.
+/// Value of a delivered message of a class: `full_value` within `target_latency`, halved by each further
+/// `target_latency`, and never less than the fraction `min_value_fraction` of `full_value`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ValueFunction {
     pub target_latency: Us,
@@ -66,95 +68,98 @@
 }
 
 impl ValueFunction {
-    /// Of what was delivered after so long.
-    pub fn value_after(&self, took: Us) -> f64 {
-        let late = took.saturating_sub(self.target_latency) as f64 / self.target_latency.max(1) as f64;
-        self.full_value * 0.5f64.powf(late).max(self.min_value_fraction)
+    /// Value of a message delivered `latency` after its first submission.
+    pub fn value_after(&self, latency: Us) -> f64 {
+        let excess = latency.saturating_sub(self.target_latency) as f64 / self.target_latency.max(1) as f64;
+        self.full_value * 0.5f64.powf(excess).max(self.min_value_fraction)
     }
 }
 
-/// Counts a day; `classes` by the numbers that messages were handed in with.
+/// Scores a run; `classes` is indexed by the class number of the submissions.
 pub fn score(events: &[Event], classes: &[ValueFunction]) -> ScoreReport {
     let unknown = ValueFunction { target_latency: Us::MAX, full_value: 0.0, min_value_fraction: 0.0 };
     let of_class = |class: usize| classes.get(class).copied().unwrap_or(unknown);
     let mut messages: BTreeMap<u64, Message> = BTreeMap::new();
-    let mut of: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut by_id: BTreeMap<&str, u64> = BTreeMap::new();
     let mut calls: BTreeMap<u64, (Us, &[String])> = BTreeMap::new();
-    let mut reckoning = ScoreReport::default();
+    let mut report = ScoreReport::default();
     for event in events {
         match &event.kind {
             EventKind::HandedIn { id, message, class, .. } => {
                 let m = messages.entry(*message).or_insert_with(|| Message {
                     class: *class,
-                    first: event.at,
+                    first_submitted_at: event.at,
                     ..Message::default()
                 });
-                (m.last, m.refused, m.heard) = (event.at, false, false);
+                (m.last_submitted_at, m.was_refused, m.was_answered) = (event.at, false, false);
                 m.ids.push(id.clone());
-                of.insert(id, *message);
+                by_id.insert(id, *message);
             }
             EventKind::Heard { id, status } => {
-                if let Some(m) = of.get(id.as_str()).and_then(|m| messages.get_mut(m)) {
-                    (m.heard, m.refused) = (true, *status != 202 && *status != 200);
+                if let Some(m) = by_id.get(id.as_str()).and_then(|n| messages.get_mut(n)) {
+                    (m.was_answered, m.was_refused) = (true, *status != 202 && *status != 200);
                 }
             }
             EventKind::Call { call, ids, first_byte, .. } => {
-                reckoning.calls += 1;
+                report.calls += 1;
                 calls.insert(*call, (*first_byte, ids));
             }
-            EventKind::Over { call, end: how } => {
-                let Some((from, ids)) = calls.remove(call) else { continue };
-                let turned_away = matches!(how, CallEnd::Answered { status: 429 | 503, .. });
-                reckoning.rejected += usize::from(turned_away);
+            EventKind::Over { call, end } => {
+                let Some((started_at, ids)) = calls.remove(call) else { continue };
+                let rejected = matches!(end, CallEnd::Answered { status: 429 | 503, .. });
+                report.rejected += usize::from(rejected);
                 for id in ids {
-                    let Some(m) = of.get(id.as_str()).and_then(|m| messages.get_mut(m)) else { continue };
-                    m.out += event.at.saturating_sub(from);
+                    let Some(m) = by_id.get(id.as_str()).and_then(|n| messages.get_mut(n)) else { continue };
+                    m.time_in_flight += event.at.saturating_sub(started_at);
                     m.attempts += 1;
-                    m.last_turned_away = turned_away;
-                    if matches!(how, CallEnd::Answered { status: 200, .. }) {
-                        m.delivered.get_or_insert(event.at);
+                    m.was_last_rejected = rejected;
+                    if matches!(end, CallEnd::Answered { status: 200, .. }) {
+                        m.delivered_at.get_or_insert(event.at);
                     }
                 }
             }
             _ => {}
         }
     }
-    let mut times = Vec::new();
-    let mut asked = 0.0;
+    let mut latencies = Vec::new();
+    let mut possible_value = 0.0;
     for m in messages.values() {
-        reckoning.messages += 1;
+        report.messages += 1;
         let class = of_class(m.class);
-        let wanted = class.target_latency;
-        asked += class.full_value;
-        reckoning.value += m.delivered.map_or(0.0, |at| class.value_after(at - m.first));
-        let took = m.delivered.map(|at| at - m.first);
-        match took {
-            Some(took) if took <= wanted => {
-                reckoning.in_time += 1;
+        let target_latency = class.target_latency;
+        possible_value += class.full_value;
+        report.value += m.delivered_at.map_or(0.0, |at| class.value_after(at - m.first_submitted_at));
+        let latency = m.delivered_at.map(|at| at - m.first_submitted_at);
+        match latency {
+            Some(latency) if latency <= target_latency => {
+                report.in_time += 1;
             }
             Some(_) => {
-                reckoning.late += 1;
+                report.late += 1;
             }
-            None => reckoning.lost += 1,
+            None => report.lost += 1,
         }
-        times.extend(took);
-        if took.is_none_or(|t| t > wanted) {
-            let whole = m.delivered.map_or(wanted, |at| at - m.first);
-            let why = match m {
-                _ if m.refused => LossReason::Refused,
-                _ if !m.heard => LossReason::Unheard,
+        latencies.extend(latency);
+        if latency.is_none_or(|t| t > target_latency) {
+            let time_considered = m.delivered_at.map_or(target_latency, |at| at - m.first_submitted_at);
+            let reason = match m {
+                _ if m.was_refused => LossReason::Refused,
+                _ if !m.was_answered => LossReason::Unheard,
                 _ if m.attempts == 0 => LossReason::Held,
-                _ if m.out * 2 >= whole => LossReason::Out,
-                _ if m.last_turned_away => LossReason::TurnedAway,
+                _ if m.time_in_flight * 2 >= time_considered => LossReason::Out,
+                _ if m.was_last_rejected => LossReason::TurnedAway,
                 _ => LossReason::Between,
             };
-            *reckoning.loss_reasons.entry(why).or_default() += 1;
+            *report.loss_reasons.entry(reason).or_default() += 1;
         }
     }
-    reckoning.value /= f64::max(asked, 1e-9);
-    times.sort_unstable();
-    let part =
-        |p: f64| times.get(((times.len().max(1) - 1) as f64 * p) as usize).map_or(0.0, |t| *t as f64 / 1e3);
-    (reckoning.p50_ms, reckoning.p99_ms) = (part(0.5), part(0.99));
-    reckoning
+    report.value /= f64::max(possible_value, 1e-9);
+    latencies.sort_unstable();
+    let percentile = |fraction: f64| {
+        latencies
+            .get(((latencies.len().max(1) - 1) as f64 * fraction) as usize)
+            .map_or(0.0, |t| *t as f64 / 1e3)
+    };
+    (report.p50_ms, report.p99_ms) = (percentile(0.5), percentile(0.99));
+    report
 }
--- a/crates/proof/nickelshed-judge/tests/rules.rs
+++ b/crates/proof/nickelshed-judge/tests/rules.rs
@@ -1,4 +1,5 @@
-//! For each rule the smallest history that breaks it, and the nearest that does not. No sender is needed for it.
+//! For each rule, the shortest history that violates it and the closest one that does not. No sender takes
+//! part.
 use nickelshed_judge::*;
 
 const MS: Us = 1_000;
@@ -10,25 +11,25 @@
         History(Vec::new())
     }
 
-    fn at(mut self, ms: Us, what: EventKind) -> History {
-        self.0.push(Event { at: ms * MS, kind: what });
+    fn at(mut self, ms: Us, kind: EventKind) -> History {
+        self.0.push(Event { at: ms * MS, kind });
         self
     }
 
-    fn taken_on(self, ms: Us, id: &str, effect: Effect, expires_ms: Us) -> History {
-        let handed = EventKind::HandedIn {
+    fn accepted(self, ms: Us, id: &str, effect: Effect, lifetime_ms: Us) -> History {
+        let submission = EventKind::HandedIn {
             sender: 0,
             id: id.into(),
             message: 1,
             class: 0,
             effect,
             dest: 7,
-            lifetime: expires_ms * MS,
+            lifetime: lifetime_ms * MS,
         };
-        self.at(ms, handed).at(ms, EventKind::Heard { id: id.into(), status: 202 })
+        self.at(ms, submission).at(ms, EventKind::Heard { id: id.into(), status: 202 })
     }
 
-    /// A call whose first byte is written 5 ms before its last has come.
+    /// A call whose first byte is written 5 ms before its last byte arrives.
     fn call(self, ms: Us, call: u64, endpoint: usize, id: &str) -> History {
         self.call_of(0, ms, call, endpoint, id)
     }
@@ -59,45 +60,47 @@
         self.at(ms, EventKind::Over { call, end: CallEnd::Closed })
     }
 
-    fn notice(self, ms: Us, id: &str, handed_back: bool) -> History {
-        self.at(ms, EventKind::Notice { sender: 0, id: id.into(), returned: handed_back })
+    fn notice(self, ms: Us, id: &str, returned: bool) -> History {
+        self.at(ms, EventKind::Notice { sender: 0, id: id.into(), returned })
     }
 
     fn rules(self) -> Vec<Rule> {
-        self.rules_where(DedupScope::Everywhere)
+        self.rules_with_scope(DedupScope::Everywhere)
     }
 
-    fn rules_where(mut self, known: DedupScope) -> Vec<Rule> {
+    fn rules_with_scope(mut self, dedup_scope: DedupScope) -> Vec<Rule> {
         self.0.sort_by_key(|e| e.at);
-        let figures = RuleParameters { dedup_scope: known, ..RuleParameters::default() };
-        judge(&self.0, figures).into_iter().map(|b| b.rule).collect()
+        let parameters = RuleParameters { dedup_scope, ..RuleParameters::default() };
+        judge(&self.0, parameters).into_iter().map(|v| v.rule).collect()
     }
 }
 
 fn delivered(id: &str) -> History {
-    History::new().taken_on(10, id, Effect::Keyed, 1_000).call(20, 1, 3, id).answered(30, 1, 200)
+    History::new().accepted(10, id, Effect::Keyed, 1_000).call(20, 1, 3, id).answered(30, 1, 200)
 }
 
 #[test]
-fn a_message_without_an_end_is_lost_and_one_that_is_told_of_in_time_is_not() {
+fn a_message_without_an_outcome_is_lost_and_one_with_a_notice_in_time_is_not() {
     assert_eq!(delivered("a").rules(), []);
-    let held = || History::new().taken_on(10, "a", Effect::Keyed, 1_000);
-    assert_eq!(held().rules(), [Rule::Lost]);
-    // Its time, 300 ms, and 50 ms more.
-    assert_eq!(held().notice(1_360, "a", true).rules(), []);
-    assert_eq!(held().notice(1_361, "a", true).rules(), [Rule::Lost]);
-    // What its client left counts for nothing.
-    assert_eq!(held().at(20, EventKind::Left { id: "a".into() }).rules(), []);
-    // A restart puts it off until 1.5 s after the sender may be used again.
-    let restart = || held().at(1_300, EventKind::Going { sender: 0 }).at(3_000, EventKind::Up { sender: 0 });
+    let unfinished = || History::new().accepted(10, "a", Effect::Keyed, 1_000);
+    assert_eq!(unfinished().rules(), [Rule::Lost]);
+    // Expiry at 1010 ms, plus 300 ms of grace and 50 ms of tolerance.
+    assert_eq!(unfinished().notice(1_360, "a", true).rules(), []);
+    assert_eq!(unfinished().notice(1_361, "a", true).rules(), [Rule::Lost]);
+    // A message whose client has left is not checked.
+    assert_eq!(unfinished().at(20, EventKind::Left { id: "a".into() }).rules(), []);
+    // A restart extends the deadline to 1.5 s after the sender is ready again.
+    let restart =
+        || unfinished().at(1_300, EventKind::Going { sender: 0 }).at(3_000, EventKind::Up { sender: 0 });
     assert_eq!(restart().notice(4_500, "a", true).rules(), []);
     assert_eq!(restart().notice(4_501, "a", true).rules(), [Rule::Lost]);
-    // One that is killed after it was told to end is going twice, and back once.
-    let twice = held().at(1_200, EventKind::Going { sender: 0 }).at(1_300, EventKind::Going { sender: 0 });
+    // A sender that gets SIGTERM and then SIGKILL has two `Going` events and one `Up`.
+    let twice =
+        unfinished().at(1_200, EventKind::Going { sender: 0 }).at(1_300, EventKind::Going { sender: 0 });
     let twice = twice.at(3_000, EventKind::Up { sender: 0 });
     assert_eq!(twice.notice(4_501, "a", true).rules(), [Rule::Lost]);
-    // Refused at the door, nothing is owed.
-    let handed = EventKind::HandedIn {
+    // A refused submission needs no outcome.
+    let submission = EventKind::HandedIn {
         sender: 0,
         id: "r".into(),
         message: 2,
@@ -107,43 +110,51 @@
         lifetime: 1,
     };
     assert_eq!(
-        History::new().at(1, handed.clone()).at(2, EventKind::Heard { id: "r".into(), status: 503 }).rules(),
+        History::new()
+            .at(1, submission.clone())
+            .at(2, EventKind::Heard { id: "r".into(), status: 503 })
+            .rules(),
         []
     );
     assert_eq!(
-        History::new().at(1, handed).at(2, EventKind::Heard { id: "r".into(), status: 0 }).rules(),
+        History::new().at(1, submission).at(2, EventKind::Heard { id: "r".into(), status: 0 }).rules(),
         [Rule::Lost]
     );
 }
 
 #[test]
-fn two_ends_are_one_too_many() {
-    let held = || History::new().taken_on(10, "a", Effect::Keyed, 1_000);
-    assert_eq!(held().notice(500, "a", true).notice(600, "a", true).rules(), []);
-    assert_eq!(held().notice(500, "a", true).notice(600, "a", false).rules(), [Rule::Lost]);
+fn a_message_has_only_one_kind_of_outcome() {
+    let unfinished = || History::new().accepted(10, "a", Effect::Keyed, 1_000);
+    assert_eq!(unfinished().notice(500, "a", true).notice(600, "a", true).rules(), []);
+    assert_eq!(unfinished().notice(500, "a", true).notice(600, "a", false).rules(), [Rule::Lost]);
 }
 
 #[test]
-fn what_may_not_run_twice_goes_again_only_when_it_never_ran() {
+fn an_unsafe_message_is_retried_only_if_it_never_ran() {
     let first = |status| {
-        History::new().taken_on(10, "a", Effect::Unsafe, 9_000).call(20, 1, 3, "a").answered(30, 1, status)
+        History::new().accepted(10, "a", Effect::Unsafe, 9_000).call(20, 1, 3, "a").answered(30, 1, status)
     };
-    for never in [429, 503, 504, 410, 400, 413] {
-        assert_eq!(first(never).call(50, 2, 3, "a").answered(60, 2, 200).rules(), [], "{never}");
+    for status in [429, 503, 504, 410, 400, 413] {
+        assert_eq!(first(status).call(50, 2, 3, "a").answered(60, 2, 200).rules(), [], "{status}");
     }
-    for perhaps in [500, 200, 418] {
-        let again = first(perhaps).call(50, 2, 3, "a").answered(60, 2, 200);
-        assert_eq!(again.rules(), [Rule::Twice], "{perhaps}");
+    for status in [500, 200, 418] {
+        let retried = first(status).call(50, 2, 3, "a").answered(60, 2, 200);
+        assert_eq!(retried.rules(), [Rule::Twice], "{status}");
     }
-    let lost = || History::new().taken_on(10, "a", Effect::Unsafe, 9_000).call(20, 1, 3, "a").closed(30, 1);
-    assert_eq!(lost().notice(900, "a", false).rules(), []);
-    assert_eq!(lost().notice(900, "a", true).rules(), [Rule::Twice], "a refusal says that it never ran");
+    let connection_lost =
+        || History::new().accepted(10, "a", Effect::Unsafe, 9_000).call(20, 1, 3, "a").closed(30, 1);
+    assert_eq!(connection_lost().notice(900, "a", false).rules(), []);
+    assert_eq!(
+        connection_lost().notice(900, "a", true).rules(),
+        [Rule::Twice],
+        "a returned message is stated never to have run"
+    );
 }
 
 #[test]
-fn a_keyed_one_goes_again_while_its_key_is_held() {
-    let first = || History::new().taken_on(10, "a", Effect::Keyed, 20_000).call(25, 1, 3, "a").closed(30, 1);
-    // The first byte was written at 20 ms: 15 s and 50 ms more.
+fn a_keyed_message_is_retried_only_within_the_dedup_window() {
+    let first = || History::new().accepted(10, "a", Effect::Keyed, 20_000).call(25, 1, 3, "a").closed(30, 1);
+    // The first byte was written at 20 ms; the dedup window is 15 s and the tolerance 50 ms.
     assert_eq!(first().call(15_075, 2, 3, "a").answered(15_080, 2, 200).rules(), []);
     assert_eq!(first().call(15_076, 2, 3, "a").answered(15_080, 2, 200).rules(), [Rule::Twice]);
     let ran = |ms| (ms, EventKind::Ran { id: "a".into(), message: 1 });
@@ -153,83 +164,91 @@
 }
 
 #[test]
-fn two_attempts_are_never_out_at_once() {
-    let first = || History::new().taken_on(10, "a", Effect::Safe, 9_000).call(20, 1, 3, "a");
-    // The second is begun, 5 ms before its last byte comes, when the first is over.
+fn two_attempts_are_never_in_flight_at_once() {
+    let first = || History::new().accepted(10, "a", Effect::Safe, 9_000).call(20, 1, 3, "a");
+    // The second attempt begins at 45 ms, 5 ms before its last byte arrives, when the first has ended.
     assert_eq!(first().closed(45, 1).call(50, 2, 4, "a").answered(60, 2, 200).rules(), []);
     assert_eq!(first().call(50, 2, 4, "a").closed(55, 1).answered(60, 2, 200).rules(), [Rule::AtOnce]);
-    // One that was called off at 45 and came at 70, past an attempt that began at 55, was never out beside it; one that
-    // was called off at 60 was.
-    let late = |over: Us| {
+    // The call began at 40 ms and arrived at 70 ms, after another attempt that began at 55 ms. Cancelled at
+    // 45 ms, it did not overlap that attempt; cancelled at 60 ms, it did.
+    let rules_if_cancelled_at = |at: Us| {
         let mut history =
-            delivered("b").call(60, 2, 4, "a").answered(80, 2, 200).closed(over, 3).call(70, 3, 5, "a");
+            delivered("b").call(60, 2, 4, "a").answered(80, 2, 200).closed(at, 3).call(70, 3, 5, "a");
         if let Some(EventKind::Call { first_byte, .. }) = history.0.last_mut().map(|e| &mut e.kind) {
             *first_byte = 40 * MS;
         }
-        history.taken_on(10, "a", Effect::Keyed, 1_000).rules()
+        history.accepted(10, "a", Effect::Keyed, 1_000).rules()
     };
-    assert_eq!((late(45), late(60)), (vec![], vec![Rule::AtOnce]));
+    assert_eq!((rules_if_cancelled_at(45), rules_if_cancelled_at(60)), (vec![], vec![Rule::AtOnce]));
 }
 
 #[test]
-fn nothing_new_goes_to_what_drains_once_the_grace_is_over() {
-    let told = || {
-        let open = |open| EventKind::Told { sender: 0, endpoint: 3, accepts_calls: open };
-        History::new().at(1, open(true)).at(100, open(false)).taken_on(10, "a", Effect::Keyed, 9_000)
+fn a_draining_endpoint_gets_no_new_calls_after_the_grace_period() {
+    let drain_notified = || {
+        let accepts = |accepts| EventKind::Told { sender: 0, endpoint: 3, accepts_calls: accepts };
+        History::new().at(1, accepts(true)).at(100, accepts(false)).accepted(10, "a", Effect::Keyed, 9_000)
     };
-    assert_eq!(told().call(1_155, 1, 3, "a").answered(1_160, 1, 200).rules(), []);
-    assert_eq!(told().call(1_156, 1, 3, "a").answered(1_160, 1, 200).rules(), [Rule::Drain]);
-    assert_eq!(told().call(1_156, 1, 4, "a").answered(1_160, 1, 200).rules(), [], "another endpoint");
+    assert_eq!(drain_notified().call(1_155, 1, 3, "a").answered(1_160, 1, 200).rules(), []);
+    assert_eq!(drain_notified().call(1_156, 1, 3, "a").answered(1_160, 1, 200).rules(), [Rule::Drain]);
+    assert_eq!(
+        drain_notified().call(1_156, 1, 4, "a").answered(1_160, 1, 200).rules(),
+        [],
+        "another endpoint"
+    );
 }
 
 #[test]
-fn a_wait_binds_from_a_tenth_of_a_second_on_until_its_end() {
-    let told = || {
-        let wait = CallEnd::Answered { status: 429, retry_after: 2_000 * MS };
-        let first = History::new().taken_on(10, "a", Effect::Keyed, 9_000).call(20, 1, 3, "a");
-        first.at(30, EventKind::Over { call: 1, end: wait }).taken_on(40, "b", Effect::Keyed, 9_000)
+fn a_retry_after_wait_applies_from_100_ms_until_its_end() {
+    let wait_reported = || {
+        let end = CallEnd::Answered { status: 429, retry_after: 2_000 * MS };
+        let first = History::new().accepted(10, "a", Effect::Keyed, 9_000).call(20, 1, 3, "a");
+        first.at(30, EventKind::Over { call: 1, end }).accepted(40, "b", Effect::Keyed, 9_000)
     };
-    let other = |ms| {
-        told().call(ms, 2, 4, "b").answered(ms + 5, 2, 200).call(2_500, 3, 3, "a").answered(2_510, 3, 200)
+    let calls_at = |ms| {
+        wait_reported()
+            .call(ms, 2, 4, "b")
+            .answered(ms + 5, 2, 200)
+            .call(2_500, 3, 3, "a")
+            .answered(2_510, 3, 200)
     };
-    assert_eq!(other(135).rules(), [], "on its way");
-    assert_eq!(other(136).rules(), [Rule::Wait]);
-    assert_eq!(other(1_984).rules(), [Rule::Wait]);
-    assert_eq!(other(1_985).rules(), [], "50 ms before its end");
-    let after = |history: History| {
+    assert_eq!(calls_at(135).rules(), [], "the response may still be on its way");
+    assert_eq!(calls_at(136).rules(), [Rule::Wait]);
+    assert_eq!(calls_at(1_984).rules(), [Rule::Wait]);
+    assert_eq!(calls_at(1_985).rules(), [], "50 ms before the end of the wait");
+    let rules_of_calls_after = |history: History| {
         let again = history.call(500, 2, 4, "b").answered(505, 2, 200);
         again.call(2_500, 3, 3, "a").answered(2_510, 3, 200).rules()
     };
-    let ended =
+    let restarted =
         |history: History| history.at(60, EventKind::Ended { sender: 0 }).at(70, EventKind::Up { sender: 0 });
-    assert_eq!(after(ended(told())), [], "a restart ends it");
+    assert_eq!(rules_of_calls_after(restarted(wait_reported())), [], "a restart ends the wait");
     assert_eq!(
-        after(told().at(60, EventKind::Going { sender: 0 })),
+        rules_of_calls_after(wait_reported().at(60, EventKind::Going { sender: 0 })),
         [Rule::Wait],
-        "being told to end does not"
+        "SIGTERM alone does not"
     );
-    let told_late = History::new().at(5, EventKind::Going { sender: 0 });
-    let told_late = History(told_late.0.into_iter().chain(told().0).collect());
+    let sigterm_first = History::new().at(5, EventKind::Going { sender: 0 });
+    let sigterm_first = History(sigterm_first.0.into_iter().chain(wait_reported().0).collect());
     assert_eq!(
-        after(ended(told_late)),
+        rules_of_calls_after(restarted(sigterm_first)),
         [],
-        "nor does it last beyond the process that was told to end before"
+        "a wait reported after SIGTERM ends with the process"
     );
 }
 
-/// 10 a second, cold: a little over a quarter of it, times 1.5, for 2 s, is N = 7.8; N + 2 x root of N + 2 is 15.4. The first
-/// sender alone has seen the outage.
+/// A capacity of 10 per second at 26 %, times 1.5, over 2 s, allows N = 7.8 messages; the collapse threshold
+/// N + 2 sqrt(N) + 2 is 15.4. Only sender 0 has observed the outage.
 #[test]
-fn a_returning_destination_is_pushed_only_by_those_that_knew() {
-    let returning = |by: &[(usize, u64)]| {
-        let mut h = History::new().at(10, EventKind::OutageBegan { dest: 7, route: None });
-        h = h.at(20, EventKind::Unreached { sender: 0, dest: 7, route: None });
-        h = h.at(1_000, EventKind::OutageEnded { dest: 7, route: None, capacity: 10.0 });
-        let senders = by.iter().flat_map(|&(sender, many)| (0..many).map(move |_| sender));
+fn overload_of_a_recovering_destination_counts_only_for_senders_that_observed_its_outage() {
+    let rules_of_recovery = |calls_by_sender: &[(usize, u64)]| {
+        let mut history = History::new().at(10, EventKind::OutageBegan { dest: 7, route: None });
+        history = history.at(20, EventKind::Unreached { sender: 0, dest: 7, route: None });
+        history = history.at(1_000, EventKind::OutageEnded { dest: 7, route: None, capacity: 10.0 });
+        let senders = calls_by_sender.iter().flat_map(|&(sender, count)| (0..count).map(move |_| sender));
         for (i, sender) in senders.enumerate() {
             let i = i as u64;
             let id = format!("m{i}");
-            let handed = EventKind::HandedIn {
+            let submission = EventKind::HandedIn {
                 sender,
                 id: id.clone(),
                 message: i,
@@ -238,60 +257,71 @@
                 dest: 7,
                 lifetime: 9_000 * MS,
             };
-            h = h.at(1_005, handed).call_of(sender, 1_010, i, 3, &id).answered(1_020, i, 200);
+            history = history.at(1_005, submission).call_of(sender, 1_010, i, 3, &id).answered(1_020, i, 200);
         }
-        h.rules()
+        history.rules()
     };
-    assert_eq!(returning(&[(0, 15)]), []);
-    assert_eq!(returning(&[(0, 16)]), [Rule::Pushed]);
-    assert_eq!(returning(&[(1, 16)]), []);
-    assert_eq!(returning(&[(1, 5), (0, 11)]), [Rule::Pushed], "over two thirds knew");
-    assert_eq!(returning(&[(1, 6), (0, 10)]), [], "fewer did");
-    assert_eq!(returning(&[(1, 16), (0, 60)]), [], "only the first fall counts");
+    assert_eq!(rules_of_recovery(&[(0, 15)]), []);
+    assert_eq!(rules_of_recovery(&[(0, 16)]), [Rule::Pushed]);
+    assert_eq!(rules_of_recovery(&[(1, 16)]), []);
+    assert_eq!(
+        rules_of_recovery(&[(1, 5), (0, 11)]),
+        [Rule::Pushed],
+        "more than two thirds of the calls are from sender 0"
+    );
+    assert_eq!(rules_of_recovery(&[(1, 6), (0, 10)]), [], "two thirds or fewer are");
+    assert_eq!(rules_of_recovery(&[(1, 16), (0, 60)]), [], "only the first collapse counts");
 }
 
 #[test]
-fn worth_is_whole_in_time_and_half_one_aim_later() {
-    let day = delivered("a").0;
-    let wanted = |ms: Us| {
-        score(&day, &[ValueFunction { target_latency: ms * MS, full_value: 2.0, min_value_fraction: 0.3 }])
+fn value_is_full_in_time_and_half_one_target_latency_later() {
+    let history = delivered("a").0;
+    let score_with_target = |ms: Us| {
+        score(
+            &history,
+            &[ValueFunction { target_latency: ms * MS, full_value: 2.0, min_value_fraction: 0.3 }],
+        )
     };
-    assert_eq!((wanted(20).value, wanted(20).in_time), (1.0, 1));
-    assert_eq!((wanted(10).value, wanted(10).late), (0.5, 1));
-    assert_eq!(wanted(1).value, 0.3);
-    assert_eq!(wanted(10).loss_reasons.into_iter().collect::<Vec<_>>(), [(LossReason::Out, 1)]);
+    assert_eq!((score_with_target(20).value, score_with_target(20).in_time), (1.0, 1));
+    assert_eq!((score_with_target(10).value, score_with_target(10).late), (0.5, 1));
+    assert_eq!(score_with_target(1).value, 0.3);
+    assert_eq!(score_with_target(10).loss_reasons.into_iter().collect::<Vec<_>>(), [(LossReason::Out, 1)]);
 }
 
-/// Endpoints 3 and 5 of the histories stand in one room, 4 in another.
+/// Endpoints 3 and 5 of the histories are at one site, endpoint 4 at another.
 #[test]
-fn a_repeat_where_its_key_is_not_known_breaks_the_rule_and_one_where_it_is_does_not() {
-    let again = |endpoint: usize, first: u16| {
+fn a_repeat_is_allowed_only_where_its_key_is_known() {
+    let rules_of_retry = |endpoint: usize, first: u16| {
         let first =
-            History::new().taken_on(10, "a", Effect::Keyed, 9_000).call(20, 1, 3, "a").answered(30, 1, first);
-        move |known| {
+            History::new().accepted(10, "a", Effect::Keyed, 9_000).call(20, 1, 3, "a").answered(30, 1, first);
+        move |dedup_scope| {
             let second = History(first.0.clone()).call(50, 2, endpoint, "a").answered(60, 2, 200);
-            second.rules_where(known)
+            second.rules_with_scope(dedup_scope)
         }
     };
-    let may_have_run = 500;
-    assert_eq!(again(4, may_have_run)(DedupScope::Everywhere), []);
-    assert_eq!(again(4, may_have_run)(DedupScope::InTheRoom), [Rule::Twice]);
-    assert_eq!(again(5, may_have_run)(DedupScope::InTheRoom), []);
-    assert_eq!(again(5, may_have_run)(DedupScope::AtTheEndpoint), [Rule::Twice]);
-    assert_eq!(again(3, may_have_run)(DedupScope::AtTheEndpoint), []);
-    assert_eq!(again(4, 503)(DedupScope::AtTheEndpoint), [], "what never ran is known nowhere");
-    // Handed back, it may reach those that do not know its key.
-    let handed_back = |known| {
-        let h = History::new().taken_on(10, "a", Effect::Keyed, 1_000).call(20, 1, 3, "a");
-        h.answered(30, 1, 500).notice(900, "a", true).rules_where(known)
+    let possibly_executed = 500;
+    assert_eq!(rules_of_retry(4, possibly_executed)(DedupScope::Everywhere), []);
+    assert_eq!(rules_of_retry(4, possibly_executed)(DedupScope::InTheRoom), [Rule::Twice]);
+    assert_eq!(rules_of_retry(5, possibly_executed)(DedupScope::InTheRoom), []);
+    assert_eq!(rules_of_retry(5, possibly_executed)(DedupScope::AtTheEndpoint), [Rule::Twice]);
+    assert_eq!(rules_of_retry(3, possibly_executed)(DedupScope::AtTheEndpoint), []);
+    assert_eq!(
+        rules_of_retry(4, 503)(DedupScope::AtTheEndpoint),
+        [],
+        "a message that never ran is known nowhere"
+    );
+    // A returned message may be submitted again and reach endpoints that do not know its key.
+    let returned = |dedup_scope| {
+        let history = History::new().accepted(10, "a", Effect::Keyed, 1_000).call(20, 1, 3, "a");
+        history.answered(30, 1, 500).notice(900, "a", true).rules_with_scope(dedup_scope)
     };
-    assert_eq!(handed_back(DedupScope::Everywhere), []);
-    assert_eq!(handed_back(DedupScope::InTheRoom), [Rule::Twice]);
+    assert_eq!(returned(DedupScope::Everywhere), []);
+    assert_eq!(returned(DedupScope::InTheRoom), [Rule::Twice]);
 }
 
 #[test]
-fn a_wait_binds_the_route_that_told_it_and_no_other() {
-    let called = |endpoint: usize| {
+fn a_retry_after_wait_applies_only_to_the_route_that_requested_it() {
+    let rules_of_call_to = |endpoint: usize| {
         let call = |call, at: Us, endpoint: usize, id: &str| EventKind::Call {
             call,
             sender: 0,
@@ -305,39 +335,45 @@
         };
         let wait =
             EventKind::Over { call: 1, end: CallEnd::Answered { status: 429, retry_after: 1_000 * MS } };
-        let h =
-            History::new().taken_on(10, "a", Effect::Safe, 5_000).at(20, call(1, 20, 3, "a")).at(30, wait);
-        h.at(500, call(2, 500, endpoint, "a")).answered(510, 2, 200).rules()
+        let history =
+            History::new().accepted(10, "a", Effect::Safe, 5_000).at(20, call(1, 20, 3, "a")).at(30, wait);
+        history.at(500, call(2, 500, endpoint, "a")).answered(510, 2, 200).rules()
     };
-    assert_eq!(called(3), [Rule::Wait]);
-    assert_eq!(called(4), []);
+    assert_eq!(rules_of_call_to(3), [Rule::Wait]);
+    assert_eq!(rules_of_call_to(4), []);
 }
 
-/// Six messages wait untried when their process is killed; so many get a call from the next one, the rest are handed back.
+/// Messages are queued unattempted when their process is killed. `called` of them get a call from the next
+/// process; the rest get a notice.
 #[test]
-fn over_half_of_what_a_restart_found_untried_may_not_go_without_a_call() {
-    let ended = |effect: Effect, back: bool, called: u64, found: u64, expires: Us| {
+fn at_least_half_of_the_unattempted_messages_that_a_restart_recovers_get_a_call() {
+    let rules_of_restart = |effect: Effect, returned: bool, called: u64, recovered: u64, lifetime_ms: Us| {
         let id = |n: u64| format!("m{n}");
-        let mut h = History::new();
-        for n in 0..found {
-            h = h.taken_on(n, &id(n), effect, expires);
+        let mut history = History::new();
+        for n in 0..recovered {
+            history = history.accepted(n, &id(n), effect, lifetime_ms);
         }
-        h = h.at(100, EventKind::Going { sender: 0 }).at(100, EventKind::Ended { sender: 0 });
-        h = h.at(800, EventKind::Up { sender: 0 });
+        history = history.at(100, EventKind::Going { sender: 0 }).at(100, EventKind::Ended { sender: 0 });
+        history = history.at(800, EventKind::Up { sender: 0 });
         for n in 0..called {
-            h = h.call(900 + n, n, 3, &id(n)).answered(950 + n, n, 200);
+            history = history.call(900 + n, n, 3, &id(n)).answered(950 + n, n, 200);
         }
-        for n in called..found {
-            h = h.notice(1_000 + n, &id(n), back);
+        for n in called..recovered {
+            history = history.notice(1_000 + n, &id(n), returned);
         }
-        h.rules()
+        history.rules()
     };
-    let restarted = |called, found, expires| ended(Effect::Safe, true, called, found, expires);
-    assert_eq!(restarted(3, 6, 5_000), []);
-    assert_eq!(restarted(2, 6, 5_000), [Rule::Untried]);
-    assert_eq!(restarted(0, 3, 5_000), [], "so few may be chance");
-    assert_eq!(restarted(0, 6, 600), [], "their time was up when it started");
-    assert_eq!(ended(Effect::Unsafe, true, 0, 6, 5_000), [Rule::Untried]);
-    assert_eq!(ended(Effect::Keyed, false, 0, 6, 5_000), [Rule::Untried]);
-    assert_eq!(ended(Effect::Unsafe, false, 0, 6, 5_000), [], "nobody knows whether one was being written");
+    let rules_of_safe_restart =
+        |called, recovered, lifetime_ms| rules_of_restart(Effect::Safe, true, called, recovered, lifetime_ms);
+    assert_eq!(rules_of_safe_restart(3, 6, 5_000), []);
+    assert_eq!(rules_of_safe_restart(2, 6, 5_000), [Rule::Untried]);
+    assert_eq!(rules_of_safe_restart(0, 3, 5_000), [], "too few messages to judge by");
+    assert_eq!(rules_of_safe_restart(0, 6, 600), [], "they had expired when it started");
+    assert_eq!(rules_of_restart(Effect::Unsafe, true, 0, 6, 5_000), [Rule::Untried]);
+    assert_eq!(rules_of_restart(Effect::Keyed, false, 0, 6, 5_000), [Rule::Untried]);
+    assert_eq!(
+        rules_of_restart(Effect::Unsafe, false, 0, 6, 5_000),
+        [],
+        "the first write may have been under way"
+    );
 }
--- a/crates/proof/nickelshed-lab/src/play.rs
+++ b/crates/proof/nickelshed-lab/src/play.rs
@@ -385,7 +385,7 @@
     )
 }
 
-/// The part of the worth asked for that `soonest` delivers.
+/// The part of the worth asked for that `oracle` delivers.
 fn reachable(scenario: &Scenario, seed: u64, worths: &[ValueFunction]) -> f64 {
     let soonest = oracle(scenario, seed);
     let (mut asked, mut got) = (0.0, 0.0);
