--- a/crates/proof/nickelshed-judge/src/rules.rs
+++ b/crates/proof/nickelshed-judge/src/rules.rs
@@ -15,7 +15,7 @@
 const RETRY_AFTER_GRACE: Us = 100 * MS;
 /// Work within the overload window above which a destination in slow start collapses, for an `allowed` amount
 /// of work. The margin above `allowed` is twice the standard deviation of a Poisson-distributed sum, plus
-/// two, so that random bunching of arrivals alone causes no collapse.
+/// two, so that random bunching of arrivals alone rarely causes a collapse.
 fn collapse_threshold(allowed: f64) -> f64 {
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
--- a/crates/proof/nickelshed-model/src/lib.rs
+++ b/crates/proof/nickelshed-model/src/lib.rs
@@ -1,5 +1,6 @@
-//! The systems that a sender serves, as pure state: customer systems, their limits, queues, outages and cold returns, and
-//! the clients that hand messages in. Time is handed in, random numbers come from streams of a seed; no I/O.
+//! Simulated destinations, the clients that submit messages, and their traffic, as pure state: limits,
+//! queues, outages and slow starts. The caller passes in the time; random numbers come from seeded streams.
+//! Does no I/O.
 mod draw;
 mod scenario;
 mod soonest;
@@ -15,13 +16,14 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha12Rng;
 
-/// Microseconds since the start of the day.
+/// Microseconds since the start of the run.
 pub type Us = u64;
 pub type Random = ChaCha12Rng;
 
-/// A stream of random numbers of its own for each part of a day: what one part draws changes nothing for the others.
-pub fn random_stream(seed: u64, part: u64) -> Random {
+/// Returns random stream `number` of a seed. Each part of a run draws from a stream of its own, so that the
+/// draws of one part do not affect the others.
+pub fn random_stream(seed: u64, number: u64) -> Random {
     let mut random = ChaCha12Rng::seed_from_u64(seed);
-    random.set_stream(part);
+    random.set_stream(number);
     random
 }
--- a/crates/proof/nickelshed-model/src/scenario.rs
+++ b/crates/proof/nickelshed-model/src/scenario.rs
@@ -1,98 +1,102 @@
-//! A day's description, as a file in TOML.
+//! Description of a run, read from a TOML file.
 use crate::Us;
 use nickelshed_config::sidecar::{Effect, Scope};
 use nickelshed_config::units::{Percent, Period};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A day: who hands in how much, what they deliver to, and what goes wrong.
+/// A run: the traffic that clients submit, the destinations, and the faults to inject.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Scenario {
-    /// The seed that it is played with, unless another is given.
+    /// Seed of the run, unless the caller gives another.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub seed: Option<u64>,
-    /// How long clients hand in. The day then runs on until all that was taken on is over.
+    /// How long clients submit messages. The run then continues until all accepted messages have finished.
     pub length: Period,
-    /// Senders beside one another; they share nothing.
+    /// Number of senders, which share no state.
     pub senders: u32,
-    /// Messages a second, over all senders.
+    /// Messages per second over all senders.
     pub rate: f64,
-    /// The part of the messages that come in clumps for one destination.
+    /// Fraction of the messages that arrive in clumps for one destination.
     pub clumps: Percent,
-    /// How often a client hands in again what was refused.
+    /// How often a client submits a refused message again.
     #[serde(rename = "retries")]
     pub client_retries: u32,
-    /// What a second run of a message does.
+    /// Whether messages may take effect twice, and whether destinations drop repeats by key.
     pub effect: Effect,
-    /// A message is wanted within this.
+    /// Target latency of a message.
     pub wanted_within: Period,
-    /// A message is given up after this.
+    /// Time after which a message expires.
     pub abandoned_after: Period,
-    /// How long destinations drop repeats.
+    /// How long destinations remember keys and drop repeats.
     #[serde(rename = "repeat_window")]
     pub dedup_window: Period,
-    /// Which endpoints of a destination know a repeat: all, those of one room, or only the same one.
+    /// The endpoints of a destination that share remembered keys: all of them, those of one site, or each by
+    /// itself.
     #[serde(rename = "repeats_known_by")]
     pub dedup_scope: Scope,
-    /// Calls that a sender may have out.
+    /// Calls that a sender may have in flight.
     pub slots: u32,
-    /// Messages that a sender may hold.
+    /// Accepted messages that a sender may have open.
     #[serde(rename = "held")]
     pub max_open_messages: u32,
-    /// Bytes of disk that a sender has.
+    /// Disk space of a sender, in bytes.
     #[serde(rename = "disk")]
     pub disk_bytes: u64,
-    /// Customer systems.
+    /// Number of destinations.
     pub destinations: u32,
-    /// Endpoints of each.
+    /// Number of endpoints of each destination.
     pub endpoints: u32,
-    /// Rooms in which endpoints and senders stand, by turns.
+    /// Number of sites. Endpoints and senders are assigned to them round-robin.
     #[serde(rename = "rooms")]
     pub sites: u32,
-    /// Each endpoint is a route of its own, with its own limit, waits and outages.
+    /// Whether each endpoint is a route of its own, with its own limit, retry-after waits and outages.
     #[serde(rename = "routes_apart")]
     pub separate_routes: bool,
-    /// Messages that a call may hold at most.
+    /// Largest number of messages in a call.
     pub batch: u32,
-    /// The list names a rough rate for each destination.
+    /// Whether discovery lists an estimated rate for each destination.
     #[serde(rename = "list_tells_rates")]
     pub discovery_reports_rates: bool,
-    /// How unevenly destinations are used: 0 is evenly, 1 much for few.
+    /// Exponent of the Zipf distribution of the traffic over destinations: 0 spreads it evenly, 1
+    /// concentrates it on a few.
     pub skew: f64,
-    /// What an endpoint takes for a message: the median.
+    /// Median service time of an endpoint for a message.
     #[serde(rename = "service")]
     pub service_time: Period,
-    /// How much that spreads: the sigma of its logarithm.
+    /// Standard deviation of the logarithm of the service time.
     #[serde(rename = "spread")]
     pub service_time_sigma: f64,
-    /// Messages that an endpoint works on at once.
+    /// Calls that an endpoint serves concurrently.
     pub servers: u32,
-    /// Messages that wait at an endpoint at most; more are answered 503.
+    /// Calls that may queue at an endpoint, estimated as its backlog divided by the median service time;
+    /// above that, calls are answered 503.
     #[serde(rename = "queue")]
     pub queue_capacity: u32,
-    /// A destination's limit as a multiple of its share of the traffic; 0 for none. Above it, it answers 503, or 429
-    /// with a wait.
+    /// Rate limit of a destination as a multiple of its share of the traffic; 0 for no limit. Above it, the
+    /// destination answers 503, or 429 with a retry-after wait.
     #[serde(rename = "limit")]
     pub limit_multiple: f64,
-    /// The wait that is told above the limit; 0 for none.
+    /// Retry-after wait in responses above the limit; 0 for none.
     #[serde(rename = "told_wait")]
     pub retry_after: Period,
-    /// The part of the answers that come spoilt.
+    /// Fraction of the responses that are corrupted.
     #[serde(rename = "spoilt")]
     pub corrupted: Percent,
-    /// One way between senders and endpoints.
+    /// One-way network latency between senders and endpoints.
     pub latency: Period,
-    /// How late discovery's changes come.
+    /// Delay of updates from discovery.
     #[serde(rename = "discovery_late")]
     pub discovery_delay: Period,
-    /// Senders may send one another notes, and so keep a view of who is there.
+    /// Whether the senders run a membership protocol among themselves.
     #[serde(rename = "notes")]
     pub membership_enabled: bool,
-    /// Classes that share the traffic. Without any there is one, by `effect`, `wanted_within` and `abandoned_after`.
+    /// Classes of the traffic. If empty, there is one class with `effect`, `wanted_within` and
+    /// `abandoned_after`.
     #[serde(rename = "class", skip_serializing_if = "Vec::is_empty")]
     pub classes: Vec<TrafficClass>,
-    /// What goes wrong.
+    /// Faults to inject.
     #[serde(rename = "trouble")]
     pub faults: Vec<InjectedFault>,
 }
@@ -137,18 +141,18 @@
     }
 }
 
-/// A class of messages and its part of the traffic.
+/// A class of messages and its share of the traffic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct TrafficClass {
     pub name: String,
-    /// Its part of the messages; the parts of all add up to one, or are taken in proportion.
+    /// Weight of the class in the traffic, relative to the sum over all classes.
     #[serde(rename = "part")]
     pub traffic_share: Percent,
     pub effect: Effect,
     pub wanted_within: Period,
     pub abandoned_after: Period,
-    /// What a message is worth that is delivered in time.
+    /// Value of a message that is delivered in time.
     #[serde(default = "one", rename = "worth")]
     pub value: f64,
 }
@@ -157,24 +161,26 @@
     1.0
 }
 
-/// What goes wrong, when and with how much.
+/// A fault to inject: its kind, time, extent and magnitude.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct InjectedFault {
     pub kind: FaultKind,
-    /// From when on.
+    /// Start of the fault.
     pub at: Period,
-    /// For how long, where that has a meaning.
+    /// Duration, for kinds that have one.
     #[serde(default, rename = "lasts")]
     pub duration: Period,
-    /// The part of the destinations that it meets, those with most traffic first; at least one.
+    /// Fraction of the destinations affected, those with the most traffic first; at least one.
     #[serde(default = "half", rename = "part")]
     pub destination_fraction: Percent,
-    /// The part of the senders that it meets, spread evenly over them; at least one.
+    /// Fraction of the senders affected, spread evenly over them; at least one.
     #[serde(default = "one_whole", rename = "senders")]
     pub sender_fraction: Percent,
-    /// How much: of a burst the multiple of the rate, of slowness that of the service time, of a clock's jump the
-    /// seconds, of a lowered limit what it is divided by, of loss every which call it meets.
+    /// Strength of the fault. For `burst`, the factor on the rate; for `slow`, the factor on the service
+    /// time; for `jump`, the seconds; for `lower`, the divisor of the limit; for `lossy`, one call in this
+    /// many is lost; for `rude`, the connections per tenth of a second. For `shut`, one rejection in this
+    /// many carries a retry-after wait until the end of the outage, if `told_wait` is set.
     #[serde(default = "two", rename = "size")]
     pub magnitude: f64,
 }
@@ -194,58 +200,68 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Endpoints take calls and say nothing; nothing runs. They come back cold.
+    /// Endpoints accept calls and neither execute nor answer them. They recover in slow start.
     Silent,
-    /// Endpoints run what they get and never answer. They come back cold.
+    /// Endpoints execute calls and never answer. They recover in slow start.
     Hung,
-    /// Connections are refused, and those that stood are reset. They come back cold.
+    /// Connections are refused and established ones reset. The destinations recover in slow start.
     Refused,
-    /// Calls are reset after they came; half of them have run. They come back cold.
+    /// Connections are reset after a call arrived; half of the calls have executed. The destinations recover
+    /// in slow start.
     Reset,
-    /// All is answered 503. They come back cold.
+    /// All calls are answered 503. The destinations recover in slow start.
     Shut,
-    /// Nine calls of ten are answered 500; half of those have run. They come back cold.
+    /// Nine calls in ten are answered 500; half of these have executed. The destinations recover in slow
+    /// start.
     Errors,
     /// Service takes `size` times as long.
     Slow,
-    /// The first endpoint of each is drained and replaced by a new one at another address.
+    /// The first endpoint of each destination is drained and replaced by one at a new address.
     Drain,
-    /// As `drain`, and the new one takes the old address; not where `repeats_known_by` is `endpoint`.
+    /// As `drain`, but the new endpoint has the old address. Where `repeats_known_by` is `endpoint` it gets a
+    /// new address, because at the old one senders could not tell it from the old endpoint before discovery
+    /// lists the change.
     Replace,
     /// Senders get SIGTERM, then SIGKILL, and start again.
     Restart,
-    /// Senders are killed and start again.
+    /// Senders get SIGKILL and start again.
     Kill,
-    /// Senders stand still, as under SIGSTOP.
+    /// Senders are suspended, as by SIGSTOP.
     Pause,
-    /// Discovery moves to another address; senders get SIGHUP.
+    /// Discovery moves to another address, and senders get SIGHUP.
     Reload,
-    /// Discovery says nothing.
+    /// Discovery sends nothing to the affected senders.
     Mute,
-    /// The senders' wall clock jumps forward.
+    /// The wall clock of the senders jumps forward.
     Jump,
-    /// More messages come.
+    /// The message rate rises.
     Burst,
-    /// The senders' disks say nothing: an operation that begins meanwhile ends with it, and its process stands still.
+    /// The disks of the senders stall: an operation that begins during the fault completes at its end and
+    /// blocks its process until then.
     Stall,
-    /// Clients that send what can't be read, or half of it, or slowly: `size` connections each tenth of a second.
+    /// Malformed clients send unreadable, incomplete or slow requests, on `size` connections per tenth of a
+    /// second.
     Rude,
-    /// Senders are restarted a tenth at a time, evenly over `lasts`: SIGTERM, then SIGKILL, and every second tenth at once
-    /// SIGKILL.
+    /// Rolling restart: a tenth of the senders at a time, spread evenly over `lasts`, by SIGTERM and then
+    /// SIGKILL; every second tenth gets SIGKILL at once.
     Roll,
-    /// The first room is cut off: between its senders and the endpoints of other rooms, and between those senders and its
-    /// endpoints, nothing arrives before it is over. What was sent meanwhile comes then, as TCP sends it again.
+    /// The first site is partitioned: no data passes between its senders and the endpoints of other sites,
+    /// nor between other senders and its endpoints. Data sent during the partition arrives at its end, as TCP
+    /// retransmits it.
     Cut,
-    /// The destinations' limits are divided by `size`.
+    /// The limits of the destinations are divided by `size`.
     Lower,
-    /// Of the calls every `size`th is lost: its answer never comes, or its connection is reset before or after it ran.
+    /// One call in `size` is lost: its response never arrives, or its connection is reset before or after it
+    /// executed.
     Lossy,
-    /// Clients wait for a tenth of their time, and come again at once, whatever wait they were told.
+    /// Clients time out after a tenth of their normal wait and submit again at once, without regard to
+    /// retry-after waits.
     Impatient,
 }
 
 impl FaultKind {
-    /// Those that random days are drawn from first; what came later is drawn after them, so that a seed's day stays.
+    /// Kinds that `random_scenario` draws first. Later kinds are drawn separately, after these, so that
+    /// adding one leaves the rest of the scenario of a seed unchanged.
     pub const DRAWN_FIRST: [FaultKind; 16] = [
         FaultKind::Silent,
         FaultKind::Hung,
@@ -265,13 +281,13 @@
         FaultKind::Burst,
     ];
 
-    /// Whether destinations are out while it lasts, and come back cold.
+    /// Whether the fault makes destinations unavailable, so that they recover in slow start.
     pub fn is_outage(self) -> bool {
         use FaultKind::*;
         matches!(self, Silent | Hung | Refused | Reset | Shut | Errors)
     }
 
-    /// Whether it does something to customer systems, and is taken back from them at its end.
+    /// Whether the fault acts on destinations and is removed from them at its end.
     pub fn affects_destinations(self) -> bool {
         self.is_outage() || matches!(self, FaultKind::Slow | FaultKind::Lower | FaultKind::Lossy)
     }
@@ -286,20 +302,21 @@
         self.start() + self.duration.0.as_micros() as Us
     }
 
-    /// How many of so many destinations it meets.
+    /// Returns how many of the `destinations` are affected.
     pub fn affected_destinations(&self, destinations: u32) -> u32 {
         ((f64::from(destinations) * self.destination_fraction.0).round() as u32).clamp(1, destinations.max(1))
     }
 
-    /// Whether it meets a sender of so many: every so-manieth, so that all rooms have their part.
+    /// Whether the fault affects the sender with index `sender`. Affected senders are spread evenly over the
+    /// indices, so that every site has its share.
     pub fn affects_sender(&self, sender: usize, senders: usize) -> bool {
-        let part = self.sender_fraction.0.max(1.0 / senders.max(1) as f64);
-        ((sender + 1) as f64 * part + 1e-9).floor() > (sender as f64 * part + 1e-9).floor()
+        let fraction = self.sender_fraction.0.max(1.0 / senders.max(1) as f64);
+        ((sender + 1) as f64 * fraction + 1e-9).floor() > (sender as f64 * fraction + 1e-9).floor()
     }
 }
 
 impl Scenario {
-    /// Its classes, by their numbers: one where the file names none.
+    /// Returns the classes by number; a single default class if the scenario has none.
     pub fn traffic_classes(&self) -> Vec<TrafficClass> {
         if !self.classes.is_empty() {
             return self.classes.clone();
@@ -314,26 +331,30 @@
         }]
     }
 
-    /// The longest that a message may live.
+    /// Longest time until a message of any class expires.
     pub fn max_message_lifetime(&self) -> std::time::Duration {
-        self.traffic_classes().iter().map(|c| c.abandoned_after.0).max().unwrap_or(self.abandoned_after.0)
+        self.traffic_classes()
+            .iter()
+            .map(|class| class.abandoned_after.0)
+            .max()
+            .unwrap_or(self.abandoned_after.0)
     }
 
-    /// The room of the endpoint or sender with that number.
+    /// Site of the endpoint or sender with this number.
     pub fn site_of(&self, number: usize) -> usize {
         number % self.sites.max(1) as usize
     }
 
-    /// What keeps it from being played, in a sentence.
+    /// Checks that all values are in their ranges.
     ///
     /// # Errors
-    /// If a figure is out of its range.
+    /// Returns a message that names the first key whose value is out of range.
     pub fn validate(&self) -> Result<(), String> {
-        let range = |name: &str, n: f64, least: f64, most: f64| {
-            (least..=most)
-                .contains(&n)
+        let range = |name: &str, value: f64, min: f64, max: f64| {
+            (min..=max)
+                .contains(&value)
                 .then_some(())
-                .ok_or(format!("`{name}` is {n}, and goes from {least} to {most}"))
+                .ok_or(format!("`{name}` is {value}, but must be from {min} to {max}"))
         };
         range("length", self.length.0.as_secs_f64(), 0.1, 3_600.0)?;
         range("senders", self.senders.into(), 1.0, 1_000.0)?;
@@ -358,10 +379,10 @@
             range("wanted_within", class.wanted_within.0.as_secs_f64(), 0.001, 3_600.0)?;
             range("abandoned_after", class.abandoned_after.0.as_secs_f64(), 0.01, 3_600.0)?;
         }
-        for trouble in &self.faults {
-            range("part", trouble.destination_fraction.0, 0.0, 1.0)?;
-            range("senders", trouble.sender_fraction.0, 0.0, 1.0)?;
-            range("size", trouble.magnitude, 0.0, 1_000.0)?;
+        for fault in &self.faults {
+            range("part", fault.destination_fraction.0, 0.0, 1.0)?;
+            range("senders", fault.sender_fraction.0, 0.0, 1.0)?;
+            range("size", fault.magnitude, 0.0, 1_000.0)?;
         }
         Ok(())
     }
--- a/crates/proof/nickelshed-model/src/soonest.rs
+++ b/crates/proof/nickelshed-model/src/soonest.rs
@@ -1,95 +1,106 @@
-//! How soon each message could be delivered by one who knows how every destination stands and whom only the destinations'
-//! own pace binds: no slots, no doubt, no trials. It goes no faster than what a cold destination can do, and chooses its
-//! order greedily, so that it is a mark to compare with and no bound: a sender that uses more of what a cold one stands
-//! can come a few hundredths past it.
+//! A reference schedule: how soon each message could be delivered by an oracle that knows the state of every
+//! destination and is limited only by their capacity, without slots, suspicion or probes. It never exceeds
+//! the capacity of a destination in slow start, and orders messages greedily. It is therefore a reference
+//! figure and no upper bound: a sender that uses more of the load that a destination in slow start tolerates
+//! can exceed it by a few hundredths.
 use crate::scenario::{FaultKind, Scenario};
 use crate::system::{SimulatedDestination, SLOW_START_DURATION, START_CAPACITY};
 use crate::traffic::{arrivals, traffic_shares, Arrival};
 use crate::Us;
 
-/// A destination's outages and slow times, as far as it is met.
-struct Times<'a> {
+/// Faults that affect one destination.
+struct FaultTimeline<'a> {
     scenario: &'a Scenario,
     dest: u64,
 }
 
-impl Times<'_> {
-    fn meeting(&self, at: Us) -> impl Iterator<Item = &crate::InjectedFault> {
-        let met = move |t: &&crate::InjectedFault| {
-            self.dest <= u64::from(t.affected_destinations(self.scenario.destinations))
-                && (t.start()..t.end()).contains(&at)
+impl FaultTimeline<'_> {
+    fn active_faults(&self, at: Us) -> impl Iterator<Item = &crate::InjectedFault> {
+        let is_active = move |fault: &&crate::InjectedFault| {
+            self.dest <= u64::from(fault.affected_destinations(self.scenario.destinations))
+                && (fault.start()..fault.end()).contains(&at)
         };
-        self.scenario.faults.iter().filter(met)
+        self.scenario.faults.iter().filter(is_active)
     }
 
-    /// When an outage that is under way then ends.
-    fn out_until(&self, at: Us) -> Option<Us> {
-        self.meeting(at).filter(|t| t.kind.is_outage()).map(|t| t.end()).max()
+    /// Returns when the current outage ends, or None if there is none.
+    fn outage_end(&self, at: Us) -> Option<Us> {
+        self.active_faults(at).filter(|fault| fault.kind.is_outage()).map(|fault| fault.end()).max()
     }
 
-    /// The part of its capacity that it has then, while it is not out.
-    fn able(&self, at: Us) -> f64 {
-        let slow: f64 =
-            self.meeting(at).filter(|t| t.kind == FaultKind::Slow).map(|t| t.magnitude.max(0.01)).product();
-        let met = |t: &&crate::InjectedFault| {
-            t.kind.is_outage()
-                && self.dest <= u64::from(t.affected_destinations(self.scenario.destinations))
-                && t.end() <= at
+    /// Capacity at a time outside outages, as a fraction of the full capacity.
+    fn capacity_fraction(&self, at: Us) -> f64 {
+        let service_time_factor: f64 = self
+            .active_faults(at)
+            .filter(|fault| fault.kind == FaultKind::Slow)
+            .map(|fault| fault.magnitude.max(0.01))
+            .product();
+        let is_past_outage = |fault: &&crate::InjectedFault| {
+            fault.kind.is_outage()
+                && self.dest <= u64::from(fault.affected_destinations(self.scenario.destinations))
+                && fault.end() <= at
         };
-        let back = self.scenario.faults.iter().filter(met).map(|t| t.end()).max();
-        let warm = back.map_or(1.0, |back| ((at - back) as f64 / SLOW_START_DURATION as f64).min(1.0));
-        (START_CAPACITY + (1.0 - START_CAPACITY) * warm) / slow
+        let recovered_at = self.scenario.faults.iter().filter(is_past_outage).map(|fault| fault.end()).max();
+        let slow_start_progress = recovered_at
+            .map_or(1.0, |recovered_at| ((at - recovered_at) as f64 / SLOW_START_DURATION as f64).min(1.0));
+        (START_CAPACITY + (1.0 - START_CAPACITY) * slow_start_progress) / service_time_factor
     }
 }
 
-/// For each message of the day, by its number, the time from when it is handed in; None where its time is up before.
-/// What still is in time goes first, the most urgent before the others; then what is late, the freshest first.
+/// Returns, for each message by number, the time from submission to delivery, or None if it expires first.
+/// Messages that can still meet their target latency go first, the earliest target first; then the late ones,
+/// the most recently submitted first.
 pub fn oracle(scenario: &Scenario, seed: u64) -> Vec<Option<Us>> {
-    let all = arrivals(scenario, seed);
-    let mut out = vec![None; all.len()];
+    let messages = arrivals(scenario, seed);
+    let mut latencies = vec![None; messages.len()];
     let classes: Vec<(Us, Us)> = scenario
         .traffic_classes()
         .iter()
         .map(|c| (c.wanted_within.0.as_micros() as Us, c.abandoned_after.0.as_micros() as Us))
         .collect();
-    let (service, way) = (scenario.service_time.0.as_micros() as Us, scenario.latency.0.as_micros() as Us);
+    let (service_time, one_way_latency) =
+        (scenario.service_time.0.as_micros() as Us, scenario.latency.0.as_micros() as Us);
     for (i, share) in traffic_shares(scenario).iter().enumerate() {
         let dest = i as u64 + 1;
-        let times = Times { scenario, dest };
-        let mut system = SimulatedDestination::new(scenario, scenario.rate * share);
-        (0..scenario.endpoints as usize).for_each(|e| system.add_endpoint(e, 0));
-        let capacity: f64 = system.routes().into_iter().map(|r| system.capacity(r)).sum();
-        let mut coming = all.iter().filter(|a| a.dest == dest).peekable();
-        let mut waiting: Vec<&Arrival> = Vec::new();
+        let faults = FaultTimeline { scenario, dest };
+        let mut destination = SimulatedDestination::new(scenario, scenario.rate * share);
+        (0..scenario.endpoints as usize).for_each(|e| destination.add_endpoint(e, 0));
+        let capacity: f64 = destination.routes().into_iter().map(|r| destination.capacity(r)).sum();
+        let mut pending_arrivals = messages.iter().filter(|a| a.dest == dest).peekable();
+        let mut queue: Vec<&Arrival> = Vec::new();
         let mut now: Us = 0;
         loop {
-            while let Some(arrival) = coming.next_if(|a| a.at <= now) {
-                waiting.push(arrival);
+            while let Some(arrival) = pending_arrivals.next_if(|a| a.at <= now) {
+                queue.push(arrival);
             }
-            if waiting.is_empty() {
-                let Some(next) = coming.peek() else { break };
+            if queue.is_empty() {
+                let Some(next) = pending_arrivals.peek() else { break };
                 now = now.max(next.at);
                 continue;
             }
-            if let Some(until) = times.out_until(now) {
+            if let Some(until) = faults.outage_end(now) {
                 now = until;
                 continue;
             }
-            let able = times.able(now).max(1e-6);
-            let done = now + way * 2 + (service as f64 / able) as Us;
-            waiting.retain(|a| done <= a.at + classes[a.class].1);
+            let capacity_fraction = faults.capacity_fraction(now).max(1e-6);
+            let delivered_at = now + one_way_latency * 2 + (service_time as f64 / capacity_fraction) as Us;
+            queue.retain(|a| delivered_at <= a.at + classes[a.class].1);
             let urgency = |a: &&Arrival| {
-                let wanted = a.at + classes[a.class].0;
-                // Those in time by their end, then the others by their age.
-                (done > wanted, if done > wanted { Us::MAX - a.at } else { wanted }, a.message)
+                let target = a.at + classes[a.class].0;
+                // Messages in time sort by their target, late ones by their age.
+                (
+                    delivered_at > target,
+                    if delivered_at > target { Us::MAX - a.at } else { target },
+                    a.message,
+                )
             };
-            let Some(best) = (0..waiting.len()).min_by_key(|&i| urgency(&waiting[i])) else { continue };
-            let arrival = waiting.swap_remove(best);
-            out[arrival.message as usize] = Some(done - arrival.at);
-            now += (1e6 / (capacity * able).max(1e-6)) as Us;
+            let Some(next_index) = (0..queue.len()).min_by_key(|&i| urgency(&queue[i])) else { continue };
+            let arrival = queue.swap_remove(next_index);
+            latencies[arrival.message as usize] = Some(delivered_at - arrival.at);
+            now += (1e6 / (capacity * capacity_fraction).max(1e-6)) as Us;
         }
     }
-    out
+    latencies
 }
 
 #[cfg(test)]
@@ -98,22 +109,23 @@
     use crate::InjectedFault;
     use nickelshed_config::units::{Percent, Period};
 
-    fn day(troubles: Vec<InjectedFault>) -> Scenario {
-        Scenario { length: Period::ms(20_000), destinations: 4, faults: troubles, ..Scenario::default() }
+    fn scenario_with(faults: Vec<InjectedFault>) -> Scenario {
+        Scenario { length: Period::ms(20_000), destinations: 4, faults, ..Scenario::default() }
     }
 
     #[test]
-    fn where_nothing_is_short_nearly_all_is_as_soon_as_the_service() {
-        // Clumps come faster than any destination works.
-        let found = oracle(&Scenario { limit_multiple: 0.0, clumps: Percent(0.0), ..day(Vec::new()) }, 1);
-        let at_once = found.iter().flatten().filter(|t| **t == 180_000).count();
-        assert!(at_once * 2 > found.len(), "{at_once} of {}", found.len());
-        assert!(found.iter().all(|t| t.is_some_and(|t| t >= 180_000)));
+    fn without_contention_most_messages_take_only_the_service_time() {
+        // Without clumps, which arrive faster than any destination can serve them.
+        let latencies =
+            oracle(&Scenario { limit_multiple: 0.0, clumps: Percent(0.0), ..scenario_with(Vec::new()) }, 1);
+        let immediate = latencies.iter().flatten().filter(|t| **t == 180_000).count();
+        assert!(immediate * 2 > latencies.len(), "{immediate} of {}", latencies.len());
+        assert!(latencies.iter().all(|t| t.is_some_and(|t| t >= 180_000)));
     }
 
     #[test]
-    fn nothing_is_delivered_in_an_outage_and_after_it_no_more_than_the_destination_can_do() {
-        let trouble = InjectedFault {
+    fn nothing_is_delivered_in_an_outage_and_slow_start_limits_the_rate_after_it() {
+        let fault = InjectedFault {
             kind: FaultKind::Silent,
             at: Period::ms(2_000),
             duration: Period::ms(6_000),
@@ -121,15 +133,17 @@
             sender_fraction: Percent(1.0),
             magnitude: 1.0,
         };
-        let scenario = day(vec![trouble]);
-        let found = oracle(&scenario, 1);
-        let all = arrivals(&scenario, 1);
-        let done: Vec<Us> = all.iter().filter_map(|a| Some(a.at + found[a.message as usize]?)).collect();
+        let scenario = scenario_with(vec![fault]);
+        let latencies = oracle(&scenario, 1);
+        let messages = arrivals(&scenario, 1);
+        let delivered_at: Vec<Us> =
+            messages.iter().filter_map(|a| Some(a.at + latencies[a.message as usize]?)).collect();
         let service = 20_000 + 160_000;
-        assert!(done.iter().all(|t| !(2_000_000 + service..8_000_000 + service).contains(t)));
-        // All four together have 1.5 times the rate, and a quarter of that in the first second after.
-        let first = done.iter().filter(|t| (8_000_000..9_000_000).contains(*t)).count();
-        assert!(first <= 30, "{first}");
-        assert!(found.iter().any(Option::is_none) || found.iter().flatten().any(|t| *t > 3_000_000));
+        assert!(delivered_at.iter().all(|t| !(2_000_000 + service..8_000_000 + service).contains(t)));
+        // The four destinations together have 1.5 times the message rate, and about a quarter of that in the
+        // first second after the outage.
+        let first_second = delivered_at.iter().filter(|t| (8_000_000..9_000_000).contains(*t)).count();
+        assert!(first_second <= 30, "{first_second}");
+        assert!(latencies.iter().any(Option::is_none) || latencies.iter().flatten().any(|t| *t > 3_000_000));
     }
 }
--- a/crates/proof/nickelshed-model/src/traffic.rs
+++ b/crates/proof/nickelshed-model/src/traffic.rs
@@ -1,4 +1,5 @@
-//! What clients hand in: when, for whom, in clumps and bursts. Drawn ahead, so that it does not depend on answers.
+//! Traffic that clients submit, with clumps and bursts. It is drawn in advance, so that it does not depend on
+//! the responses.
 use crate::scenario::{FaultKind, Scenario};
 use crate::{random_stream, Us};
 use rand::RngExt;
@@ -10,47 +11,47 @@
     pub sender: usize,
     /// Counts from 1.
     pub dest: u64,
-    /// By `Scenario::mix`.
+    /// Index into `Scenario::traffic_classes`.
     pub class: usize,
 }
 
-/// The share of the traffic that each destination has, the largest first; they add up to 1.
+/// Fraction of the traffic that each destination gets, the largest first. The fractions add up to 1.
 pub fn traffic_shares(scenario: &Scenario) -> Vec<f64> {
-    let raw: Vec<f64> = (1..=scenario.destinations).map(|i| f64::from(i).powf(-scenario.skew)).collect();
-    let all: f64 = raw.iter().sum();
-    raw.into_iter().map(|r| r / all).collect()
+    let weights: Vec<f64> = (1..=scenario.destinations).map(|i| f64::from(i).powf(-scenario.skew)).collect();
+    let total: f64 = weights.iter().sum();
+    weights.into_iter().map(|weight| weight / total).collect()
 }
 
-/// All messages of a day in the order of their times.
+/// All messages of a run in the order of their times.
 pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let mut random = random_stream(seed, 1);
     let shares = traffic_shares(scenario);
-    let pick = |random: &mut crate::Random| {
-        let mut left: f64 = random.random();
+    let random_destination = |random: &mut crate::Random| {
+        let mut remaining: f64 = random.random();
         let at = shares.iter().position(|share| {
-            left -= share;
-            left < 0.0
+            remaining -= share;
+            remaining < 0.0
         });
         at.unwrap_or(shares.len() - 1) as u64 + 1
     };
     let end = scenario.length.0.as_micros() as Us;
-    let mut out: Vec<Arrival> = Vec::new();
+    let mut messages: Vec<Arrival> = Vec::new();
     let mut now = 0.0f64;
     while (now as Us) < end {
         let burst = scenario.faults.iter().filter(|t| t.kind == FaultKind::Burst);
-        let times: f64 =
+        let rate_factor: f64 =
             burst.filter(|t| (t.start()..t.end()).contains(&(now as Us))).map(|t| t.magnitude).product();
-        // Clumps bring their messages beside those that come one by one.
-        let rate = (scenario.rate * times * (1.0 - scenario.clumps.0)).max(0.01);
+        // Clump messages come in addition to the single arrivals, so their fraction is taken off the rate.
+        let rate = (scenario.rate * rate_factor * (1.0 - scenario.clumps.0)).max(0.01);
         now += -(1.0 - random.random::<f64>()).ln() / rate * 1e6;
         let sender = random.random_range(0..scenario.senders as usize);
-        let dest = pick(&mut random);
-        out.push(Arrival { at: now as Us, message: 0, sender, dest, class: 0 });
-        // A clump is about as much as its destination takes in two seconds.
-        let size = (2.0 * scenario.rate * shares[dest as usize - 1]).max(2.0);
-        let part = scenario.clumps.0 / (1.0 - scenario.clumps.0).max(0.01) / size;
-        if random.random::<f64>() < part {
-            out.extend((0..size as u64).map(|i| Arrival {
+        let dest = random_destination(&mut random);
+        messages.push(Arrival { at: now as Us, message: 0, sender, dest, class: 0 });
+        // A clump has about as many messages as its destination gets in two seconds on average.
+        let clump_size = (2.0 * scenario.rate * shares[dest as usize - 1]).max(2.0);
+        let clump_probability = scenario.clumps.0 / (1.0 - scenario.clumps.0).max(0.01) / clump_size;
+        if random.random::<f64>() < clump_probability {
+            messages.extend((0..clump_size as u64).map(|i| Arrival {
                 at: now as Us + i * 2_000,
                 message: 0,
                 sender,
@@ -59,21 +60,21 @@
             }));
         }
     }
-    out.retain(|a| a.at < end);
-    out.sort_by_key(|a| (a.at, a.sender, a.dest));
-    // From a stream of their own: what classes there are changes nothing for times and destinations.
+    messages.retain(|a| a.at < end);
+    messages.sort_by_key(|a| (a.at, a.sender, a.dest));
+    // Classes have their own random stream, so that they do not change times and destinations.
     let mut random = random_stream(seed, 4);
-    let parts: Vec<f64> = scenario.traffic_classes().iter().map(|c| c.traffic_share.0).collect();
-    for (message, arrival) in out.iter_mut().enumerate() {
+    let class_shares: Vec<f64> = scenario.traffic_classes().iter().map(|c| c.traffic_share.0).collect();
+    for (message, arrival) in messages.iter_mut().enumerate() {
         arrival.message = message as u64;
-        let mut left = random.random::<f64>() * parts.iter().sum::<f64>();
-        let class = parts.iter().position(|part| {
-            left -= part;
-            left < 0.0
+        let mut remaining = random.random::<f64>() * class_shares.iter().sum::<f64>();
+        let class = class_shares.iter().position(|share| {
+            remaining -= share;
+            remaining < 0.0
         });
-        arrival.class = class.unwrap_or(parts.len() - 1);
+        arrival.class = class.unwrap_or(class_shares.len() - 1);
     }
-    out
+    messages
 }
 
 #[cfg(test)]
@@ -81,7 +82,7 @@
     use super::*;
 
     #[test]
-    fn as_many_come_as_the_rate_says_and_the_same_each_time() {
+    fn arrivals_match_the_rate_and_are_reproducible_by_seed() {
         let scenario =
             Scenario { length: nickelshed_config::units::Period::ms(200_000), ..Scenario::default() };
         let first = arrivals(&scenario, 7);
