--- a/crates/proof/nickelshed-judge/src/event.rs
+++ b/crates/proof/nickelshed-judge/src/event.rs
@@ -9,8 +9,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
+    /// May take effect more than once.
     Safe,
+    /// Has a key by which the destination drops repeats.
     Keyed,
+    /// Must not take effect twice, and the destination does not drop repeats.
     Unsafe,
 }
 
@@ -18,9 +21,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DedupScope {
+    /// All endpoints of the destination.
     #[default]
     Everywhere,
+    /// The endpoints at the same site.
     InTheRoom,
+    /// Only the endpoint that executed the message.
     AtTheEndpoint,
 }
 
@@ -104,6 +110,7 @@
         #[serde(rename = "open")]
         accepts_calls: bool,
     },
+    /// A destination became unavailable.
     OutageBegan {
         dest: u64,
         #[serde(skip_serializing_if = "Option::is_none")]
@@ -132,7 +139,7 @@
     },
     /// A sender received SIGTERM or SIGKILL.
     Going { sender: usize },
-    /// A sender's process exited. Retry-after waits reported to it are void, because they are not persisted.
+    /// The process of a sender exited. Retry-after waits reported to it no longer apply.
     Ended { sender: usize },
     /// A sender's process is suspended for `duration`.
     Stopped {
--- a/crates/proof/nickelshed-model/src/traffic.rs
+++ b/crates/proof/nickelshed-model/src/traffic.rs
@@ -9,7 +9,7 @@
     pub at: Us,
     pub message: u64,
     pub sender: usize,
-    /// Counts from 1.
+    /// Numbered from 1.
     pub dest: u64,
     /// Index into `Scenario::traffic_classes`.
     pub class: usize,
