--- a/crates/proof/nickelshed-judge/src/account.rs
+++ b/crates/proof/nickelshed-judge/src/account.rs
@@ -1,7 +1,7 @@
 //! Accounts for slot time and message latency by the state of the destinations. The result shows which losses
 //! a change of routing, limits or retries can reduce.
 use crate::event::{CallEnd, Event, EventKind, Us};
-use crate::worth::ValueFunction;
+use crate::score::ValueFunction;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/proof/nickelshed-judge/src/lib.rs
+++ b/crates/proof/nickelshed-judge/src/lib.rs
@@ -3,9 +3,9 @@
 mod account;
 mod event;
 mod rules;
-mod worth;
+mod score;
 
 pub use account::{account_time, DestinationState, MessagePhase, TimeAccount};
 pub use event::{CallEnd, DedupScope, Effect, Event, EventKind, Us};
 pub use rules::{judge, Rule, RuleParameters, Violation};
-pub use worth::{score, LossReason, ScoreReport, ValueFunction};
+pub use score::{score, LossReason, ScoreReport, ValueFunction};
--- a/crates/proof/nickelshed-model/src/lib.rs
+++ b/crates/proof/nickelshed-model/src/lib.rs
@@ -1,16 +1,16 @@
 //! Simulated destinations, the clients that submit messages, and their traffic, as pure state: limits,
 //! queues, outages and slow starts. The caller passes in the time; random numbers come from seeded streams.
 //! Does no I/O.
-mod draw;
+mod destination;
+mod oracle;
+mod random_scenario;
 mod scenario;
-mod soonest;
-mod system;
 mod traffic;
 
-pub use draw::{random_large_scenario, random_scenario};
+pub use destination::{CallMessage, CallOutcome, CallResult, SimulatedDestination};
+pub use oracle::oracle;
+pub use random_scenario::{random_large_scenario, random_scenario};
 pub use scenario::{FaultKind, InjectedFault, Scenario, TrafficClass};
-pub use soonest::oracle;
-pub use system::{CallMessage, CallOutcome, CallResult, SimulatedDestination};
 pub use traffic::{arrivals, traffic_shares, Arrival};
 
 use rand::SeedableRng;
--- a/crates/proof/nickelshed-model/src/soonest.rs
+++ b/crates/proof/nickelshed-model/src/oracle.rs
@@ -3,8 +3,8 @@
 //! the capacity of a destination in slow start, and orders messages greedily. It is therefore a reference
 //! figure and no upper bound: a sender that uses more of the load that a destination in slow start tolerates
 //! can exceed it by a few hundredths.
+use crate::destination::{SimulatedDestination, SLOW_START_DURATION, START_CAPACITY};
 use crate::scenario::{FaultKind, Scenario};
-use crate::system::{SimulatedDestination, SLOW_START_DURATION, START_CAPACITY};
 use crate::traffic::{arrivals, traffic_shares, Arrival};
 use crate::Us;
 
