--- a/crates/proof/nickelshed-judge/src/event.rs
+++ b/crates/proof/nickelshed-judge/src/event.rs
@@ -1,147 +1,159 @@
-//! What is seen on the wire: by clients, customer systems, discovery and the platform. Nothing here is told by a sender
-//! of itself.
+//! Events of a run as observed by clients, simulated destinations, discovery and the platform. No event is
+//! reported by a sender about itself.
 use serde::Serialize;
 
-/// Microseconds since the start of the day.
+/// Microseconds since the start of the run.
 pub type Us = u64;
 
-/// What a message's class lets happen twice.
+/// How often a message of a class may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
+    /// May take effect more than once.
     Safe,
+    /// Has a key by which the destination drops repeats.
     Keyed,
+    /// Must not take effect twice, and the destination does not drop repeats.
     Unsafe,
 }
 
-/// Which endpoints of a destination know a repeat of a keyed message.
+/// The endpoints of a destination that recognise and drop a repeat of a keyed message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Known {
+pub enum DedupScope {
+    /// All endpoints of the destination.
     #[default]
     Everywhere,
+    /// The endpoints at the same site.
     InTheRoom,
+    /// Only the endpoint that executed the message.
     AtTheEndpoint,
 }
 
-/// How a call ended, as its endpoint saw it.
+/// How a call ended, as observed by its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
-    /// The first line of an answer was written; a wait that it told, in microseconds.
-    Answered { status: u16, wait: Us },
-    /// What was written can't be read as an answer.
+pub enum CallEnd {
+    /// The status line of a response was written. `retry_after` is the wait that it requested, in
+    /// microseconds, or 0.
+    Answered {
+        status: u16,
+        #[serde(rename = "wait")]
+        retry_after: Us,
+    },
+    /// The bytes written cannot be parsed as a response.
     Spoilt,
-    /// The connection ended, by whichever side. When its sender ended it, at the time it did.
+    /// Either side closed the connection. If the sender closed it, the event has the time at which the sender
+    /// did so.
     Closed,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
-pub enum What {
-    /// A client has written a request's last byte. `message` is the same when it hands in again.
+pub enum EventKind {
+    /// A client wrote the last byte of a submission. `message` stays the same when the client submits the
+    /// message again.
     HandedIn {
         sender: usize,
         id: String,
         message: u64,
-        /// Its class, by which worth is counted.
+        /// Number of the class, an index into the `classes` that `score` and `account_time` take.
         class: usize,
         effect: Effect,
         dest: u64,
-        expires: Us,
-    },
-    /// The client has read its answer; 0 if the connection ended without one.
-    Heard {
-        id: String,
-        status: u16,
-    },
-    /// The client has waited long enough and closed.
-    Left {
-        id: String,
-    },
-    /// A call's last byte has come. `first_byte`: when its sender wrote the first.
+        /// Time from submission until the message expires.
+        #[serde(rename = "expires")]
+        lifetime: Us,
+    },
+    /// The client read the response; `status` is 0 if the connection ended without one.
+    Heard { id: String, status: u16 },
+    /// The client timed out and closed its connection.
+    Left { id: String },
+    /// The last byte of a call arrived at its endpoint. `first_byte` is the time at which the sender wrote
+    /// the first byte.
     Call {
         call: u64,
         sender: usize,
         endpoint: usize,
         dest: u64,
-        /// The endpoint, where a destination's endpoints are routes apart; then waits and returns count for it alone.
+        /// The endpoint, if each endpoint is a separate route; retry-after waits and recoveries then apply to
+        /// this endpoint alone.
         #[serde(skip_serializing_if = "Option::is_none")]
         route: Option<usize>,
-        room: usize,
+        #[serde(rename = "room")]
+        site: usize,
         ids: Vec<String>,
-        /// What it costs its endpoint, in messages that come alone: several in one call cost less than each by itself.
+        /// Cost to the endpoint in units of one single-message call. A batch costs less than its messages
+        /// sent one by one.
         work: f64,
         first_byte: Us,
     },
+    /// A call ended.
     Over {
         call: u64,
         #[serde(flatten)]
-        how: How,
-    },
-    /// It took effect; a repeat that its destination dropped did not.
-    Ran {
-        id: String,
-        message: u64,
+        end: CallEnd,
     },
-    /// A sender tried to reach a destination and was refused, or found nobody.
+    /// A message took effect. A repeat that the destination dropped has no such event.
+    Ran { id: String, message: u64 },
+    /// A sender's connection attempt to a destination was refused or found no listener.
     Unreached {
         sender: usize,
         dest: u64,
         #[serde(skip_serializing_if = "Option::is_none")]
         route: Option<usize>,
     },
-    /// Discovery has written to a sender whether an endpoint takes new work.
+    /// Discovery notified a sender whether an endpoint accepts new calls.
     Told {
         sender: usize,
         endpoint: usize,
-        open: bool,
+        #[serde(rename = "open")]
+        accepts_calls: bool,
     },
+    /// A destination became unavailable.
     OutageBegan {
         dest: u64,
         #[serde(skip_serializing_if = "Option::is_none")]
         route: Option<usize>,
     },
-    /// `capacity`: messages a second that it takes once it is warm.
+    /// A destination recovered. `capacity` is the number of messages per second that it serves once warmed
+    /// up.
     OutageEnded {
         dest: u64,
         #[serde(skip_serializing_if = "Option::is_none")]
         route: Option<usize>,
         capacity: f64,
     },
-    /// It was sent more than it could stand while cold, and stays down.
+    /// A recovering destination was overloaded, collapsed, and stays unavailable.
     FellOver {
         dest: u64,
         #[serde(skip_serializing_if = "Option::is_none")]
         route: Option<usize>,
     },
+    /// A sender reported the outcome of a message; `returned` is true if it was returned unexecuted.
     Notice {
         sender: usize,
         id: String,
-        handed_back: bool,
-    },
-    /// A sender was told to end, or was killed.
-    Going {
-        sender: usize,
-    },
-    /// Its process has ended, and what that was told with it.
-    Ended {
-        sender: usize,
-    },
-    /// Its process stands still for so long.
+        #[serde(rename = "handed_back")]
+        returned: bool,
+    },
+    /// A sender received SIGTERM or SIGKILL.
+    Going { sender: usize },
+    /// The process of a sender exited. Retry-after waits reported to it no longer apply.
+    Ended { sender: usize },
+    /// A sender's process is suspended for `duration`.
     Stopped {
         sender: usize,
-        time: Us,
-    },
-    /// It has answered that it may be used.
-    Up {
-        sender: usize,
+        #[serde(rename = "time")]
+        duration: Us,
     },
+    /// A sender answered its health check as ready.
+    Up { sender: usize },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Event {
     pub at: Us,
     #[serde(flatten)]
-    pub what: What,
+    pub kind: EventKind,
 }
--- a/crates/proof/nickelshed-judge/src/lib.rs
+++ b/crates/proof/nickelshed-judge/src/lib.rs
@@ -1,11 +1,11 @@
-//! The judge: from what was seen on the wire it decides which of the six rules were broken, when and by which events,
-//! and what the day was worth. It knows nothing of the sender and does no I/O.
+//! Checks a history of observed events against the six delivery rules, scores the value that a run delivered
+//! and accounts for slot time and message latency. Independent of the sender's code; does no I/O.
 mod account;
 mod event;
 mod rules;
-mod worth;
+mod score;
 
-pub use account::{account, Account, Doing, State};
-pub use event::{Effect, Event, How, Known, Us, What};
-pub use rules::{judge, Broken, Figures, Rule};
-pub use worth::{reckon, Reckoning, Why, Worth};
+pub use account::{account_time, DestinationState, MessagePhase, TimeAccount};
+pub use event::{CallEnd, DedupScope, Effect, Event, EventKind, Us};
+pub use rules::{judge, Rule, RuleParameters, Violation};
+pub use score::{score, LossReason, ScoreReport, ValueFunction};
--- a/crates/proof/nickelshed-lab/src/fake_servers.rs
+++ b/crates/proof/nickelshed-lab/src/fake_servers.rs
@@ -7,8 +7,8 @@
 use base64::Engine;
 use nickelshed_config::sidecar::Effect;
 use nickelshed_host::{Host, Listener};
-use nickelshed_judge::{Effect as CheckedEffect, How, Us, What};
-use nickelshed_model::{Arrival, Call, Happened, Mix, System};
+use nickelshed_judge::{CallEnd, Effect as CheckedEffect, EventKind, Us};
+use nickelshed_model::{Arrival, CallMessage, CallOutcome, SimulatedDestination, TrafficClass};
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -36,9 +36,9 @@
     let ip = loopback_ip(2, number);
     let address = replaced.map_or(SocketAddr::from((ip, 5000)), |old| old.address);
     sim.network.close_listener(address);
-    let site = replaced.map_or(sim.scenario.room(number), |old| old.site);
+    let site = replaced.map_or(sim.scenario.site_of(number), |old| old.site);
     sim.endpoint_sites.borrow_mut().insert(number, site);
-    sim.destinations[&dest].system.borrow_mut().add(number, site);
+    sim.destinations[&dest].system.borrow_mut().add_endpoint(number, site);
     listen(sim, dest, number, address).await;
     (number, ListedEndpoint { name: format!("e-{number}"), address, dest, site, lifecycle: "Ready" })
 }
@@ -96,66 +96,66 @@
         let (calls, sender) = if is_batch { batch_messages(&request.body) } else { single_message(&request) };
         let ids: Vec<String> = calls.iter().map(|c| c.id.clone()).collect();
         let route = sim.destinations[&dest].system.borrow().route_of(endpoint);
-        sim.record(What::Call {
+        sim.record(EventKind::Call {
             call: call_id,
             sender,
             endpoint,
             dest,
             route,
-            room: sim.endpoint_sites.borrow().get(&endpoint).copied().unwrap_or(0),
+            site: sim.endpoint_sites.borrow().get(&endpoint).copied().unwrap_or(0),
             ids: ids.clone(),
-            work: System::work(calls.len()),
+            work: SimulatedDestination::call_cost(calls.len()),
             first_byte: sim.to_us(request.first_byte),
         });
         let outcome = {
             let mut random = sim.random.borrow_mut();
             let mut system = sim.destinations[&dest].system.borrow_mut();
-            let had_collapsed = system.has_fallen(endpoint);
-            let outcome = system.call(sim.now(), endpoint, &calls, &mut random);
-            if system.has_fallen(endpoint) && !had_collapsed {
-                sim.record(What::FellOver { dest, route });
+            let had_collapsed = system.has_collapsed(endpoint);
+            let outcome = system.handle_call(sim.now(), endpoint, &calls, &mut random);
+            if system.has_collapsed(endpoint) && !had_collapsed {
+                sim.record(EventKind::FellOver { dest, route });
             }
             outcome
         };
-        for (id, ran) in ids.iter().zip(&outcome.ran) {
+        for (id, ran) in ids.iter().zip(&outcome.executions) {
             let Some((at, true)) = *ran else { continue };
             let (sim, id, message) = (sim.clone(), id.clone(), message_number(id));
             spawn_local(async move {
                 sleep_until(sim.to_instant(at)).await;
-                sim.record(What::Ran { id, message });
+                sim.record(EventKind::Ran { id, message });
             });
         }
-        let at = match outcome.happened {
-            Happened::Answered { at, .. } | Happened::Spoilt { at } | Happened::Reset { at } => {
+        let at = match outcome.outcome {
+            CallOutcome::Answered { at, .. } | CallOutcome::Corrupted { at } | CallOutcome::Reset { at } => {
                 sim.to_instant(at)
             }
-            Happened::Nothing => Instant::now() + Duration::from_secs(3_600),
+            CallOutcome::NoAnswer => Instant::now() + Duration::from_secs(3_600),
         };
         // A sender that has closed the connection has cancelled the call, even if the close has not reached
         // the endpoint yet.
-        let record_end = |connection: &HttpConnection, how: How| {
+        let record_end = |connection: &HttpConnection, how: CallEnd| {
             let closed_at =
                 connection.stream.peer_ended_at().map(|at| sim.to_us(at)).filter(|at| *at <= sim.now());
-            let (at, how) = closed_at.map_or((sim.now(), how), |at| (at, How::Closed));
-            sim.record_at(at, What::Over { call: call_id, how });
+            let (at, how) = closed_at.map_or((sim.now(), how), |at| (at, CallEnd::Closed));
+            sim.record_at(at, EventKind::Over { call: call_id, end: how });
         };
         tokio::select! {
             biased;
             () = reset_signal.notified() => {
-                record_end(&connection, How::Closed);
+                record_end(&connection, CallEnd::Closed);
                 return connection.stream.reset();
             }
-            () = connection.closed_by_peer() => return record_end(&connection, How::Closed),
+            () = connection.closed_by_peer() => return record_end(&connection, CallEnd::Closed),
             () = sleep_until(at) => {}
         }
-        match outcome.happened {
-            Happened::Answered { status, wait, .. } => {
+        match outcome.outcome {
+            CallOutcome::Answered { status, retry_after: wait, .. } => {
                 // An answer that a partition blocks reports no wait to the sender.
                 let wait = if connection.stream.is_partitioned() { 0 } else { wait };
-                record_end(&connection, How::Answered { status, wait });
+                record_end(&connection, CallEnd::Answered { status, retry_after: wait });
                 reported_wait =
                     (wait > 0).then(|| (sim.last_event_index(), Instant::now() + sim.scenario.latency.0));
-                let report = sim.destinations[&dest].system.borrow_mut().report(sim.now(), endpoint);
+                let report = sim.destinations[&dest].system.borrow_mut().load_report(sim.now(), endpoint);
                 let load_report = report.map_or(String::new(), |(x0, x1)| {
                     format!("Endpoint-Load-Metrics: TEXT x0={x0:.3}, x1={x1:.3}\r\n")
                 });
@@ -176,14 +176,14 @@
                     return;
                 }
             }
-            Happened::Spoilt { .. } => {
-                record_end(&connection, How::Spoilt);
+            CallOutcome::Corrupted { .. } => {
+                record_end(&connection, CallEnd::Spoilt);
                 if !connection.write(CORRUPTED_ANSWER).await {
                     return;
                 }
             }
-            Happened::Reset { .. } | Happened::Nothing => {
-                record_end(&connection, How::Closed);
+            CallOutcome::Reset { .. } | CallOutcome::NoAnswer => {
+                record_end(&connection, CallEnd::Closed);
                 return connection.stream.reset();
             }
         }
@@ -191,17 +191,18 @@
 }
 
 /// Returns the message of a call that carries one, and its sender.
-fn single_message(request: &HttpMessage) -> (Vec<Call>, usize) {
+fn single_message(request: &HttpMessage) -> (Vec<CallMessage>, usize) {
     let id = request.header("x-trace-id").unwrap_or_default().to_string();
     let key = request.header("idempotency-key").map(str::to_string);
-    (vec![Call { id, key }], sender_of_body(&request.body))
+    (vec![CallMessage { id, key }], sender_of_body(&request.body))
 }
 
 /// Returns the messages of a batch call and their sender; no messages if the body is not valid JSON.
-fn batch_messages(body: &[u8]) -> (Vec<Call>, usize) {
+fn batch_messages(body: &[u8]) -> (Vec<CallMessage>, usize) {
     let messages: Vec<Value> = serde_json::from_slice(body).unwrap_or_default();
     let field = |message: &Value, name: &str| message.get(name).and_then(Value::as_str).map(str::to_string);
-    let parse_call = |message: &Value| Some(Call { id: field(message, "id")?, key: field(message, "key") });
+    let parse_call =
+        |message: &Value| Some(CallMessage { id: field(message, "id")?, key: field(message, "key") });
     let first_body = messages.first().and_then(|message| field(message, "body")).unwrap_or_default();
     let first_body = base64::engine::general_purpose::STANDARD.decode(first_body).unwrap_or_default();
     (messages.iter().filter_map(parse_call).collect(), sender_of_body(&first_body))
@@ -266,7 +267,7 @@
     for line in String::from_utf8_lossy(&request.body).lines() {
         let Ok(notice) = serde_json::from_str::<Value>(line) else { continue };
         let id = notice["message"].as_str().unwrap_or_default().to_string();
-        sim.record(What::Notice { sender, id, handed_back: notice["outcome"] == "handed_back" });
+        sim.record(EventKind::Notice { sender, id, returned: notice["outcome"] == "handed_back" });
     }
 }
 
@@ -308,7 +309,7 @@
     let since = requested_version.filter(|requested| *requested as usize <= generation).unwrap_or(0) as usize;
     let entries = sim.latest_entries(sender, since..generation, is_full_list);
     for (endpoint, (_, open)) in &entries {
-        sim.record(What::Told { sender, endpoint: *endpoint, open: *open });
+        sim.record(EventKind::Told { sender, endpoint: *endpoint, accepts_calls: *open });
     }
     agent.sent_version.set(generation);
     let instances: Vec<Value> = entries.into_values().map(|(entry, _)| entry).collect();
@@ -337,7 +338,7 @@
     pub simulation: Rc<Simulation>,
     pub host: LabHost,
     pub idle_connections: RefCell<Vec<Vec<HttpConnection>>>,
-    pub classes: Vec<Mix>,
+    pub classes: Vec<TrafficClass>,
 }
 
 impl Clients {
@@ -361,7 +362,9 @@
                 Some((status @ (0 | 429 | 503), retry_after)) => {
                     failed_submissions += 1;
                     // A message without an answer (status 0) is resubmitted too, under a new id.
-                    if failed_submissions > sim.scenario.retries && status != 0 || failed_submissions > 3 {
+                    if failed_submissions > sim.scenario.client_retries && status != 0
+                        || failed_submissions > 3
+                    {
                         return;
                     }
                     let delay = if sim.are_clients_impatient() {
@@ -410,14 +413,14 @@
             if !connection.write(&request).await {
                 continue;
             }
-            sim.record(What::HandedIn {
+            sim.record(EventKind::HandedIn {
                 sender: arrival.sender,
                 id: id.to_string(),
                 message: arrival.message,
                 class: arrival.class,
                 effect,
                 dest: arrival.dest,
-                expires: time_left.as_micros() as Us,
+                lifetime: time_left.as_micros() as Us,
             });
             let answer_timeout =
                 if sim.are_clients_impatient() { CLIENT_TIMEOUT / 10 } else { CLIENT_TIMEOUT };
@@ -428,18 +431,18 @@
             };
             match answer {
                 None => {
-                    sim.record(What::Left { id: id.to_string() });
+                    sim.record(EventKind::Left { id: id.to_string() });
                     return Some((0, None));
                 }
                 // The sender closed the connection while it was idle: the request is sent on a new one.
                 Some(None) if is_reused => continue,
                 Some(None) => {
-                    sim.record(What::Heard { id: id.to_string(), status: 0 });
+                    sim.record(EventKind::Heard { id: id.to_string(), status: 0 });
                     return Some((0, None));
                 }
                 Some(Some(answer)) => {
                     let status = answer.status();
-                    sim.record(What::Heard { id: id.to_string(), status });
+                    sim.record(EventKind::Heard { id: id.to_string(), status });
                     let retry_after = answer.header("retry-after").and_then(|a| a.parse::<f64>().ok());
                     if answer.header("connection").is_none_or(|c| !c.eq_ignore_ascii_case("close")) {
                         self.idle_connections.borrow_mut()[arrival.sender].push(connection);
--- a/crates/proof/nickelshed-lab/src/malformed_clients.rs
+++ b/crates/proof/nickelshed-lab/src/malformed_clients.rs
@@ -4,7 +4,7 @@
 use crate::http::HttpConnection;
 use crate::simulation::Simulation;
 use nickelshed_host::{Host, Stream};
-use nickelshed_model::{stream, Random, Trouble};
+use nickelshed_model::{random_stream, InjectedFault, Random};
 use rand::{Rng, RngExt};
 use std::rc::Rc;
 use std::time::Duration;
@@ -36,13 +36,13 @@
 ];
 
 /// Sends `size` malformed requests to each sender every 100 ms while the fault lasts.
-pub async fn send_malformed_requests(sim: Rc<Simulation>, fault: Trouble, seed: u64) {
-    let mut random = stream(seed, 5);
-    let until = sim.to_instant(fault.to());
-    let class = sim.scenario.mix().first().map_or(String::new(), |c| c.name.clone());
+pub async fn send_malformed_requests(sim: Rc<Simulation>, fault: InjectedFault, seed: u64) {
+    let mut random = random_stream(seed, 5);
+    let until = sim.to_instant(fault.end());
+    let class = sim.scenario.traffic_classes().first().map_or(String::new(), |c| c.name.clone());
     while Instant::now() < until {
         for sender in 0..sim.scenario.senders as usize {
-            for _ in 0..fault.size.round().max(1.0) as usize {
+            for _ in 0..fault.magnitude.round().max(1.0) as usize {
                 let bytes = random_request(&mut random, &class);
                 let ends_sending = random.random::<bool>();
                 spawn_local(send_malformed_request(sim.clone(), sender, bytes, ends_sending));
--- a/crates/proof/nickelshed-lab/src/process.rs
+++ b/crates/proof/nickelshed-lab/src/process.rs
@@ -7,7 +7,7 @@
 use nickelshed::{serve, ConfigSource, EnvironmentVariables, Operator, Signals};
 use nickelshed_host::Host;
 use nickelshed_journal::Storage;
-use nickelshed_judge::{Us, What};
+use nickelshed_judge::{EventKind, Us};
 use nickelshed_testkit::Disk;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -87,13 +87,13 @@
         let readiness_check = spawn_local(wait_until_ready(sim.clone(), sender, is_ready.clone()));
         let result = loop {
             if process_state.is_dead() {
-                sim.record(What::Going { sender });
+                sim.record(EventKind::Going { sender });
                 break None;
             }
             if let Some(until) = process_state.still() {
                 // A process that is blocked in a disk operation cannot even be killed.
                 let time = until.saturating_duration_since(Instant::now()).as_micros() as Us;
-                sim.record(What::Stopped { sender, time });
+                sim.record(EventKind::Stopped { sender, duration: time });
                 sleep_until(until).await;
             }
             tokio::select! {
@@ -102,19 +102,19 @@
                 signal = control.recv() => match signal {
                     None => return,
                     Some(ProcessControl::Terminate) => {
-                        sim.record(What::Going { sender });
+                        sim.record(EventKind::Going { sender });
                         is_ready.set(false);
                         if let Some(shutdown) = shutdown.take() {
                             let _ = shutdown.send(());
                         }
                     }
                     Some(ProcessControl::Kill) => {
-                        sim.record(What::Going { sender });
+                        sim.record(EventKind::Going { sender });
                         break None;
                     }
                     // Nothing of the process is polled during the pause.
                     Some(ProcessControl::Pause(time)) => {
-                        sim.record(What::Stopped { sender, time: time.as_micros() as Us });
+                        sim.record(EventKind::Stopped { sender, duration: time.as_micros() as Us });
                         sleep(time).await;
                     }
                     Some(ProcessControl::Hangup) => _ = reload.try_send(()),
@@ -129,12 +129,12 @@
             }
         };
         drop(process);
-        sim.record(What::Ended { sender });
+        sim.record(EventKind::Ended { sender });
         readiness_check.abort();
         is_ready.set(false);
         if let Some(Err(error)) = &result {
             sim.crashes.borrow_mut().push(format!("sender {sender} at {} ms: {error}", sim.now() / 1_000));
-            sim.record(What::Going { sender });
+            sim.record(EventKind::Going { sender });
         }
         if result.is_some() && shutdown.take().is_none() {
             // The process has exited after SIGTERM. The machine waits for the SIGKILL that follows, then
@@ -162,7 +162,7 @@
             connection.write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").await;
             if connection.read().await.is_some_and(|a| a.status() == 200) {
                 is_ready.set(true);
-                return sim.record(What::Up { sender });
+                return sim.record(EventKind::Up { sender });
             }
         }
         sleep(Duration::from_millis(10)).await;
--- a/crates/proof/nickelshed-lab/src/simulation.rs
+++ b/crates/proof/nickelshed-lab/src/simulation.rs
@@ -6,8 +6,8 @@
 use crate::network::Network;
 use crate::run_options::RunOptions;
 use crate::sim_network::SimNetwork;
-use nickelshed_judge::{Event, How, Us, What};
-use nickelshed_model::{shares, stream, Random, Scenario, System};
+use nickelshed_judge::{CallEnd, Event, EventKind, Us};
+use nickelshed_model::{random_stream, traffic_shares, Random, Scenario, SimulatedDestination};
 use rand::RngExt;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -53,7 +53,7 @@
 
 /// A customer system, with the signals for the connections of its endpoints.
 pub struct Destination {
-    pub system: RefCell<System>,
+    pub system: RefCell<SimulatedDestination>,
     /// Estimated rate that the list gives for the destination, or for each of its routes, in messages per
     /// second.
     pub estimated_rate: f64,
@@ -94,18 +94,18 @@
 
 impl Simulation {
     pub fn new(scenario: &Scenario, seed: u64, options: RunOptions) -> Rc<Simulation> {
-        let shares = shares(scenario);
-        let mut random = stream(seed, 3);
+        let shares = traffic_shares(scenario);
+        let mut random = random_stream(seed, 3);
         let destination = |(i, share): (usize, &f64)| {
-            let mut system = System::new(scenario, scenario.rate * share);
+            let mut system = SimulatedDestination::new(scenario, scenario.rate * share);
             // Adds as many endpoints as the destination will have, to learn its capacity before they are
             // listed. They are removed again below.
-            (0..scenario.endpoints as usize).for_each(|e| system.add(usize::MAX - e, 0));
+            (0..scenario.endpoints as usize).for_each(|e| system.add_endpoint(usize::MAX - e, 0));
             let capacity: f64 = system.routes().into_iter().map(|r| system.capacity(r)).sum();
             let routes = system.routes().len().max(1) as f64;
             // The rate of one route, where each endpoint is a route of its own.
             let estimated_rate = capacity / routes * random.random_range(0.8..1.25);
-            (0..scenario.endpoints as usize).for_each(|e| system.remove(usize::MAX - e));
+            (0..scenario.endpoints as usize).for_each(|e| system.remove_endpoint(usize::MAX - e));
             (
                 i as u64 + 1,
                 Destination {
@@ -130,7 +130,7 @@
                 .collect(),
             scenario: scenario.clone(),
             events: RefCell::default(),
-            random: RefCell::new(stream(seed, 2)),
+            random: RefCell::new(random_stream(seed, 2)),
             destinations: shares.iter().enumerate().map(destination).collect(),
             listings: RefCell::default(),
             agents: (0..scenario.senders).map(|_| DiscoveryAgent::default()).collect(),
@@ -156,7 +156,7 @@
         self.network.started_at() + Duration::from_micros(at)
     }
 
-    pub fn record(&self, what: What) {
+    pub fn record(&self, what: EventKind) {
         self.record_at(self.now(), what);
     }
 
@@ -170,16 +170,16 @@
 
     /// Clears the `Retry-After` wait of a recorded answer that did not reach its sender.
     pub fn clear_reported_wait(&self, event: usize) {
-        if let Some(What::Over { how: How::Answered { wait, .. }, .. }) =
-            self.events.borrow_mut().get_mut(event).map(|e| &mut e.what)
+        if let Some(EventKind::Over { end: CallEnd::Answered { retry_after: wait, .. }, .. }) =
+            self.events.borrow_mut().get_mut(event).map(|e| &mut e.kind)
         {
             *wait = 0;
         }
     }
 
     /// Records an event at a given time. The history is sorted by time at the end of the run.
-    pub fn record_at(&self, at: Us, what: What) {
-        self.events.borrow_mut().push(Event { at, what });
+    pub fn record_at(&self, at: Us, what: EventKind) {
+        self.events.borrow_mut().push(Event { at, kind: what });
     }
 
     /// Adds a listing of an endpoint. Returns its index, which [`Simulation::publish`] sends to the agents.
@@ -220,7 +220,10 @@
                 let listings = self.listings.borrow();
                 (listings[change].0, listings[change].1.lifecycle == "Ready")
             };
-            self.record_at(self.now().max(earliest), What::Told { sender, endpoint, open });
+            self.record_at(
+                self.now().max(earliest),
+                EventKind::Told { sender, endpoint, accepts_calls: open },
+            );
         }
     }
 
@@ -246,11 +249,11 @@
     /// Whether exactly one of the two is in the first site: the sender, or the endpoint or sender that
     /// receives at `to`.
     pub fn is_partitioned_by_site(&self, sender: usize, to: SocketAddr) -> bool {
-        let site = sender_of_membership_address(to).map(|other| self.scenario.room(other)).or_else(|| {
+        let site = sender_of_membership_address(to).map(|other| self.scenario.site_of(other)).or_else(|| {
             let listings = self.listings.borrow();
             listings.iter().rev().find(|(_, listing)| listing.address == to).map(|(_, listing)| listing.site)
         });
-        site.is_some_and(|site| (site == 0) != (self.scenario.room(sender) == 0))
+        site.is_some_and(|site| (site == 0) != (self.scenario.site_of(sender) == 0))
     }
 
     /// Returns the list with which a sender's next process starts: the version that the sender was sent last.
--- a/crates/proof/nickelshed-lab/tests/scenarios.rs
+++ b/crates/proof/nickelshed-lab/tests/scenarios.rs
@@ -2,12 +2,12 @@
 //! faults and removed guards.
 use nickelshed_config::sidecar::Effect;
 use nickelshed_config::units::{Percent, Period};
-use nickelshed_judge::{Event, How, Rule, What};
+use nickelshed_judge::{CallEnd, Event, EventKind, Rule};
 use nickelshed_lab::{
     crossings, cut, faults, files, kills, play, play_so, Crossing, Day, Every, Fault, Happening, Mutation,
     RunOptions,
 };
-use nickelshed_model::{draw, Kind, Scenario, Trouble};
+use nickelshed_model::{random_scenario, FaultKind, InjectedFault, Scenario};
 use std::path::{Path, PathBuf};
 
 fn scenario_files(name: &str) -> Vec<PathBuf> {
@@ -29,13 +29,13 @@
 #[test]
 fn same_seed_produces_the_same_events() {
     for seed in [3, 6, 8, 11] {
-        let first = event_trace(&play(&draw(seed), seed).unwrap());
+        let first = event_trace(&play(&random_scenario(seed), seed).unwrap());
         assert!(first.lines().count() > 500);
         let parallel_runs: Vec<_> = (0..3u64)
             .map(|i| {
                 std::thread::spawn(move || {
-                    play(&draw(seed + 100 + i), i).unwrap();
-                    event_trace(&play(&draw(seed), seed).unwrap())
+                    play(&random_scenario(seed + 100 + i), i).unwrap();
+                    event_trace(&play(&random_scenario(seed), seed).unwrap())
                 })
             })
             .collect();
@@ -48,7 +48,7 @@
                 first_difference.map(|n| (first.lines().nth(n), other.lines().nth(n)))
             );
         }
-        assert!(event_trace(&play(&draw(seed), seed + 1).unwrap()) != first);
+        assert!(event_trace(&play(&random_scenario(seed), seed + 1).unwrap()) != first);
     }
 }
 
@@ -71,7 +71,7 @@
                 .map(|(.., rule)| *rule);
             let expected: Vec<Rule> = expected.collect();
             let (crashes, descriptions) =
-                (&run.crashes, run.broken.iter().map(|b| &b.words).collect::<Vec<_>>());
+                (&run.crashes, run.broken.iter().map(|b| &b.description).collect::<Vec<_>>());
             assert!(
                 crashes.is_empty() && violations == expected,
                 "{} seed {seed}: {crashes:?} {descriptions:?}",
@@ -88,7 +88,7 @@
 fn fleet_members_violate_no_rule_and_their_runs_are_reproducible() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../lab/scenarios/large-notes.toml");
     let scenario = files::read(&path).unwrap();
-    let without_membership = play(&Scenario { notes: false, ..scenario.clone() }, 1).unwrap();
+    let without_membership = play(&Scenario { membership_enabled: false, ..scenario.clone() }, 1).unwrap();
     let run = play(&scenario, 1).unwrap();
     assert!(run.is_clean(), "{:?} {:?}", run.crashes, run.broken);
     // Each sender probes another one about once per second while it runs.
@@ -111,29 +111,29 @@
 /// waits, and an outage that ends in slow start.
 #[test]
 fn kill_at_any_time_violates_no_rule() {
-    let fault = |kind, at: u64, lasts: u64| Trouble {
+    let fault = |kind, at: u64, lasts: u64| InjectedFault {
         kind,
         at: Period::ms(at),
-        lasts: Period::ms(lasts),
-        part: Percent(0.5),
-        senders: Percent(1.0),
-        size: 2.0,
+        duration: Period::ms(lasts),
+        destination_fraction: Percent(0.5),
+        sender_fraction: Percent(1.0),
+        magnitude: 2.0,
     };
     let scenario = Scenario {
         length: Period::ms(5_000),
         senders: 2,
         rate: 40.0,
         destinations: 4,
-        limit: 1.5,
-        told_wait: Period::ms(600),
+        limit_multiple: 1.5,
+        retry_after: Period::ms(600),
         abandoned_after: Period::ms(6_000),
-        discovery_late: Period::ms(100),
-        troubles: vec![fault(Kind::Drain, 1_000, 0), fault(Kind::Refused, 1_200, 1_500)],
+        discovery_delay: Period::ms(100),
+        faults: vec![fault(FaultKind::Drain, 1_000, 0), fault(FaultKind::Refused, 1_200, 1_500)],
         ..Scenario::default()
     };
     for kill_ms in (800..4_800).step_by(50) {
         let mut with_kill = scenario.clone();
-        with_kill.troubles.push(fault(Kind::Kill, kill_ms, 0));
+        with_kill.faults.push(fault(FaultKind::Kill, kill_ms, 0));
         let run = play(&with_kill, 1).unwrap();
         assert!(run.is_clean(), "killed at {kill_ms} ms: {:?} {:?}", run.crashes, run.broken);
     }
@@ -160,16 +160,16 @@
         senders: 2,
         rate: 30.0,
         destinations: 3,
-        limit: 0.0,
+        limit_multiple: 0.0,
         abandoned_after: Period::ms(3_000),
         wanted_within: Period::ms(1_500),
-        troubles: vec![Trouble {
-            kind: Kind::Refused,
+        faults: vec![InjectedFault {
+            kind: FaultKind::Refused,
             at: Period::ms(500),
-            lasts: Period::ms(800),
-            part: Percent(0.3),
-            senders: Percent(1.0),
-            size: 1.0,
+            duration: Period::ms(800),
+            destination_fraction: Percent(0.3),
+            sender_fraction: Percent(1.0),
+            magnitude: 1.0,
         }],
         ..Scenario::default()
     };
@@ -196,25 +196,25 @@
 /// without a description.
 #[test]
 fn scenario_without_the_failure_is_not_minimized() {
-    let fault = |kind| Trouble {
+    let fault = |kind| InjectedFault {
         kind,
         at: Period::ms(2_000),
-        lasts: Period::ms(3_000),
-        part: Percent(1.0),
-        senders: Percent(1.0),
-        size: 2.0,
+        duration: Period::ms(3_000),
+        destination_fraction: Percent(1.0),
+        sender_fraction: Percent(1.0),
+        magnitude: 2.0,
     };
     let scenario = Scenario {
         length: Period::ms(8_000),
         effect: nickelshed_config::sidecar::Effect::Safe,
-        troubles: vec![fault(Kind::Slow), fault(Kind::Burst), fault(Kind::Mute)],
+        faults: vec![fault(FaultKind::Slow), fault(FaultKind::Burst), fault(FaultKind::Mute)],
         ..Scenario::default()
     };
     let failure = Fault::Crash;
     assert!(!faults(&play(&scenario, 1).unwrap()).contains_key(&failure));
     let failing_case = cut(failure, 1, scenario.clone());
     assert_eq!(
-        (failing_case.words.as_str(), failing_case.scenario.troubles.len()),
+        (failing_case.words.as_str(), failing_case.scenario.faults.len()),
         ("", 3),
         "a scenario that does not show the failure is not minimized"
     );
@@ -228,12 +228,15 @@
         let mut simulated_hours = 0.0;
         let violates = |run: &Day| run.broken.iter().any(|b| b.rule == mutation.violated_rule());
         let caught = (1..=150).find(|&seed| {
-            let run =
-                play_so(&draw(seed), seed, RunOptions { mutation: Some(mutation), ..RunOptions::default() })
-                    .unwrap();
+            let run = play_so(
+                &random_scenario(seed),
+                seed,
+                RunOptions { mutation: Some(mutation), ..RunOptions::default() },
+            )
+            .unwrap();
             simulated_hours += run.length.as_secs_f64() / 3_600.0;
             // The mutation is the cause: the same run without it does not violate the rule.
-            violates(&run) && !violates(&play(&draw(seed), seed).unwrap())
+            violates(&run) && !violates(&play(&random_scenario(seed), seed).unwrap())
         });
         println!("{mutation:?}: caught by seed {caught:?} after {simulated_hours:.2} simulated hours");
         assert!(caught.is_some(), "{mutation:?} is not detected within {simulated_hours:.1} simulated hours");
@@ -262,15 +265,15 @@
 #[test]
 fn fault_at_any_step_of_a_full_sender_violates_no_rule() {
     let jobs = std::thread::available_parallelism().map_or(1, |n| n.get());
-    let full = Scenario { held: 6, rate: 40.0, limit: 0.4, ..fault_point_scenario() };
+    let full = Scenario { max_open_messages: 6, rate: 40.0, limit_multiple: 0.4, ..fault_point_scenario() };
     for seed in [1, 2] {
         let baseline = play(&full, seed).unwrap();
         let submitted_at = |id: &str| {
-            let is_submission = |e: &&Event| matches!(&e.what, What::HandedIn { id: i, .. } if i == id);
+            let is_submission = |e: &&Event| matches!(&e.kind, EventKind::HandedIn { id: i, .. } if i == id);
             baseline.events.iter().find(is_submission).unwrap().at
         };
-        let delayed_answers = baseline.events.iter().filter(|e| match &e.what {
-            What::Heard { id, status: 202 | 503 } => e.at - submitted_at(id) > 100_000,
+        let delayed_answers = baseline.events.iter().filter(|e| match &e.kind {
+            EventKind::Heard { id, status: 202 | 503 } => e.at - submitted_at(id) > 100_000,
             _ => false,
         });
         assert!(delayed_answers.count() > 3, "at most 3 clients waited more than 100 ms for an answer");
@@ -306,7 +309,7 @@
 #[test]
 fn endpoint_that_closes_new_connections_is_not_retried_within_an_attempt() {
     let scenario =
-        Scenario { rate: 2.0, length: Period::ms(2_000), troubles: Vec::new(), ..fault_point_scenario() };
+        Scenario { rate: 2.0, length: Period::ms(2_000), faults: Vec::new(), ..fault_point_scenario() };
     let steps = |fault_point| {
         let run = play_so(&scenario, 1, RunOptions { fault_point, ..RunOptions::default() }).unwrap();
         assert!(run.is_clean(), "{:?}", run.broken);
@@ -337,7 +340,7 @@
                 .events
                 .iter()
                 .filter_map(|event| {
-                    if let What::Left { id } = &event.what {
+                    if let EventKind::Left { id } = &event.kind {
                         Some((id.as_str(), event.at))
                     } else {
                         None
@@ -345,7 +348,7 @@
                 })
                 .collect();
             for event in &run.events {
-                let What::Call { ids, first_byte, .. } = &event.what else { continue };
+                let EventKind::Call { ids, first_byte, .. } = &event.kind else { continue };
                 let had_disconnected = ids.iter().any(|id| {
                     disconnects.iter().any(|(disconnected, at)| disconnected == id && at <= first_byte)
                 });
@@ -368,29 +371,30 @@
         effect: Effect::Unsafe,
         wanted_within: Period::ms(300),
         abandoned_after: Period::ms(500),
-        service: Period::ms(380),
-        limit: 0.0,
+        service_time: Period::ms(380),
+        limit_multiple: 0.0,
         servers: 32,
         ..Scenario::default()
     };
     let (run, ms) = (play(&scenario, 1).unwrap(), 1_000);
     assert!(run.is_clean(), "{:?}", run.broken);
     let answered = |id: &str, from: u64, to: u64| {
-        let calls = run.events.iter().filter_map(|e| match &e.what {
-            What::Call { call, ids, .. } if ids.iter().any(|i| i == id) => Some(*call),
+        let calls = run.events.iter().filter_map(|e| match &e.kind {
+            EventKind::Call { call, ids, .. } if ids.iter().any(|i| i == id) => Some(*call),
             _ => None,
         });
         let calls: Vec<u64> = calls.collect();
         run.events.iter().any(|e| {
-            matches!(&e.what, What::Over { call, how: How::Answered { status: 200, .. } } if calls.contains(call))
+            matches!(&e.kind, EventKind::Over { call, end: CallEnd::Answered { status: 200, .. } } if calls.contains(call))
                 && (from..to).contains(&e.at)
         })
     };
     let mut late_answers = 0;
     for e in &run.events {
-        let What::HandedIn { id, expires, .. } = &e.what else { continue };
+        let EventKind::HandedIn { id, lifetime: expires, .. } = &e.kind else { continue };
         let deadline = e.at + expires;
-        let has_notice = run.events.iter().any(|n| matches!(&n.what, What::Notice { id: i, .. } if i == id));
+        let has_notice =
+            run.events.iter().any(|n| matches!(&n.kind, EventKind::Notice { id: i, .. } if i == id));
         // The answer travels for 10 ms, so the sender reads it within the last 30 ms.
         if answered(id, deadline - 40 * ms, deadline - 11 * ms) {
             late_answers += 1;
