--- a/crates/proof/nickelshed-lab/src/compare.rs
+++ b/crates/proof/nickelshed-lab/src/compare.rs
@@ -13,7 +13,7 @@
 
 impl Difference {
     /// Whether the interval leaves nought out.
-    pub fn is_seen(&self) -> bool {
+    pub fn is_significant(&self) -> bool {
         self.low > 0.0 || self.high < 0.0
     }
 }
@@ -42,11 +42,11 @@
     fn noise_is_no_difference_and_a_gain_is_one() {
         let mut random = nickelshed_model::stream(5, 1);
         let noise: Vec<(f64, f64)> = (0..40).map(|_| (random.random(), random.random())).collect();
-        assert!(!difference(&noise).unwrap().is_seen());
+        assert!(!difference(&noise).unwrap().is_significant());
         let gain: Vec<(f64, f64)> =
             noise.iter().map(|(a, _)| (*a, a + 0.01 + 0.01 * random.random::<f64>())).collect();
         let seen = difference(&gain).unwrap();
-        assert!(seen.is_seen() && seen.low > 0.009 && seen.high < 0.021, "{seen:?}");
+        assert!(seen.is_significant() && seen.low > 0.009 && seen.high < 0.021, "{seen:?}");
         assert_eq!(difference(&[]), None);
     }
 }
--- a/crates/proof/nickelshed-lab/src/crossings.rs
+++ b/crates/proof/nickelshed-lab/src/crossings.rs
@@ -1,13 +1,13 @@
 //! A short day played once for each place at which a sender meets its host, with something happening just there: what comes
 //! between two lines comes at one of these places, as nothing else of the process is seen or reached from outside.
-use crate::everywhere::{clean, everywhere};
-use crate::life::Mark;
-use crate::{Day, Manner};
+use crate::everywhere::{baseline_run, failures_at_each};
+use crate::life::FaultPoint;
+use crate::{Manner, ScenarioRun};
 use nickelshed_model::Scenario;
 
 /// What happens there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Happening {
+pub enum InjectedFault {
     /// SIGTERM, and SIGKILL when it is due.
     Terminate,
     /// SIGKILL; the folder is there at the next start.
@@ -34,55 +34,55 @@
     Silent,
 }
 
-impl Happening {
-    pub const ALL: [Happening; 12] = [
-        Happening::Terminate,
-        Happening::Kill,
-        Happening::Hangup,
-        Happening::Pause,
-        Happening::ClientsLeave,
-        Happening::Resets,
-        Happening::IdleCloses,
-        Happening::EndsNew,
-        Happening::Mute,
-        Happening::Drain,
-        Happening::Shut,
-        Happening::Silent,
+impl InjectedFault {
+    pub const ALL: [InjectedFault; 12] = [
+        InjectedFault::Terminate,
+        InjectedFault::Kill,
+        InjectedFault::Hangup,
+        InjectedFault::Pause,
+        InjectedFault::ClientsLeave,
+        InjectedFault::Resets,
+        InjectedFault::IdleCloses,
+        InjectedFault::EndsNew,
+        InjectedFault::Mute,
+        InjectedFault::Drain,
+        InjectedFault::Shut,
+        InjectedFault::Silent,
     ];
 }
 
 /// A happening at a place of one sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Crossing {
+pub struct FaultInjection {
     pub sender: usize,
     pub step: u64,
     pub after: bool,
-    pub happening: Happening,
+    pub fault: InjectedFault,
 }
 
-impl Crossing {
-    pub(crate) fn mark(&self) -> Mark {
-        Mark { step: self.step, after: self.after, kills: self.happening == Happening::Kill }
+impl FaultInjection {
+    pub(crate) fn fault_point(&self) -> FaultPoint {
+        FaultPoint { step: self.step, after: self.after, kills_process: self.fault == InjectedFault::Kill }
     }
 }
 
 /// What a day came to that was crossed at each of its places.
 #[derive(Clone, Debug, Default)]
-pub struct Crossed {
+pub struct FaultPointReport {
     /// Steps of all senders in the day without a happening.
     pub steps: u64,
-    pub played: usize,
+    pub runs: usize,
     /// Those in which a rule was broken or a sender crashed, with the first words of each.
-    pub finds: Vec<(Crossing, String)>,
+    pub failures: Vec<(FaultInjection, String)>,
 }
 
 /// The places of a day that did so much: each so-manieth, from `first` on.
-fn places(day: &Day, every: usize, first: usize) -> Vec<Crossing> {
+fn fault_points(run: &ScenarioRun, every: usize, first: usize) -> Vec<FaultInjection> {
     let mut out = Vec::new();
-    for (sender, done) in day.done.iter().enumerate() {
+    for (sender, done) in run.counters.iter().enumerate() {
         for step in 0..done.steps {
             for after in [false, true] {
-                out.extend(Happening::ALL.map(|happening| Crossing { sender, step, after, happening }));
+                out.extend(InjectedFault::ALL.map(|fault| FaultInjection { sender, step, after, fault }));
             }
         }
     }
@@ -93,16 +93,20 @@
 ///
 /// # Errors
 /// If the scenario can't be played, or is not clean without a happening.
-pub fn crossings(
+pub fn run_fault_points(
     scenario: &Scenario,
     seed: u64,
     every: usize,
     first: usize,
     jobs: usize,
-) -> Result<Crossed, String> {
-    let whole = clean(scenario, seed, "happening")?;
-    let places = places(&whole, every, first);
+) -> Result<FaultPointReport, String> {
+    let baseline = baseline_run(scenario, seed, "happening")?;
+    let points = fault_points(&baseline, every, first);
     let manner = |crossing| Manner { crossing: Some(crossing), ..Manner::default() };
-    let finds = everywhere(scenario, seed, &places, manner, jobs);
-    Ok(Crossed { steps: whole.done.iter().map(|done| done.steps).sum(), played: places.len(), finds })
+    let failures = failures_at_each(scenario, seed, &points, manner, jobs);
+    Ok(FaultPointReport {
+        steps: baseline.counters.iter().map(|done| done.steps).sum(),
+        runs: points.len(),
+        failures,
+    })
 }
--- a/crates/proof/nickelshed-lab/src/explore.rs
+++ b/crates/proof/nickelshed-lab/src/explore.rs
@@ -1,5 +1,5 @@
 //! Looking for what nobody thought of: random days on all cores, and each find cut down to what matters.
-use crate::{play, Day};
+use crate::{run_scenario, ScenarioRun};
 use nickelshed_config::units::{Percent, Period};
 use nickelshed_judge::Rule;
 use nickelshed_model::Scenario;
@@ -13,74 +13,79 @@
 
 /// What is wrong with a day, coarsely enough that a smaller day can show the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fault {
-    Broken(Rule),
+pub enum Failure {
+    Violation(Rule),
     Crash,
 }
 
-impl Fault {
+impl Failure {
     pub fn name(self) -> String {
         match self {
-            Fault::Broken(rule) => format!("{rule:?}").to_lowercase(),
-            Fault::Crash => "crash".into(),
+            Failure::Violation(rule) => format!("{rule:?}").to_lowercase(),
+            Failure::Crash => "crash".into(),
         }
     }
 }
 
 /// Every kind of fault of a day, with the words of the first one of each.
-pub fn faults(day: &Day) -> BTreeMap<Fault, String> {
+pub fn failures(day: &ScenarioRun) -> BTreeMap<Failure, String> {
     let mut out = BTreeMap::new();
-    for broken in &day.broken {
+    for broken in &day.violations {
         let words = || format!("at {} ms: {}", broken.at / 1_000, broken.words);
-        out.entry(Fault::Broken(broken.rule)).or_insert_with(words);
+        out.entry(Failure::Violation(broken.rule)).or_insert_with(words);
     }
     if let Some(crash) = day.crashes.first() {
-        out.insert(Fault::Crash, crash.clone());
+        out.insert(Failure::Crash, crash.clone());
     }
     out
 }
 
 /// A day that showed a fault, cut down.
 #[derive(Clone, Debug)]
-pub struct Find {
-    pub fault: Fault,
-    pub words: String,
+pub struct FailingCase {
+    pub failure: Failure,
+    pub description: String,
     pub seed: u64,
     pub scenario: Scenario,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Explored {
-    pub days: u64,
-    pub simulated: Duration,
+pub struct Exploration {
+    pub runs: u64,
+    pub simulated_time: Duration,
     /// Processor time, near enough: of all threads together.
-    pub spent: Duration,
+    pub thread_time: Duration,
     /// The seeds whose days showed each fault, with its words, in the order of the seeds.
-    pub faults: BTreeMap<Fault, Vec<(u64, String)>>,
+    pub failures: BTreeMap<Failure, Vec<(u64, String)>>,
 }
 
 /// The day of a seed.
-pub type Draw = fn(u64) -> Scenario;
+pub type ScenarioGenerator = fn(u64) -> Scenario;
 
 /// Plays the days of these seeds on so many threads, until they are all played or the time is up.
-pub fn explore(draw: Draw, seeds: std::ops::Range<u64>, jobs: usize, time: Duration) -> Explored {
+pub fn explore(
+    draw: ScenarioGenerator,
+    seeds: std::ops::Range<u64>,
+    jobs: usize,
+    time: Duration,
+) -> Exploration {
     let next = AtomicU64::new(seeds.start);
     let from = Instant::now();
-    let all = Mutex::new(Explored::default());
+    let all = Mutex::new(Exploration::default());
     let work = || loop {
         let seed = next.fetch_add(1, Ordering::SeqCst);
         if seed >= seeds.end || from.elapsed() >= time {
             return;
         }
         let begun = Instant::now();
-        let Ok(day) = play(&draw(seed), seed) else { continue };
-        let found = faults(&day);
+        let Ok(day) = run_scenario(&draw(seed), seed) else { continue };
+        let found = failures(&day);
         let mut explored = all.lock().unwrap_or_else(|e| e.into_inner());
-        explored.days += 1;
-        explored.simulated += day.length;
-        explored.spent += begun.elapsed();
+        explored.runs += 1;
+        explored.simulated_time += day.length;
+        explored.thread_time += begun.elapsed();
         for (fault, words) in found {
-            explored.faults.entry(fault).or_default().push((seed, words));
+            explored.failures.entry(fault).or_default().push((seed, words));
         }
     };
     std::thread::scope(|scope| {
@@ -89,21 +94,21 @@
         }
     });
     let mut explored = all.into_inner().unwrap_or_else(|e| e.into_inner());
-    explored.faults.values_mut().for_each(|days| days.sort());
+    explored.failures.values_mut().for_each(|days| days.sort());
     explored
 }
 
-impl Explored {
+impl Exploration {
     /// The first day of each fault, cut down.
-    pub fn cut_down(&self, draw: Draw) -> Vec<Find> {
-        let first = self.faults.iter().filter_map(|(fault, days)| Some((*fault, days.first()?.0)));
-        first.map(|(fault, seed)| cut(fault, seed, draw(seed))).collect()
+    pub fn minimized(&self, draw: ScenarioGenerator) -> Vec<FailingCase> {
+        let first = self.failures.iter().filter_map(|(fault, days)| Some((*fault, days.first()?.0)));
+        first.map(|(fault, seed)| minimize(fault, seed, draw(seed))).collect()
     }
 }
 
 /// Cuts a day down as long as it still shows the fault.
-pub fn cut(fault: Fault, seed: u64, scenario: Scenario) -> Find {
-    let shows = |s: &Scenario| play(s, seed).ok().and_then(|day| faults(&day).remove(&fault));
+pub fn minimize(fault: Failure, seed: u64, scenario: Scenario) -> FailingCase {
+    let shows = |s: &Scenario| run_scenario(s, seed).ok().and_then(|day| failures(&day).remove(&fault));
     let mut best = scenario;
     let mut words = shows(&best).unwrap_or_default();
     let mut tried = 0;
@@ -118,7 +123,14 @@
         });
         match found {
             Some((s, w)) => (best, words) = (s, w),
-            None => return Find { fault, words, seed, scenario: Scenario { seed: Some(seed), ..best } },
+            None => {
+                return FailingCase {
+                    failure: fault,
+                    description: words,
+                    seed,
+                    scenario: Scenario { seed: Some(seed), ..best },
+                }
+            }
         }
     }
 }
--- a/crates/proof/nickelshed-lab/src/folder.rs
+++ b/crates/proof/nickelshed-lab/src/folder.rs
@@ -1,24 +1,24 @@
 //! A sender's folder in the lab: the testkit's disk, with its process's life in between.
-use crate::life::Life;
+use crate::life::ProcessRun;
 use nickelshed_journal::{FileHandle, Storage};
 use nickelshed_testkit::{Disk, DiskFile};
 use std::io;
 use std::rc::Rc;
 
 #[derive(Clone)]
-pub struct Folder {
+pub struct StateFolder {
     disk: Disk,
-    life: Rc<Life>,
+    run: Rc<ProcessRun>,
 }
 
-impl Folder {
-    pub fn new(disk: Disk, life: Rc<Life>) -> Folder {
-        Folder { disk, life }
+impl StateFolder {
+    pub fn new(disk: Disk, run: Rc<ProcessRun>) -> StateFolder {
+        StateFolder { disk, run }
     }
 
     /// Lets an operation happen that is done or not, never in part.
     fn whole<T>(&self, operation: impl FnOnce(&Disk) -> io::Result<T>) -> io::Result<T> {
-        match self.life.operate()? {
+        match self.run.on_operation()? {
             Some(part) if part < 256 => Err(io::Error::other("the process has ended")),
             _ => operation(&self.disk),
         }
@@ -28,16 +28,16 @@
 /// Syncs are asked for by a thread of their own, which simulated time knows nothing of: days are played with durability
 /// `process`, whose files are never synced.
 #[derive(Clone)]
-pub struct File(DiskFile);
+pub struct StateFile(DiskFile);
 
-impl FileHandle for File {
+impl FileHandle for StateFile {
     fn sync(&self) -> io::Result<()> {
         self.0.sync()
     }
 }
 
-impl Storage for Folder {
-    type File = File;
+impl Storage for StateFolder {
+    type File = StateFile;
 
     fn lock(&mut self) -> io::Result<()> {
         let mut disk = self.disk.clone();
@@ -52,26 +52,26 @@
         self.whole(|disk| disk.read(name, most))
     }
 
-    fn create(&self, name: &str) -> io::Result<File> {
-        self.whole(|disk| disk.create(name)).map(File)
+    fn create(&self, name: &str) -> io::Result<StateFile> {
+        self.whole(|disk| disk.create(name)).map(StateFile)
     }
 
-    fn open(&self, name: &str) -> io::Result<File> {
-        self.whole(|disk| disk.open(name)).map(File)
+    fn open(&self, name: &str) -> io::Result<StateFile> {
+        self.whole(|disk| disk.open(name)).map(StateFile)
     }
 
-    fn preallocate(&self, file: &File, length: u64) -> io::Result<()> {
+    fn preallocate(&self, file: &StateFile, length: u64) -> io::Result<()> {
         self.whole(|disk| disk.preallocate(&file.0, length))
     }
 
-    fn write_at(&self, file: &File, bytes: &[u8], offset: u64) -> io::Result<usize> {
-        let Some(part) = self.life.operate()? else { return self.disk.write_at(&file.0, bytes, offset) };
+    fn write_at(&self, file: &StateFile, bytes: &[u8], offset: u64) -> io::Result<usize> {
+        let Some(part) = self.run.on_operation()? else { return self.disk.write_at(&file.0, bytes, offset) };
         let done = bytes.len() * usize::from(part.min(256)) / 256;
         self.disk.write_at(&file.0, &bytes[..done], offset)?;
         Err(io::Error::other("the process has ended"))
     }
 
-    fn truncate(&self, file: &File, length: u64) -> io::Result<()> {
+    fn truncate(&self, file: &StateFile, length: u64) -> io::Result<()> {
         self.whole(|disk| disk.truncate(&file.0, length))
     }
 
@@ -83,7 +83,7 @@
         self.whole(|disk| disk.remove(name))
     }
 
-    fn folder_handle(&self) -> io::Result<File> {
-        self.whole(Disk::folder_handle).map(File)
+    fn folder_handle(&self) -> io::Result<StateFile> {
+        self.whole(Disk::folder_handle).map(StateFile)
     }
 }
--- a/crates/proof/nickelshed-lab/src/lib.rs
+++ b/crates/proof/nickelshed-lab/src/lib.rs
@@ -23,11 +23,11 @@
 mod world;
 
 pub use compare::{difference, Difference};
-pub use crossings::{crossings, Crossed, Crossing, Happening};
-pub use everywhere::each;
-pub use explore::{cut, explore, faults, Draw, Explored, Fault, Find};
-pub use kills::{kills, Every, Killed};
+pub use crossings::{run_fault_points, FaultInjection, FaultPointReport, InjectedFault};
+pub use everywhere::parallel_map;
+pub use explore::{explore, failures, minimize, Exploration, FailingCase, Failure, ScenarioGenerator};
+pub use kills::{run_kill_points, KillReport, Stride};
 pub use lie::Lie;
-pub use life::{Cut, Done};
+pub use life::{KillPoint, ProcessCounters};
 pub use manner::{Kill, Manner};
-pub use play::{accounted, play, play_so, Day};
+pub use play::{account_with_oracle, run_scenario, run_scenario_with, ScenarioRun};
--- a/crates/proof/nickelshed-lab/src/life.rs
+++ b/crates/proof/nickelshed-lab/src/life.rs
@@ -7,7 +7,7 @@
 
 /// In the middle of what a process is ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum KillPoint {
     /// The operation on the folder with this number, from 0. Of a write, this part (in 256ths) has been done.
     Operation(u64, u16),
     /// After this many bytes sent, over all connections.
@@ -16,7 +16,7 @@
 
 /// What its processes did over a day.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Done {
+pub struct ProcessCounters {
     pub operations: u64,
     pub bytes: u64,
     /// Times that it met its host: took, made or closed a connection, read, wrote, or used its disk.
@@ -25,134 +25,134 @@
 
 /// The place of a happening: just before or just after a step, which are numbered from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mark {
+pub struct FaultPoint {
     pub step: u64,
     pub after: bool,
     /// The process is killed there; whatever else happens is for others to do, who wait for `crossed`.
-    pub kills: bool,
+    pub kills_process: bool,
 }
 
 #[derive(Default)]
-pub struct Life {
+pub struct ProcessRun {
     /// Its sender's number.
     pub sender: usize,
-    done: Cell<Done>,
-    cut: Cell<Option<Cut>>,
-    mark: Cell<Option<Mark>>,
-    crossed: Cell<bool>,
-    crossing: Notify,
-    dead: Cell<bool>,
+    counters: Cell<ProcessCounters>,
+    kill_point: Cell<Option<KillPoint>>,
+    fault_point: Cell<Option<FaultPoint>>,
+    fault_point_reached: Cell<bool>,
+    fault_point_notify: Notify,
+    killed: Cell<bool>,
     /// Until when its disk says nothing.
-    disk_back: Cell<Option<Instant>>,
+    disk_stalled_until: Cell<Option<Instant>>,
     /// Until when its process stands still in an operation on the disk.
-    still: Cell<Option<Instant>>,
-    news: Notify,
+    blocked_until: Cell<Option<Instant>>,
+    state_changed: Notify,
 }
 
-impl Life {
-    pub fn new(sender: usize, cut: Option<Cut>) -> Life {
-        Life { sender, cut: Cell::new(cut), ..Life::default() }
+impl ProcessRun {
+    pub fn new(sender: usize, kill_point: Option<KillPoint>) -> ProcessRun {
+        ProcessRun { sender, kill_point: Cell::new(kill_point), ..ProcessRun::default() }
     }
 
-    pub fn place(&self, mark: Mark) {
-        self.mark.set(Some(mark));
+    pub fn set_fault_point(&self, point: FaultPoint) {
+        self.fault_point.set(Some(point));
     }
 
     /// A step begins. Its number, to be given when it is done; None if the process has ended, also just now.
-    pub fn step(&self) -> Option<u64> {
-        if self.dead.get() {
+    pub fn begin_step(&self) -> Option<u64> {
+        if self.killed.get() {
             return None;
         }
-        let done = self.done.get();
-        self.done.set(Done { steps: done.steps + 1, ..done });
-        self.reach(done.steps, false);
-        (!self.dead.get()).then_some(done.steps)
+        let done = self.counters.get();
+        self.counters.set(ProcessCounters { steps: done.steps + 1, ..done });
+        self.check_fault_point(done.steps, false);
+        (!self.killed.get()).then_some(done.steps)
     }
 
     /// That step is done.
-    pub fn stepped(&self, step: u64) {
-        self.reach(step, true);
+    pub fn end_step(&self, step: u64) {
+        self.check_fault_point(step, true);
     }
 
-    fn reach(&self, step: u64, after: bool) {
-        let here = |m: &Mark| m.step == step && m.after == after;
-        let Some(mark) = self.mark.get().filter(here) else { return };
-        self.mark.set(None);
-        if mark.kills {
-            self.end();
+    fn check_fault_point(&self, step: u64, after: bool) {
+        let here = |m: &FaultPoint| m.step == step && m.after == after;
+        let Some(point) = self.fault_point.get().filter(here) else { return };
+        self.fault_point.set(None);
+        if point.kills_process {
+            self.kill();
         }
-        self.crossed.set(true);
-        self.crossing.notify_one();
+        self.fault_point_reached.set(true);
+        self.fault_point_notify.notify_one();
     }
 
     /// Comes back when the marked place is reached.
-    pub async fn crossed(&self) {
-        while !self.crossed.get() {
-            self.crossing.notified().await;
+    pub async fn fault_point_reached(&self) {
+        while !self.fault_point_reached.get() {
+            self.fault_point_notify.notified().await;
         }
     }
 
-    pub fn done(&self) -> Done {
-        self.done.get()
+    pub fn counters(&self) -> ProcessCounters {
+        self.counters.get()
     }
 
     /// It has ended in the middle of something, and nothing that it does counts.
-    pub fn is_dead(&self) -> bool {
-        self.dead.get()
+    pub fn is_killed(&self) -> bool {
+        self.killed.get()
     }
 
     /// A new process begins; it is not cut again.
-    pub fn begin(&self) {
-        self.dead.set(false);
-        self.still.set(None);
+    pub fn start(&self) {
+        self.killed.set(false);
+        self.blocked_until.set(None);
     }
 
     /// Its disk says nothing until then.
-    pub fn stall(&self, until: Instant) {
-        self.disk_back.set(Some(until));
+    pub fn stall_disk(&self, until: Instant) {
+        self.disk_stalled_until.set(Some(until));
     }
 
     /// Until when its process stands still now.
-    pub fn still(&self) -> Option<Instant> {
-        self.still.get().filter(|until| *until > Instant::now())
+    pub fn blocked_until(&self) -> Option<Instant> {
+        self.blocked_until.get().filter(|until| *until > Instant::now())
     }
 
     /// Comes back when it has ended in the middle of something, or stands still.
-    pub async fn befallen(&self) {
+    pub async fn killed_or_blocked(&self) {
         loop {
-            let news = self.news.notified();
-            if self.dead.get() || self.still().is_some() {
+            let state_changed = self.state_changed.notified();
+            if self.killed.get() || self.blocked_until().is_some() {
                 return;
             }
-            news.await;
+            state_changed.await;
         }
     }
 
-    fn end(&self) {
-        self.cut.set(None);
-        self.dead.set(true);
-        self.news.notify_one();
+    fn kill(&self) {
+        self.kill_point.set(None);
+        self.killed.set(true);
+        self.state_changed.notify_one();
     }
 
     /// An operation on the folder begins. `Some(part)`: it is the last one, and so many 256ths of it are done.
     ///
     /// # Errors
     /// If the process has ended.
-    pub fn operate(&self) -> io::Result<Option<u16>> {
+    pub fn on_operation(&self) -> io::Result<Option<u16>> {
         // What befalls the process just after it is just before its next step: nothing is seen outside in between.
-        if self.step().is_none() {
+        if self.begin_step().is_none() {
             return Err(io::Error::other("the process has ended"));
         }
-        let done = self.done.get();
-        self.done.set(Done { operations: done.operations + 1, ..done });
-        if let Some(until) = self.disk_back.get().filter(|until| *until > Instant::now()) {
+        let done = self.counters.get();
+        self.counters.set(ProcessCounters { operations: done.operations + 1, ..done });
+        if let Some(until) = self.disk_stalled_until.get().filter(|until| *until > Instant::now()) {
             // Nothing of the process goes on before the disk does.
-            self.still.set(Some(until));
-            self.news.notify_one();
+            self.blocked_until.set(Some(until));
+            self.state_changed.notify_one();
         }
-        match self.cut.get() {
-            Some(Cut::Operation(number, part)) if number == done.operations => {
-                self.end();
+        match self.kill_point.get() {
+            Some(KillPoint::Operation(number, part)) if number == done.operations => {
+                self.kill();
                 Ok(Some(part))
             }
             _ => Ok(None),
@@ -160,25 +160,25 @@
     }
 
     /// So many of these bytes are sent; none from one that has ended.
-    pub fn send(&self, bytes: usize) -> usize {
-        if self.dead.get() {
+    pub fn on_send(&self, bytes: usize) -> usize {
+        if self.killed.get() {
             return 0;
         }
-        let done = self.done.get();
-        let sent = match self.cut.get() {
-            Some(Cut::Byte(last)) if done.bytes + bytes as u64 >= last => {
-                self.end();
+        let done = self.counters.get();
+        let sent = match self.kill_point.get() {
+            Some(KillPoint::Byte(last)) if done.bytes + bytes as u64 >= last => {
+                self.kill();
                 last.saturating_sub(done.bytes) as usize
             }
             _ => bytes,
         };
-        self.done.set(Done { bytes: done.bytes + sent as u64, ..done });
+        self.counters.set(ProcessCounters { bytes: done.bytes + sent as u64, ..done });
         sent
     }
 
     /// When what it sends now leaves it.
-    pub fn leaves(&self) -> Instant {
-        self.still().unwrap_or_else(Instant::now)
+    pub fn departure_time(&self) -> Instant {
+        self.blocked_until().unwrap_or_else(Instant::now)
     }
 }
 
@@ -189,50 +189,50 @@
 
     #[test]
     fn it_ends_at_the_very_byte_and_nothing_counts_after_it() {
-        let life = Life::new(0, Some(Cut::Byte(10)));
-        assert_eq!((life.send(6), life.is_dead()), (6, false));
-        assert_eq!((life.send(6), life.is_dead()), (4, true));
-        assert_eq!((life.send(6), life.done().bytes), (0, 10));
-        assert!(life.operate().is_err());
-        life.begin();
-        assert_eq!(life.send(6), 6);
+        let life = ProcessRun::new(0, Some(KillPoint::Byte(10)));
+        assert_eq!((life.on_send(6), life.is_killed()), (6, false));
+        assert_eq!((life.on_send(6), life.is_killed()), (4, true));
+        assert_eq!((life.on_send(6), life.counters().bytes), (0, 10));
+        assert!(life.on_operation().is_err());
+        life.start();
+        assert_eq!(life.on_send(6), 6);
     }
 
     #[tokio::test]
     async fn a_happening_is_placed_before_or_after_its_step_and_once() {
         for after in [false, true] {
-            let life = Life::new(0, None);
-            life.place(Mark { step: 1, after, kills: true });
-            let first = life.step().expect("it lives");
-            life.stepped(first);
-            assert_eq!((life.is_dead(), life.step()), (false, after.then_some(1)));
-            life.stepped(1);
-            assert!(life.is_dead());
-            life.crossed().await;
-            life.begin();
-            assert_eq!(life.step(), Some(2));
-            assert!(!life.is_dead(), "the next process is not met by it");
+            let life = ProcessRun::new(0, None);
+            life.set_fault_point(FaultPoint { step: 1, after, kills_process: true });
+            let first = life.begin_step().expect("it lives");
+            life.end_step(first);
+            assert_eq!((life.is_killed(), life.begin_step()), (false, after.then_some(1)));
+            life.end_step(1);
+            assert!(life.is_killed());
+            life.fault_point_reached().await;
+            life.start();
+            assert_eq!(life.begin_step(), Some(2));
+            assert!(!life.is_killed(), "the next process is not met by it");
         }
     }
 
     #[test]
     fn it_ends_in_the_very_operation() {
-        let life = Life::new(0, Some(Cut::Operation(1, 128)));
-        assert!(matches!(life.operate(), Ok(None)));
-        assert!(matches!(life.operate(), Ok(Some(128))));
-        assert!(life.operate().is_err() && life.send(1) == 0);
+        let life = ProcessRun::new(0, Some(KillPoint::Operation(1, 128)));
+        assert!(matches!(life.on_operation(), Ok(None)));
+        assert!(matches!(life.on_operation(), Ok(Some(128))));
+        assert!(life.on_operation().is_err() && life.on_send(1) == 0);
     }
 
     #[tokio::test(start_paused = true)]
     async fn it_stands_still_from_the_first_operation_on_a_disk_that_says_nothing_until_that_is_over() {
-        let life = Life::new(0, None);
+        let life = ProcessRun::new(0, None);
         let until = Instant::now() + Duration::from_secs(2);
-        life.stall(until);
-        assert_eq!(life.still(), None, "it has not touched its disk");
-        assert!(life.operate().is_ok());
-        life.befallen().await;
-        assert_eq!((life.still(), life.leaves()), (Some(until), until));
+        life.stall_disk(until);
+        assert_eq!(life.blocked_until(), None, "it has not touched its disk");
+        assert!(life.on_operation().is_ok());
+        life.killed_or_blocked().await;
+        assert_eq!((life.blocked_until(), life.departure_time()), (Some(until), until));
         tokio::time::sleep_until(until).await;
-        assert_eq!(life.still(), None);
+        assert_eq!(life.blocked_until(), None);
     }
 }
--- a/crates/proof/nickelshed-lab/src/main.rs
+++ b/crates/proof/nickelshed-lab/src/main.rs
@@ -2,8 +2,9 @@
 use clap::{Parser, Subcommand};
 use nickelshed_judge::{Account, State};
 use nickelshed_lab::{
-    accounted, crossings, difference, each, explore, files, kills, memory, play, play_so, Crossing, Day,
-    Draw, Every, Explored, Manner,
+    account_with_oracle, difference, explore, files, memory, parallel_map, run_fault_points, run_kill_points,
+    run_scenario, run_scenario_with, Exploration, FaultInjection, Manner, ScenarioGenerator, ScenarioRun,
+    Stride,
 };
 use nickelshed_model::{draw, draw_large, Scenario};
 use std::fmt::Write as _;
@@ -199,9 +200,9 @@
     out
 }
 
-fn tell(name: &str, scenario: &Scenario, seed: u64, day: &Day, took: Duration) -> String {
-    let (account, reachable) = accounted(scenario, seed, day);
-    let r = &day.reckoning;
+fn tell(name: &str, scenario: &Scenario, seed: u64, day: &ScenarioRun, took: Duration) -> String {
+    let (account, reachable) = account_with_oracle(scenario, seed, day);
+    let r = &day.score;
     let mut out = String::new();
     let _ = writeln!(
         out,
@@ -228,7 +229,7 @@
         let _ = writeln!(out, "  late or not delivered, by what took their time: {}", why.join(", "));
     }
     out += &booked(&account);
-    for broken in day.broken.iter().take(10) {
+    for broken in day.violations.iter().take(10) {
         let _ = writeln!(
             out,
             "  BROKEN {:?} at {} ms: {} (events {:?})",
@@ -238,8 +239,8 @@
             broken.events
         );
     }
-    if day.broken.len() > 10 {
-        let _ = writeln!(out, "  and {} more", day.broken.len() - 10);
+    if day.violations.len() > 10 {
+        let _ = writeln!(out, "  and {} more", day.violations.len() - 10);
     }
     for crash in &day.crashes {
         let _ = writeln!(out, "  CRASH {crash}");
@@ -257,7 +258,7 @@
     for (path, scenario) in paths.iter().zip(scenarios) {
         let seed = seed.or(scenario.seed).unwrap_or(1);
         let from = Instant::now();
-        let day = play(&scenario, seed)?;
+        let day = run_scenario(&scenario, seed)?;
         print(&tell(&path.display().to_string(), &scenario, seed, &day, from.elapsed()));
         clean &= day.is_clean();
         if let Some(trace) = trace {
@@ -272,7 +273,7 @@
 fn report(path: &Path, seed: Option<u64>, out: &Path) -> Result<bool, String> {
     let scenario = files::read(path)?;
     let seed = seed.or(scenario.seed).unwrap_or(1);
-    let day = play(&scenario, seed)?;
+    let day = run_scenario(&scenario, seed)?;
     let page = nickelshed_lab::report::page(&path.display().to_string(), &scenario, seed, &day)?;
     std::fs::write(out, page).map_err(|e| format!("cannot write {}: {e}", out.display()))?;
     print(&format!("{}\n", out.display()));
@@ -295,11 +296,11 @@
     finds.is_empty()
 }
 
-fn kill_everywhere(path: &Path, seed: Option<u64>, every: Every, jobs: usize) -> Result<bool, String> {
+fn kill_everywhere(path: &Path, seed: Option<u64>, every: Stride, jobs: usize) -> Result<bool, String> {
     let scenario = files::read(path)?;
     let seed = seed.or(scenario.seed).unwrap_or(1);
     let from = Instant::now();
-    let killed = kills(&scenario, seed, every, jobs)?;
+    let killed = run_kill_points(&scenario, seed, every, jobs)?;
     print(&format!(
         "{}, seed {seed}: killed in {} operations and at {} bytes, in {:.0} s on {jobs} threads\n",
         path.display(),
@@ -307,7 +308,7 @@
         killed.bytes,
         from.elapsed().as_secs_f64()
     ));
-    Ok(name_finds(&killed.finds, |kill| format!("sender {}, {:?}", kill.sender, kill.cut)))
+    Ok(name_finds(&killed.failures, |kill| format!("sender {}, {:?}", kill.sender, kill.cut)))
 }
 
 fn cross_everywhere(
@@ -320,30 +321,30 @@
     let scenario = files::read(path)?;
     let seed = seed.or(scenario.seed).unwrap_or(1);
     let from = Instant::now();
-    let crossed = crossings(&scenario, seed, every, first, jobs)?;
+    let crossed = run_fault_points(&scenario, seed, every, first, jobs)?;
     print(&format!(
         "{}, seed {seed}: {} steps, {} days with something at one of them, in {:.0} s on {jobs} threads\n",
         path.display(),
         crossed.steps,
-        crossed.played,
+        crossed.runs,
         from.elapsed().as_secs_f64()
     ));
-    Ok(name_finds(&crossed.finds, |Crossing { sender, step, after, happening }| {
+    Ok(name_finds(&crossed.failures, |FaultInjection { sender, step, after, fault }| {
         let when = if *after { "after" } else { "before" };
-        format!("{happening:?} {when} step {step} of sender {sender}")
+        format!("{fault:?} {when} step {step} of sender {sender}")
     }))
 }
 
 fn sockets(path: &Path, seed: Option<u64>) -> Result<bool, String> {
     let scenario = files::read(path)?;
     let seed = seed.or(scenario.seed).unwrap_or(1);
-    let simulated = play(&scenario, seed)?;
-    let real = play_so(&scenario, seed, Manner { over_sockets: true, ..Manner::default() })?;
-    let row = |name: &str, figure: &dyn Fn(&Day) -> f64| {
+    let simulated = run_scenario(&scenario, seed)?;
+    let real = run_scenario_with(&scenario, seed, Manner { over_sockets: true, ..Manner::default() })?;
+    let row = |name: &str, figure: &dyn Fn(&ScenarioRun) -> f64| {
         let (a, b) = (figure(&simulated), figure(&real));
         format!("{name:>24} {a:>12.4} {b:>12.4} {:>+12.4}\n", b - a)
     };
-    let why = |why| move |d: &Day| d.reckoning.why.get(&why).copied().unwrap_or(0) as f64;
+    let why = |why| move |d: &ScenarioRun| d.score.why.get(&why).copied().unwrap_or(0) as f64;
     let mut out = format!(
         "{}, seed {seed}\n{:>24} {:>12} {:>12} {:>12}\n",
         path.display(),
@@ -352,18 +353,18 @@
         "sockets",
         "difference"
     );
-    out += &row("worth", &|d| d.reckoning.worth);
-    out += &row("in time", &|d| d.reckoning.in_time as f64);
-    out += &row("late", &|d| d.reckoning.late as f64);
-    out += &row("not delivered", &|d| d.reckoning.lost as f64);
+    out += &row("worth", &|d| d.score.worth);
+    out += &row("in time", &|d| d.score.in_time as f64);
+    out += &row("late", &|d| d.score.late as f64);
+    out += &row("not delivered", &|d| d.score.lost as f64);
     out += &row("refused at the door", &why(nickelshed_judge::Why::Refused));
-    out += &row("median, ms", &|d| d.reckoning.p50_ms);
-    out += &row("p99, ms", &|d| d.reckoning.p99_ms);
-    out += &row("calls", &|d| d.reckoning.calls as f64);
-    out += &row("turned away", &|d| d.reckoning.turned_away as f64);
-    out += &row("rules broken", &|d| d.broken.len() as f64);
+    out += &row("median, ms", &|d| d.score.p50_ms);
+    out += &row("p99, ms", &|d| d.score.p99_ms);
+    out += &row("calls", &|d| d.score.calls as f64);
+    out += &row("turned away", &|d| d.score.turned_away as f64);
+    out += &row("rules broken", &|d| d.violations.len() as f64);
     for (name, day) in [("simulated", &simulated), ("sockets", &real)] {
-        for broken in day.broken.iter().take(5) {
+        for broken in day.violations.iter().take(5) {
             let _ = writeln!(
                 out,
                 "  {name}: BROKEN {:?} at {} ms: {}",
@@ -380,32 +381,32 @@
     Ok(simulated.is_clean() && real.is_clean())
 }
 
-fn told(explored: &Explored, jobs: usize, took: Duration) -> String {
-    let (simulated, spent) = (explored.simulated.as_secs_f64(), explored.spent.as_secs_f64());
+fn told(explored: &Exploration, jobs: usize, took: Duration) -> String {
+    let (simulated, spent) = (explored.simulated_time.as_secs_f64(), explored.thread_time.as_secs_f64());
     let mut out = format!(
         "{} days, {:.1} simulated hours, on {jobs} threads in {:.1} s: {:.0} simulated seconds for each second of a core\n",
-        explored.days,
+        explored.runs,
         simulated / 3_600.0,
         took.as_secs_f64(),
         simulated / spent.max(1e-9)
     );
-    for (fault, days) in &explored.faults {
+    for (fault, days) in &explored.failures {
         let _ = writeln!(out, "  {}: on {} days", fault.name(), days.len());
         for (seed, words) in days {
             let _ = writeln!(out, "    seed {seed}, {words}");
         }
     }
-    if explored.faults.is_empty() {
+    if explored.failures.is_empty() {
         out.push_str("  no rule was broken and nothing crashed\n");
     }
-    if let Some(bytes) = memory::peak() {
+    if let Some(bytes) = memory::peak_bytes() {
         let _ = writeln!(out, "  {:.0} MB of memory at most", bytes as f64 / 1e6);
     }
     out
 }
 
 fn explore_and_keep(
-    draw: Draw,
+    draw: ScenarioGenerator,
     seeds: Range<u64>,
     seconds: f64,
     jobs: usize,
@@ -414,30 +415,30 @@
     let from = Instant::now();
     let explored = explore(draw, seeds, jobs, Duration::from_secs_f64(seconds.clamp(0.0, 1e6)));
     print(&told(&explored, jobs, from.elapsed()));
-    let Some(keep) = keep else { return Ok(explored.faults.is_empty()) };
-    for find in explored.cut_down(draw) {
+    let Some(keep) = keep else { return Ok(explored.failures.is_empty()) };
+    for find in explored.minimized(draw) {
         std::fs::create_dir_all(keep).map_err(|e| format!("cannot make {}: {e}", keep.display()))?;
-        let path = keep.join(format!("{}-{}.toml", find.fault.name(), find.seed));
-        let about = format!("Found by explore with seed {}, cut down.\n{}", find.seed, find.words);
+        let path = keep.join(format!("{}-{}.toml", find.failure.name(), find.seed));
+        let about = format!("Found by explore with seed {}, cut down.\n{}", find.seed, find.description);
         files::write(&path, &find.scenario, &about)?;
-        print(&format!("  {}: {}\n", path.display(), find.words));
+        print(&format!("  {}: {}\n", path.display(), find.description));
     }
-    Ok(explored.faults.is_empty())
+    Ok(explored.failures.is_empty())
 }
 
 /// The worth of each day, in order, on so many threads; an error is that of the first day that can't be played.
-fn worths(days: &[(Scenario, u64)], jobs: usize) -> Result<Vec<Day>, String> {
+fn worths(days: &[(Scenario, u64)], jobs: usize) -> Result<Vec<ScenarioRun>, String> {
     let play_one = |(scenario, seed): &(Scenario, u64)| {
-        play(scenario, *seed).map(|day| Day { events: Vec::new(), ..day })
+        run_scenario(scenario, *seed).map(|day| ScenarioRun { events: Vec::new(), ..day })
     };
-    each(days, jobs, play_one).into_iter().collect()
+    parallel_map(days, jobs, play_one).into_iter().collect()
 }
 
 fn compare(a: &Path, b: &Path, seeds: Range<u64>, jobs: usize) -> Result<bool, String> {
     let (first, second) = (files::read(a)?, files::read(b)?);
     let pairs = seeds.flat_map(|seed| [(first.clone(), seed), (second.clone(), seed)]);
     let days = worths(&pairs.collect::<Vec<_>>(), jobs)?;
-    let worth = |d: &Day| d.reckoning.worth;
+    let worth = |d: &ScenarioRun| d.score.worth;
     let pairs: Vec<(f64, f64)> = days.chunks(2).map(|pair| (worth(&pair[0]), worth(&pair[1]))).collect();
     let mean = |part: fn(&(f64, f64)) -> f64| pairs.iter().map(part).sum::<f64>() / pairs.len() as f64;
     let broken = |of: usize| days.iter().skip(of).step_by(2).filter(|d| !d.is_clean()).count();
@@ -450,13 +451,13 @@
     ));
     print(&format!("  B {}: worth {:.4}, {} days not clean\n", b.display(), mean(|p| p.1), broken(1)));
     if let Some(d) = difference(&pairs) {
-        let seen = if d.is_seen() { "a difference is seen" } else { "no difference seen" };
+        let seen = if d.is_significant() { "a difference is seen" } else { "no difference seen" };
         print(&format!(
             "  B - A {:+.4}, 95 of 100 between {:+.4} and {:+.4}: {seen}\n",
             d.mean, d.low, d.high
         ));
     }
-    Ok(days.iter().all(Day::is_clean))
+    Ok(days.iter().all(ScenarioRun::is_clean))
 }
 
 fn sweep(path: &Path, key: &str, seeds: Range<u64>, jobs: usize) -> Result<bool, String> {
@@ -477,19 +478,20 @@
     let played = worths(&days, jobs)?;
     print(&format!("{key:>12}    worth    least   in time      p99    refused  not clean\n"));
     for (value, days) in values.iter().zip(played.chunks((seeds.end - seeds.start) as usize)) {
-        let mean = |part: &dyn Fn(&Day) -> f64| days.iter().map(part).sum::<f64>() / days.len() as f64;
-        let least = days.iter().map(|d| d.reckoning.worth).fold(1.0, f64::min);
-        let in_time = mean(&|d| d.reckoning.in_time as f64 / d.reckoning.messages.max(1) as f64);
+        let mean =
+            |part: &dyn Fn(&ScenarioRun) -> f64| days.iter().map(part).sum::<f64>() / days.len() as f64;
+        let least = days.iter().map(|d| d.score.worth).fold(1.0, f64::min);
+        let in_time = mean(&|d| d.score.in_time as f64 / d.score.messages.max(1) as f64);
         let refused =
-            mean(&|d| d.reckoning.why.get(&nickelshed_judge::Why::Refused).copied().unwrap_or(0) as f64);
+            mean(&|d| d.score.why.get(&nickelshed_judge::Why::Refused).copied().unwrap_or(0) as f64);
         let unclean = days.iter().filter(|d| !d.is_clean()).count();
         print(&format!(
             "{value:>12}   {:.4}   {least:.4}    {in_time:.4} {:>6.0}ms   {refused:8.1}   {unclean:8}\n",
-            mean(&|d| d.reckoning.worth),
-            mean(&|d| d.reckoning.p99_ms)
+            mean(&|d| d.score.worth),
+            mean(&|d| d.score.p99_ms)
         ));
     }
-    Ok(played.iter().all(Day::is_clean))
+    Ok(played.iter().all(ScenarioRun::is_clean))
 }
 
 fn main() -> ExitCode {
@@ -505,7 +507,7 @@
             files::write(&out, &day, &format!("The day of seed {seed}.")).map(|()| true)
         }
         Command::Kills { scenario, seed, operations, bytes, jobs: asked } => {
-            kill_everywhere(&scenario, seed, Every { operations, bytes }, jobs(asked))
+            kill_everywhere(&scenario, seed, Stride { operations, bytes }, jobs(asked))
         }
         Command::Crossings { scenario, seed, every, first, jobs: asked } => {
             cross_everywhere(&scenario, seed, every, first, jobs(asked))
--- a/crates/proof/nickelshed-lab/src/manner.rs
+++ b/crates/proof/nickelshed-lab/src/manner.rs
@@ -1,7 +1,7 @@
 //! How a day is played, beside its scenario and its seed.
-use crate::crossings::Crossing;
+use crate::crossings::FaultInjection;
 use crate::lie::Lie;
-use crate::life::Cut;
+use crate::life::KillPoint;
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Manner {
@@ -10,7 +10,7 @@
     /// A process that ends in the middle of something, and is started again.
     pub kill: Option<Kill>,
     /// Something that happens at a place of one sender.
-    pub crossing: Option<Crossing>,
+    pub crossing: Option<FaultInjection>,
     /// Over real loopback sockets, in real time.
     pub over_sockets: bool,
 }
@@ -18,5 +18,5 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Kill {
     pub sender: usize,
-    pub cut: Cut,
+    pub cut: KillPoint,
 }
--- a/crates/proof/nickelshed-lab/src/net.rs
+++ b/crates/proof/nickelshed-lab/src/net.rs
@@ -1,6 +1,6 @@
 //! A network in memory, in Tokio's paused time: connections with latency, windows, ends and resets. Everything happens in
 //! one thread and in one order, so the same day is the same bytes.
-use crate::life::Life;
+use crate::life::ProcessRun;
 use nickelshed_host::{Datagrams, Host, Listener, Stream};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -110,7 +110,7 @@
     }
 
     /// One of the machines; a sender's, if it has a life.
-    pub fn host(&self, life: Option<Rc<Life>>) -> SimHost {
+    pub fn host(&self, life: Option<Rc<ProcessRun>>) -> SimHost {
         SimHost { net: self.clone(), life, leaks: false }
     }
 
@@ -147,7 +147,7 @@
 #[derive(Clone)]
 pub struct SimHost {
     net: Net,
-    life: Option<Rc<Life>>,
+    life: Option<Rc<ProcessRun>>,
     /// Its connections to endpoints stay open when they are closed here.
     leaks: bool,
 }
@@ -158,11 +158,11 @@
 }
 
 /// Does something as a step of a process; None if that has ended, also just before. What is nobody's has no steps.
-fn at_step<T>(life: Option<&Rc<Life>>, act: impl FnOnce() -> T) -> Option<T> {
+fn at_step<T>(life: Option<&Rc<ProcessRun>>, act: impl FnOnce() -> T) -> Option<T> {
     let Some(life) = life else { return Some(act()) };
-    let step = life.step()?;
+    let step = life.begin_step()?;
     let done = act();
-    life.stepped(step);
+    life.end_step(step);
     Some(done)
 }
 
@@ -210,9 +210,9 @@
     async fn connect(&self, to: SocketAddr) -> io::Result<SimStream> {
         let Some(life) = &self.life else { return self.make(to).await };
         // None: its process has ended.
-        let Some(step) = life.step() else { return std::future::pending().await };
+        let Some(step) = life.begin_step() else { return std::future::pending().await };
         let made = self.make(to).await;
-        life.stepped(step);
+        life.end_step(step);
         made
     }
 
@@ -237,7 +237,7 @@
     }
 
     fn monotonic(&self) -> Instant {
-        self.life.as_ref().map_or_else(Instant::now, |life| life.leaves())
+        self.life.as_ref().map_or_else(Instant::now, |life| life.departure_time())
     }
 
     fn wall_ms(&self) -> i64 {
@@ -256,7 +256,7 @@
 
 pub struct SimDatagrams {
     net: Net,
-    life: Option<Rc<Life>>,
+    life: Option<Rc<ProcessRun>>,
     at: SocketAddr,
     port: Rc<Port>,
 }
@@ -265,14 +265,14 @@
     fn send(&self, bytes: &[u8], to: SocketAddr) {
         if let Some(life) = &self.life {
             // One that has ended sends nothing, and what is cut off in the middle of it never leaves.
-            if life.send(bytes.len()) < bytes.len() || self.net.severed(life.sender, to).is_some() {
+            if life.on_send(bytes.len()) < bytes.len() || self.net.severed(life.sender, to).is_some() {
                 return;
             }
         }
         let Some(port) = self.net.0.ports.borrow().get(&to).cloned() else { return };
         let mut waiting = port.waiting.borrow_mut();
         if waiting.len() < WAITING {
-            let sent = self.life.as_ref().map_or_else(Instant::now, |life| life.leaves());
+            let sent = self.life.as_ref().map_or_else(Instant::now, |life| life.departure_time());
             waiting.push_back((sent + self.net.0.latency, self.at, bytes.to_vec()));
             self.net.0.noted.set(self.net.0.noted.get() + 1);
             port.news.notify_one();
@@ -307,7 +307,7 @@
 
 pub struct SimListener {
     net: Net,
-    life: Option<Rc<Life>>,
+    life: Option<Rc<ProcessRun>>,
     at: SocketAddr,
     queue: Rc<Queue>,
 }
@@ -392,7 +392,7 @@
     /// When the bytes that were read last were written.
     sent: Cell<Instant>,
     /// Of the process that has this end, if that is a sender's.
-    life: Option<Rc<Life>>,
+    life: Option<Rc<ProcessRun>>,
     leaks: bool,
     /// None where nothing can come between.
     way: Option<Way>,
@@ -415,7 +415,7 @@
 
     /// When what is sent now leaves the machine.
     fn leaves(&self) -> Instant {
-        self.life.as_ref().map_or_else(Instant::now, |life| life.leaves())
+        self.life.as_ref().map_or_else(Instant::now, |life| life.departure_time())
     }
 
     /// When what is sent then arrives.
@@ -526,7 +526,7 @@
         for part in parts {
             bytes.extend_from_slice(&part[..part.len().min(room - bytes.len())]);
         }
-        let n = self.life.as_ref().map_or(bytes.len(), |life| life.send(bytes.len()));
+        let n = self.life.as_ref().map_or(bytes.len(), |life| life.on_send(bytes.len()));
         if n == 0 && !bytes.is_empty() {
             // Its process has ended.
             return Poll::Pending;
--- a/crates/proof/nickelshed-lab/src/play.rs
+++ b/crates/proof/nickelshed-lab/src/play.rs
@@ -1,7 +1,7 @@
 //! One day: senders as processes, the stand-ins around them, the troubles at their times, and the judge at the end.
-use crate::crossings::{Crossing, Happening};
+use crate::crossings::{FaultInjection, InjectedFault};
 use crate::lie::Lie;
-use crate::life::Done;
+use crate::life::ProcessCounters;
 use crate::manner::Manner;
 use crate::net::Severed;
 use crate::process::{machine, Control, Process};
@@ -38,22 +38,22 @@
 
 /// What a day came to.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct ScenarioRun {
     pub events: Vec<Event>,
-    pub broken: Vec<Broken>,
-    pub reckoning: Reckoning,
+    pub violations: Vec<Broken>,
+    pub score: Reckoning,
     /// Why a sender ended by itself, or a part of it did.
     pub crashes: Vec<String>,
     pub length: Duration,
     /// What each sender did on its disk and sent.
-    pub done: Vec<Done>,
+    pub counters: Vec<ProcessCounters>,
     /// Notes between senders.
-    pub notes: u64,
+    pub peer_datagrams: u64,
 }
 
-impl Day {
+impl ScenarioRun {
     pub fn is_clean(&self) -> bool {
-        self.broken.is_empty() && self.crashes.is_empty()
+        self.violations.is_empty() && self.crashes.is_empty()
     }
 }
 
@@ -239,31 +239,33 @@
 }
 
 /// Has happen what a day is crossed by, once the place is reached.
-async fn cross(world: Rc<World>, processes: Rc<Vec<Process>>, crossing: Crossing, seed: u64) {
-    world.lives[crossing.sender].crossed().await;
+async fn cross(world: Rc<World>, processes: Rc<Vec<Process>>, crossing: FaultInjection, seed: u64) {
+    world.lives[crossing.sender].fault_point_reached().await;
     let control = &processes[crossing.sender].control;
-    let (kind, lasts) = match crossing.happening {
+    let (kind, lasts) = match crossing.fault {
         // The process has ended already.
-        Happening::Kill => return,
-        Happening::Terminate => {
+        InjectedFault::Kill => return,
+        InjectedFault::Terminate => {
             let _ = control.send(Control::Terminate);
             sleep(TO_KILL).await;
             let _ = control.send(Control::Kill);
             return;
         }
-        Happening::Pause => {
+        InjectedFault::Pause => {
             let _ = control.send(Control::Pause(STANDS_STILL));
             return;
         }
-        Happening::ClientsLeave => return world.leave.notify_waiters(),
-        Happening::Resets => return world.destinations.values().for_each(|d| d.resets.notify_waiters()),
-        Happening::IdleCloses => return world.destinations.values().for_each(|d| d.closes.notify_waiters()),
-        Happening::EndsNew => return world.ends_new.set(world.now() + 1_000_000),
-        Happening::Hangup => (Kind::Reload, 0),
-        Happening::Mute => (Kind::Mute, 4_000),
-        Happening::Drain => (Kind::Drain, 0),
-        Happening::Shut => (Kind::Shut, 3_000),
-        Happening::Silent => (Kind::Silent, 3_000),
+        InjectedFault::ClientsLeave => return world.leave.notify_waiters(),
+        InjectedFault::Resets => return world.destinations.values().for_each(|d| d.resets.notify_waiters()),
+        InjectedFault::IdleCloses => {
+            return world.destinations.values().for_each(|d| d.closes.notify_waiters())
+        }
+        InjectedFault::EndsNew => return world.ends_new.set(world.now() + 1_000_000),
+        InjectedFault::Hangup => (Kind::Reload, 0),
+        InjectedFault::Mute => (Kind::Mute, 4_000),
+        InjectedFault::Drain => (Kind::Drain, 0),
+        InjectedFault::Shut => (Kind::Shut, 3_000),
+        InjectedFault::Silent => (Kind::Silent, 3_000),
     };
     let happens = now(&world, kind, lasts);
     trouble(world, processes, happens, seed).await;
@@ -302,7 +304,7 @@
         Kind::Jump => world.net.jump((trouble.size * 1e3) as i64),
         Kind::Stall => {
             let until = world.instant(trouble.to());
-            (0..processes.len()).filter(met).for_each(|s| world.lives[s].stall(until));
+            (0..processes.len()).filter(met).for_each(|s| world.lives[s].stall_disk(until));
         }
         Kind::Rude => rude::visit(world, trouble, seed).await,
         // What is left is in the traffic already.
@@ -371,7 +373,7 @@
 
 /// Where a day's slots and time went, and the worth that one reaches who knows how every destination stands. Apart from
 /// the day, as days that are only judged need neither.
-pub fn accounted(scenario: &Scenario, seed: u64, day: &Day) -> (Account, f64) {
+pub fn account_with_oracle(scenario: &Scenario, seed: u64, day: &ScenarioRun) -> (Account, f64) {
     let worths = worths(scenario);
     (account(&day.events, &worths, Figures::default().cold), reachable(scenario, seed, &worths))
 }
@@ -388,7 +390,7 @@
     got / f64::max(asked, 1e-9)
 }
 
-async fn day(scenario: Scenario, seed: u64, manner: Manner) -> Day {
+async fn day(scenario: Scenario, seed: u64, manner: Manner) -> ScenarioRun {
     let lie = manner.lie;
     let world = World::new(&scenario, seed, manner);
     let mut first = Vec::new();
@@ -401,7 +403,7 @@
     world.tell(&first);
     world.agents.iter().for_each(|agent| agent.told.set(first.len()));
     if let Some(crossing) = manner.crossing {
-        world.lives[crossing.sender].place(crossing.mark());
+        world.lives[crossing.sender].set_fault_point(crossing.fault_point());
     }
     let mut processes = Vec::new();
     for sender in 0..scenario.senders as usize {
@@ -457,13 +459,13 @@
     let figures = Figures { window, known, ..Figures::default() };
     let mut crashes = world.crashes.borrow().clone();
     crashes.extend(PANICS.with(|p| p.borrow_mut().take()).unwrap_or_default());
-    Day {
-        broken: judge(&events, figures),
-        reckoning: reckon(&events, &worths(&scenario)),
+    ScenarioRun {
+        violations: judge(&events, figures),
+        score: reckon(&events, &worths(&scenario)),
         crashes,
         length: world.net.start().elapsed(),
-        done: world.lives.iter().map(|life| life.done()).collect(),
-        notes: world.net.noted(),
+        counters: world.lives.iter().map(|life| life.counters()).collect(),
+        peer_datagrams: world.net.noted(),
         events,
     }
 }
@@ -472,15 +474,15 @@
 ///
 /// # Errors
 /// If the scenario can't be played.
-pub fn play(scenario: &Scenario, seed: u64) -> Result<Day, String> {
-    play_so(scenario, seed, Manner::default())
+pub fn run_scenario(scenario: &Scenario, seed: u64) -> Result<ScenarioRun, String> {
+    run_scenario_with(scenario, seed, Manner::default())
 }
 
-/// As [`play`], in a manner of its own. Over sockets a day takes as long as it is, and no two are the same.
+/// As [`run_scenario`], in a manner of its own. Over sockets a day takes as long as it is, and no two are the same.
 ///
 /// # Errors
 /// If the scenario can't be played.
-pub fn play_so(scenario: &Scenario, seed: u64, manner: Manner) -> Result<Day, String> {
+pub fn run_scenario_with(scenario: &Scenario, seed: u64, manner: Manner) -> Result<ScenarioRun, String> {
     scenario.sound()?;
     watch_panics();
     let mut runtime = tokio::runtime::Builder::new_current_thread();
--- a/crates/proof/nickelshed-lab/src/process.rs
+++ b/crates/proof/nickelshed-lab/src/process.rs
@@ -1,5 +1,5 @@
 //! One sender's machine over a day: its process is started, told, ended in the middle of something, and started again.
-use crate::folder::Folder;
+use crate::folder::StateFolder;
 use crate::lie::Lie;
 use crate::stands::sender_address;
 use crate::world::World;
@@ -51,7 +51,7 @@
     let life = world.lives[sender].clone();
     loop {
         disk.restart();
-        life.begin();
+        life.start();
         match world.lie {
             Some(Lie::ForgetsJournal) => disk = Disk::new(),
             // It may not be there yet.
@@ -74,7 +74,7 @@
         let host = if world.lie == Some(Lie::LeavesCallsOpen) { host.leaking() } else { host };
         let (form, folder) = (
             ConfigSource::InMemory(Operator::default(), told.clone()),
-            Folder::new(disk.clone(), life.clone()),
+            StateFolder::new(disk.clone(), life.clone()),
         );
         let mut process: Pin<Box<dyn Future<Output = Result<(), String>>>> = Box::pin(async move {
             // Dropped with the process, and all its tasks with it.
@@ -83,11 +83,11 @@
         });
         let health = spawn_local(healthy(world.clone(), sender, up.clone()));
         let result = loop {
-            if life.is_dead() {
+            if life.is_killed() {
                 world.note(What::Going { sender });
                 break None;
             }
-            if let Some(until) = life.still() {
+            if let Some(until) = life.blocked_until() {
                 // Not even a kill reaches a process in the middle of an operation on its disk.
                 let time = until.saturating_duration_since(Instant::now()).as_micros() as Us;
                 world.note(What::Stopped { sender, time });
@@ -95,7 +95,7 @@
             }
             tokio::select! {
                 biased;
-                () = life.befallen() => {}
+                () = life.killed_or_blocked() => {}
                 told = control.recv() => match told {
                     None => return,
                     Some(Control::Terminate) => {
@@ -117,8 +117,8 @@
                     Some(Control::Hangup) => _ = hangup.try_send(()),
                 },
                 // What one in the middle of its end says counts for nothing.
-                result = &mut process, if !life.is_dead() => {
-                    if !life.is_dead() {
+                result = &mut process, if !life.is_killed() => {
+                    if !life.is_killed() {
                         break Some(result);
                     }
                 }
--- a/crates/proof/nickelshed-lab/src/report/mod.rs
+++ b/crates/proof/nickelshed-lab/src/report/mod.rs
@@ -2,7 +2,7 @@
 mod plots;
 pub mod series;
 
-use crate::Day;
+use crate::ScenarioRun;
 use nickelshed_judge::{Broken, Us};
 use nickelshed_model::Scenario;
 use series::{series, Life};
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// If a plot can't be drawn.
-pub fn page(name: &str, scenario: &Scenario, seed: u64, day: &Day) -> Result<String, String> {
+pub fn page(name: &str, scenario: &Scenario, seed: u64, day: &ScenarioRun) -> Result<String, String> {
     let end = day.events.last().map_or(0, |e| e.at);
     let series = series(&day.events, (end / BUCKETS).max(LEAST_BUCKET));
     let mut plots = String::new();
@@ -65,24 +65,24 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-fn verdict(day: &Day) -> String {
+fn verdict(day: &ScenarioRun) -> String {
     if day.is_clean() {
         return "<p class=\"kept\">All six rules were kept, and nothing crashed.</p>".into();
     }
     let mut out = String::from("<ul class=\"broken\">");
     let word = |b: &Broken| format!("{:?} at {} ms: {}", b.rule, b.at / 1_000, b.words);
-    let broken = day.broken.iter().take(BROKEN).map(word);
+    let broken = day.violations.iter().take(BROKEN).map(word);
     for line in broken.chain(day.crashes.iter().map(|c| format!("crash: {c}"))) {
         let _ = write!(out, "<li>{}</li>", escaped(&line));
     }
-    if day.broken.len() > BROKEN {
-        let _ = write!(out, "<li>and {} more</li>", day.broken.len() - BROKEN);
+    if day.violations.len() > BROKEN {
+        let _ = write!(out, "<li>and {} more</li>", day.violations.len() - BROKEN);
     }
     out + "</ul>"
 }
 
-fn table(day: &Day) -> String {
-    let r = &day.reckoning;
+fn table(day: &ScenarioRun) -> String {
+    let r = &day.score;
     let mut rows = vec![
         ("worth delivered of what was asked for".to_string(), format!("{:.4}", r.worth)),
         ("messages".into(), r.messages.to_string()),
--- a/crates/proof/nickelshed-lab/src/sockets.rs
+++ b/crates/proof/nickelshed-lab/src/sockets.rs
@@ -1,6 +1,6 @@
 //! Real loopback sockets under the names of the simulated machines: each address is a port that the kernel gave. The same
 //! stand-ins and the same sender run over them in real time.
-use crate::life::Life;
+use crate::life::ProcessRun;
 use crate::net::{is_far, Net};
 use nickelshed_host::{Host, Machine, Stream};
 use std::cell::{Cell, RefCell};
@@ -41,7 +41,7 @@
 pub struct SocketHost {
     pub ports: Ports,
     pub net: Net,
-    pub life: Option<Rc<Life>>,
+    pub life: Option<Rc<ProcessRun>>,
 }
 
 impl SocketHost {
--- a/crates/proof/nickelshed-lab/src/wire.rs
+++ b/crates/proof/nickelshed-lab/src/wire.rs
@@ -1,5 +1,5 @@
 //! The machines of a day as its senders and stand-ins see them: over the simulated network, or over real sockets.
-use crate::life::Life;
+use crate::life::ProcessRun;
 use crate::net::{Net, Severed, SimDatagrams, SimHost, SimListener, SimStream};
 use crate::sockets::{Ports, SocketHost, SocketListener, SocketStream};
 use nickelshed_host::{Host, Listener, Machine, Stream};
@@ -25,7 +25,7 @@
     }
 
     /// One of them; a sender's, if it has a life.
-    pub fn host(&self, life: Option<Rc<Life>>) -> LabHost {
+    pub fn host(&self, life: Option<Rc<ProcessRun>>) -> LabHost {
         match &self.sockets {
             None => LabHost::Simulated(self.net.host(life)),
             Some(ports) => LabHost::Real(SocketHost { ports: ports.clone(), net: self.net.clone(), life }),
--- a/crates/proof/nickelshed-lab/src/world.rs
+++ b/crates/proof/nickelshed-lab/src/world.rs
@@ -1,6 +1,6 @@
 //! A day's shared state: its time, its history, its customer systems, and the list of endpoints as discovery has it.
 use crate::lie::Lie;
-use crate::life::Life;
+use crate::life::ProcessRun;
 use crate::manner::Manner;
 use crate::net::Net;
 use crate::stands::sender_of_notes;
@@ -64,7 +64,7 @@
     pub lie: Option<Lie>,
     pub net: Machines,
     /// Of each sender's processes.
-    pub lives: Vec<Rc<Life>>,
+    pub lives: Vec<Rc<ProcessRun>>,
     pub scenario: Scenario,
     pub events: RefCell<Vec<Event>>,
     pub random: RefCell<Random>,
@@ -115,7 +115,7 @@
         Rc::new(World {
             lie: manner.lie,
             net: if manner.over_sockets { Machines::real(net) } else { Machines::simulated(net) },
-            lives: (0..scenario.senders as usize).map(|s| Rc::new(Life::new(s, cut(s)))).collect(),
+            lives: (0..scenario.senders as usize).map(|s| Rc::new(ProcessRun::new(s, cut(s)))).collect(),
             scenario: scenario.clone(),
             events: RefCell::default(),
             random: RefCell::new(stream(seed, 2)),
--- a/crates/proof/nickelshed-lab/tests/days.rs
+++ b/crates/proof/nickelshed-lab/tests/days.rs
@@ -3,7 +3,8 @@
 use nickelshed_config::units::{Percent, Period};
 use nickelshed_judge::{Event, How, Rule, What};
 use nickelshed_lab::{
-    crossings, cut, faults, files, kills, play, play_so, Crossing, Day, Every, Fault, Happening, Lie, Manner,
+    failures, files, minimize, run_fault_points, run_kill_points, run_scenario, run_scenario_with, Failure,
+    FaultInjection, InjectedFault, Lie, Manner, ScenarioRun, Stride,
 };
 use nickelshed_model::{draw, Kind, Scenario, Trouble};
 use std::path::{Path, PathBuf};
@@ -19,7 +20,7 @@
     files
 }
 
-fn trace(day: &Day) -> String {
+fn trace(day: &ScenarioRun) -> String {
     day.events.iter().map(|e| serde_json::to_string(e).unwrap() + "\n").collect()
 }
 
@@ -27,13 +28,13 @@
 #[test]
 fn the_same_seed_is_the_same_bytes() {
     for seed in [3, 6, 8, 11] {
-        let first = trace(&play(&draw(seed), seed).unwrap());
+        let first = trace(&run_scenario(&draw(seed), seed).unwrap());
         assert!(first.lines().count() > 500);
         let beside: Vec<_> = (0..3u64)
             .map(|i| {
                 std::thread::spawn(move || {
-                    play(&draw(seed + 100 + i), i).unwrap();
-                    trace(&play(&draw(seed), seed).unwrap())
+                    run_scenario(&draw(seed + 100 + i), i).unwrap();
+                    trace(&run_scenario(&draw(seed), seed).unwrap())
                 })
             })
             .collect();
@@ -46,7 +47,7 @@
                 differs.map(|n| (first.lines().nth(n), other.lines().nth(n)))
             );
         }
-        assert!(trace(&play(&draw(seed), seed + 1).unwrap()) != first);
+        assert!(trace(&run_scenario(&draw(seed), seed + 1).unwrap()) != first);
     }
 }
 
@@ -61,20 +62,21 @@
     for path in all {
         let scenario = files::read(&path).unwrap();
         for seed in [1, 3] {
-            let day = play(&scenario, seed).unwrap();
-            let broken: Vec<Rule> = day.broken.iter().map(|b| b.rule).collect();
+            let day = run_scenario(&scenario, seed).unwrap();
+            let broken: Vec<Rule> = day.violations.iter().map(|b| b.rule).collect();
             let open = OPEN
                 .iter()
                 .filter(|(name, at, _)| path.ends_with(name) && *at == seed)
                 .map(|(.., rule)| *rule);
             let open: Vec<Rule> = open.collect();
-            let (crashes, words) = (&day.crashes, day.broken.iter().map(|b| &b.words).collect::<Vec<_>>());
+            let (crashes, words) =
+                (&day.crashes, day.violations.iter().map(|b| &b.words).collect::<Vec<_>>());
             assert!(
                 crashes.is_empty() && broken == open,
                 "{} seed {seed}: {crashes:?} {words:?}",
                 path.display()
             );
-            assert!(day.reckoning.messages > 200);
+            assert!(day.score.messages > 200);
         }
     }
 }
@@ -85,13 +87,13 @@
 fn senders_that_keep_a_view_of_one_another_break_no_rule_and_play_the_same_each_time() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../lab/scenarios/large-notes.toml");
     let scenario = files::read(&path).unwrap();
-    let alone = play(&Scenario { notes: false, ..scenario.clone() }, 1).unwrap();
-    let day = play(&scenario, 1).unwrap();
-    assert!(day.is_clean(), "{:?} {:?}", day.crashes, day.broken);
+    let alone = run_scenario(&Scenario { notes: false, ..scenario.clone() }, 1).unwrap();
+    let day = run_scenario(&scenario, 1).unwrap();
+    assert!(day.is_clean(), "{:?} {:?}", day.crashes, day.violations);
     // Each probes another about once a second, for as long as it runs.
     let least = u64::from(scenario.senders) * (day.length.as_secs() - 10);
-    assert!(alone.notes == 0 && day.notes > least, "{} notes", day.notes);
-    assert!(trace(&play(&scenario, 1).unwrap()) == trace(&day));
+    assert!(alone.peer_datagrams == 0 && day.peer_datagrams > least, "{} notes", day.peer_datagrams);
+    assert!(trace(&run_scenario(&scenario, 1).unwrap()) == trace(&day));
 }
 
 /// What explore has met once is met no more.
@@ -99,8 +101,8 @@
 fn every_find_is_mended() {
     for path in folder("found") {
         let scenario = files::read(&path).unwrap();
-        let day = play(&scenario, scenario.seed.unwrap_or(1)).unwrap();
-        assert!(day.is_clean(), "{}: {:?} {:?}", path.display(), day.crashes, day.broken);
+        let day = run_scenario(&scenario, scenario.seed.unwrap_or(1)).unwrap();
+        assert!(day.is_clean(), "{}: {:?} {:?}", path.display(), day.crashes, day.violations);
     }
 }
 
@@ -130,8 +132,8 @@
     for kill in (800..4_800).step_by(50) {
         let mut day = scenario.clone();
         day.troubles.push(trouble(Kind::Kill, kill, 0));
-        let day = play(&day, 1).unwrap();
-        assert!(day.is_clean(), "killed at {kill} ms: {:?} {:?}", day.crashes, day.broken);
+        let day = run_scenario(&day, 1).unwrap();
+        assert!(day.is_clean(), "killed at {kill} ms: {:?} {:?}", day.crashes, day.violations);
     }
 }
 
@@ -142,9 +144,9 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../lab/scenarios/kills.toml");
     let scenario = files::read(&path).unwrap();
     let jobs = std::thread::available_parallelism().map_or(1, |n| n.get());
-    let killed = kills(&scenario, 1, Every { operations: 2, bytes: 499 }, jobs).unwrap();
+    let killed = run_kill_points(&scenario, 1, Stride { operations: 2, bytes: 499 }, jobs).unwrap();
     assert!(killed.operations > 300 && killed.bytes > 100, "{killed:?}");
-    assert_eq!(killed.finds, []);
+    assert_eq!(killed.failures, []);
 }
 
 /// The same stand-ins and the same model over real sockets. Times are the machine's there, so only what does not hang on them
@@ -169,12 +171,12 @@
         }],
         ..Scenario::default()
     };
-    let simulated = play(&scenario, 1).unwrap();
-    let real = play_so(&scenario, 1, Manner { over_sockets: true, ..Manner::default() }).unwrap();
+    let simulated = run_scenario(&scenario, 1).unwrap();
+    let real = run_scenario_with(&scenario, 1, Manner { over_sockets: true, ..Manner::default() }).unwrap();
     assert_eq!(real.crashes, [] as [String; 0]);
-    assert_eq!(real.reckoning.messages, simulated.reckoning.messages);
-    assert!(real.reckoning.in_time > 0);
-    let broken = |rule| real.broken.iter().find(|b| b.rule == rule);
+    assert_eq!(real.score.messages, simulated.score.messages);
+    assert!(real.score.in_time > 0);
+    let broken = |rule| real.violations.iter().find(|b| b.rule == rule);
     assert_eq!((broken(Rule::AtOnce), broken(Rule::Twice)), (None, None));
 }
 
@@ -205,10 +207,14 @@
         troubles: vec![trouble(Kind::Slow), trouble(Kind::Burst), trouble(Kind::Mute)],
         ..Scenario::default()
     };
-    let fault = Fault::Crash;
-    assert!(!faults(&play(&scenario, 1).unwrap()).contains_key(&fault));
-    let find = cut(fault, 1, scenario.clone());
-    assert_eq!((find.words.as_str(), find.scenario.troubles.len()), ("", 3), "what shows nothing is not cut");
+    let fault = Failure::Crash;
+    assert!(!failures(&run_scenario(&scenario, 1).unwrap()).contains_key(&fault));
+    let find = minimize(fault, 1, scenario.clone());
+    assert_eq!(
+        (find.description.as_str(), find.scenario.troubles.len()),
+        ("", 3),
+        "what shows nothing is not cut"
+    );
 }
 
 /// Each guard that is undone is caught, by random days alone. How long that took is in docs/operations/lab.md.
@@ -216,12 +222,13 @@
 fn every_guard_that_is_undone_is_caught() {
     for lie in Lie::ALL {
         let mut hours = 0.0;
-        let breaks = |day: &Day| day.broken.iter().any(|b| b.rule == lie.breaks());
+        let breaks = |day: &ScenarioRun| day.violations.iter().any(|b| b.rule == lie.breaks());
         let caught = (1..=150).find(|&seed| {
-            let day = play_so(&draw(seed), seed, Manner { lie: Some(lie), ..Manner::default() }).unwrap();
+            let day =
+                run_scenario_with(&draw(seed), seed, Manner { lie: Some(lie), ..Manner::default() }).unwrap();
             hours += day.length.as_secs_f64() / 3_600.0;
             // And it is the lie: without it the same day is clean.
-            breaks(&day) && !breaks(&play(&draw(seed), seed).unwrap())
+            breaks(&day) && !breaks(&run_scenario(&draw(seed), seed).unwrap())
         });
         println!("{lie:?}: caught by seed {caught:?} after {hours:.2} simulated hours");
         assert!(caught.is_some(), "{lie:?} is not caught in {hours:.1} simulated hours");
@@ -239,9 +246,9 @@
 fn whatever_happens_at_any_place_where_a_sender_meets_its_host_breaks_no_rule() {
     let jobs = std::thread::available_parallelism().map_or(1, |n| n.get());
     for seed in [1, 2] {
-        let crossed = crossings(&crossings_day(), seed, 9, 0, jobs).unwrap();
-        assert!(crossed.steps > 100 && crossed.played > 300, "{crossed:?}");
-        assert_eq!(crossed.finds, []);
+        let crossed = run_fault_points(&crossings_day(), seed, 9, 0, jobs).unwrap();
+        assert!(crossed.steps > 100 && crossed.runs > 300, "{crossed:?}");
+        assert_eq!(crossed.failures, []);
     }
 }
 
@@ -251,7 +258,7 @@
     let jobs = std::thread::available_parallelism().map_or(1, |n| n.get());
     let full = Scenario { held: 6, rate: 40.0, limit: 0.4, ..crossings_day() };
     for seed in [1, 2] {
-        let whole = play(&full, seed).unwrap();
+        let whole = run_scenario(&full, seed).unwrap();
         let came = |id: &str| {
             let handed = |e: &&Event| matches!(&e.what, What::HandedIn { id: i, .. } if i == id);
             whole.events.iter().find(handed).unwrap().at
@@ -261,26 +268,27 @@
             _ => false,
         });
         assert!(waited.count() > 3, "the room is never full");
-        let crossed = crossings(&full, seed, 19, 0, jobs).unwrap();
-        assert!(crossed.played > 300, "{crossed:?}");
-        assert_eq!(crossed.finds, []);
+        let crossed = run_fault_points(&full, seed, 19, 0, jobs).unwrap();
+        assert!(crossed.runs > 300, "{crossed:?}");
+        assert_eq!(crossed.failures, []);
     }
 }
 
 /// A happening that did not come would break no rule either.
 #[test]
 fn every_happening_of_a_crossing_is_seen_in_its_day() {
-    let day = |crossing| play_so(&crossings_day(), 1, Manner { crossing, ..Manner::default() }).unwrap();
+    let day =
+        |crossing| run_scenario_with(&crossings_day(), 1, Manner { crossing, ..Manner::default() }).unwrap();
     let whole = day(None);
-    for happening in Happening::ALL {
+    for happening in InjectedFault::ALL {
         let places = whole
-            .done
+            .counters
             .iter()
             .enumerate()
             .flat_map(|(s, done)| (0..done.steps).step_by(4).map(move |n| (s, n)));
         let seen = places.filter(|&(sender, step)| {
             let after = step % 2 == 0;
-            day(Some(Crossing { sender, step, after, happening })).events != whole.events
+            day(Some(FaultInjection { sender, step, after, fault: happening })).events != whole.events
         });
         assert!(seen.count() >= 1, "{happening:?}");
     }
@@ -291,12 +299,13 @@
 fn endpoints_that_end_new_connections_are_not_called_on_and_on() {
     let brief = Scenario { rate: 2.0, length: Period::ms(2_000), troubles: Vec::new(), ..crossings_day() };
     let steps = |crossing| {
-        let day = play_so(&brief, 1, Manner { crossing, ..Manner::default() }).unwrap();
-        assert!(day.is_clean(), "{:?}", day.broken);
-        day.done.iter().map(|done| done.steps).sum::<u64>()
+        let day = run_scenario_with(&brief, 1, Manner { crossing, ..Manner::default() }).unwrap();
+        assert!(day.is_clean(), "{:?}", day.violations);
+        day.counters.iter().map(|done| done.steps).sum::<u64>()
     };
     let whole = steps(None);
-    let crossed = steps(Some(Crossing { sender: 0, step: 5, after: false, happening: Happening::EndsNew }));
+    let crossed =
+        steps(Some(FaultInjection { sender: 0, step: 5, after: false, fault: InjectedFault::EndsNew }));
     assert!(crossed < whole + 60, "{crossed} steps, {whole} without it");
 }
 
@@ -304,12 +313,16 @@
 #[test]
 fn what_nobody_was_told_is_taken_on_is_not_called_for() {
     let mut called = Vec::new();
-    let whole = play(&crossings_day(), 1).unwrap();
-    for (sender, done) in whole.done.iter().enumerate() {
+    let whole = run_scenario(&crossings_day(), 1).unwrap();
+    for (sender, done) in whole.counters.iter().enumerate() {
         for (step, after) in (0..done.steps).flat_map(|n| [(n, false), (n, true)]) {
-            let crossing = Crossing { sender, step, after, happening: Happening::ClientsLeave };
-            let day = play_so(&crossings_day(), 1, Manner { crossing: Some(crossing), ..Manner::default() })
-                .unwrap();
+            let crossing = FaultInjection { sender, step, after, fault: InjectedFault::ClientsLeave };
+            let day = run_scenario_with(
+                &crossings_day(),
+                1,
+                Manner { crossing: Some(crossing), ..Manner::default() },
+            )
+            .unwrap();
             let left: Vec<(&str, u64)> = day
                 .events
                 .iter()
@@ -343,8 +356,8 @@
         servers: 32,
         ..Scenario::default()
     };
-    let (day, ms) = (play(&scenario, 1).unwrap(), 1_000);
-    assert!(day.is_clean(), "{:?}", day.broken);
+    let (day, ms) = (run_scenario(&scenario, 1).unwrap(), 1_000);
+    assert!(day.is_clean(), "{:?}", day.violations);
     let answered = |id: &str, from: u64, to: u64| {
         let calls = day.events.iter().filter_map(|e| match &e.what {
             What::Call { call, ids, .. } if ids.iter().any(|i| i == id) => Some(*call),
