--- a/crates/proof/nickelshed-lab/src/report/series.rs
+++ b/crates/proof/nickelshed-lab/src/report/series.rs
@@ -1,306 +1,311 @@
-//! A day's history as series over time, and as the life of each message. Pure: events in, figures out.
+//! Turns the events of a run into time series for the plots and into the history of each message. Does no I/O.
 use nickelshed_judge::{Event, How, Us, What};
 use std::collections::{BTreeMap, HashMap};
 
-/// How an attempt ended, as coarsely as a plot tells it.
+/// How a call ended, in the categories that the plots distinguish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum CallOutcome {
     Served,
-    TurnedAway,
+    Rejected,
     Failed,
-    /// Reset, given up or never answered.
-    Nothing,
+    /// The connection was reset, the sender cancelled the call, or the endpoint never answered.
+    NoAnswer,
 }
 
-impl Answer {
-    pub const ALL: [Answer; 4] = [Answer::Served, Answer::TurnedAway, Answer::Failed, Answer::Nothing];
+impl CallOutcome {
+    pub const ALL: [CallOutcome; 4] =
+        [CallOutcome::Served, CallOutcome::Rejected, CallOutcome::Failed, CallOutcome::NoAnswer];
 
-    fn of(how: &How) -> Answer {
+    fn from_result(how: &How) -> CallOutcome {
         match how {
-            How::Answered { status: 200, .. } => Answer::Served,
-            How::Answered { status: 429 | 503, .. } => Answer::TurnedAway,
-            How::Answered { .. } | How::Spoilt => Answer::Failed,
-            How::Closed => Answer::Nothing,
+            How::Answered { status: 200, .. } => CallOutcome::Served,
+            How::Answered { status: 429 | 503, .. } => CallOutcome::Rejected,
+            How::Answered { .. } | How::Spoilt => CallOutcome::Failed,
+            How::Closed => CallOutcome::NoAnswer,
         }
     }
 
     pub fn name(self) -> &'static str {
         match self {
-            Answer::Served => "served",
-            Answer::TurnedAway => "turned away",
-            Answer::Failed => "failed or spoilt",
-            Answer::Nothing => "no answer",
+            CallOutcome::Served => "served",
+            CallOutcome::Rejected => "rejected",
+            CallOutcome::Failed => "failed or corrupted",
+            CallOutcome::NoAnswer => "no answer",
         }
     }
 }
 
-/// A stretch of the day with a name: an outage, a stop, an endpoint that takes nothing new.
+/// A labelled period of the run: an outage, a stalled or restarting sender, or an endpoint that accepts no new work.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Stretch {
-    pub what: String,
+pub struct Interval {
+    pub label: String,
     pub from: Us,
-    /// None where it goes on to the end.
+    /// None if the period lasts until the end of the run.
     pub to: Option<Us>,
 }
 
-/// One step in a message's life.
+/// One event in the history of a message.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Step {
+pub struct HistoryStep {
     pub at: Us,
-    /// When it ended, for an attempt that was seen to.
-    pub to: Option<Us>,
-    pub words: String,
+    /// When the attempt ended; None for other steps, and for an attempt whose end was not recorded.
+    pub until: Option<Us>,
+    pub description: String,
 }
 
-/// A message over all its tries.
+/// The history of a message over all its submissions.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Life {
+pub struct MessageHistory {
     pub message: u64,
     pub dest: u64,
     pub class: usize,
-    pub steps: Vec<Step>,
-    /// From the first time that it was handed in, if it was delivered.
-    pub took: Option<Us>,
+    pub steps: Vec<HistoryStep>,
+    /// Time from the first submission to the delivery; None if the message was not delivered.
+    pub latency: Option<Us>,
 }
 
-/// What is plotted, in buckets of equal length from the start of the day.
+/// The plotted values, in buckets of equal length from the start of the run.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Series {
+pub struct TimeSeries {
     pub bucket: Us,
-    /// Messages handed in, tries again included.
-    pub handed_in: Vec<u32>,
-    /// Messages delivered in each bucket, the first time.
+    /// Submissions in each bucket, retries by clients included.
+    pub submitted: Vec<u32>,
+    /// Messages first delivered in each bucket.
     pub delivered: Vec<u32>,
-    /// By `Answer::ALL`.
-    pub answers: [Vec<u32>; 4],
-    /// By sender, the most in the bucket: calls out, and messages taken on that are neither out nor over.
-    pub out: Vec<Vec<u32>>,
-    pub held: Vec<Vec<u32>>,
-    pub stretches: Vec<Stretch>,
-    pub lives: Vec<Life>,
+    /// Ended calls in each bucket, indexed by `CallOutcome`.
+    pub outcomes: [Vec<u32>; 4],
+    /// For each sender, the highest number of calls in flight in each bucket.
+    pub calls_in_flight: Vec<Vec<u32>>,
+    /// For each sender, the highest number of queued messages in each bucket: accepted, not in flight and not finished.
+    pub queued: Vec<Vec<u32>>,
+    pub intervals: Vec<Interval>,
+    pub histories: Vec<MessageHistory>,
 }
 
-struct Call {
+struct CallInFlight {
     sender: usize,
     ids: Vec<String>,
-    /// The place of its step in each message's life.
+    /// Each message with the index of this call's step in its history.
     steps: Vec<(u64, usize)>,
 }
 
-/// Where a hand-in stands.
+/// The current state of a submission.
 #[derive(Default)]
-struct Try {
+struct Submission {
     message: u64,
     sender: usize,
-    taken_on: bool,
-    out: bool,
-    over: bool,
+    accepted: bool,
+    in_flight: bool,
+    finished: bool,
 }
 
-struct Reader {
-    series: Series,
-    lives: BTreeMap<u64, Life>,
-    first: HashMap<u64, Us>,
-    tries: HashMap<String, Try>,
-    calls: HashMap<u64, Call>,
-    out: Vec<u32>,
-    held: Vec<u32>,
-    open: BTreeMap<String, usize>,
+struct SeriesBuilder {
+    series: TimeSeries,
+    histories: BTreeMap<u64, MessageHistory>,
+    first_submitted: HashMap<u64, Us>,
+    submissions: HashMap<String, Submission>,
+    calls: HashMap<u64, CallInFlight>,
+    calls_in_flight: Vec<u32>,
+    queued: Vec<u32>,
+    open_intervals: BTreeMap<String, usize>,
 }
 
-/// The series of a history whose events are in the order of their times.
-pub fn series(events: &[Event], bucket: Us) -> Series {
+/// Builds the time series of a run. `events` are ordered by time, `bucket` is the length of a bucket.
+pub fn time_series(events: &[Event], bucket: Us) -> TimeSeries {
     let bucket = bucket.max(1);
-    let length = events.last().map_or(0, |e| e.at / bucket) as usize + 1;
-    let sender = |e: &Event| match &e.what {
+    let buckets = events.last().map_or(0, |e| e.at / bucket) as usize + 1;
+    let sender_count = |e: &Event| match &e.what {
         What::HandedIn { sender, .. } | What::Call { sender, .. } => sender + 1,
         _ => 0,
     };
-    let senders = events.iter().map(sender).max().unwrap_or(0);
-    let mut reader = Reader {
-        series: Series {
+    let senders = events.iter().map(sender_count).max().unwrap_or(0);
+    let mut builder = SeriesBuilder {
+        series: TimeSeries {
             bucket,
-            handed_in: vec![0; length],
-            delivered: vec![0; length],
-            answers: std::array::from_fn(|_| vec![0; length]),
-            out: vec![vec![0; length]; senders],
-            held: vec![vec![0; length]; senders],
-            ..Series::default()
+            submitted: vec![0; buckets],
+            delivered: vec![0; buckets],
+            outcomes: std::array::from_fn(|_| vec![0; buckets]),
+            calls_in_flight: vec![vec![0; buckets]; senders],
+            queued: vec![vec![0; buckets]; senders],
+            ..TimeSeries::default()
         },
-        lives: BTreeMap::new(),
-        first: HashMap::new(),
-        tries: HashMap::new(),
+        histories: BTreeMap::new(),
+        first_submitted: HashMap::new(),
+        submissions: HashMap::new(),
         calls: HashMap::new(),
-        out: vec![0; senders],
-        held: vec![0; senders],
-        open: BTreeMap::new(),
+        calls_in_flight: vec![0; senders],
+        queued: vec![0; senders],
+        open_intervals: BTreeMap::new(),
     };
     let mut filled = 0;
     for event in events {
-        let at = ((event.at / bucket) as usize).min(length - 1);
-        // What was out or held when a bucket began is so in it, even if nothing happens there.
-        for b in filled + 1..=at {
-            reader.mark(b);
+        let current = ((event.at / bucket) as usize).min(buckets - 1);
+        // Counts carry over into the buckets without events since the last one.
+        for empty in filled + 1..=current {
+            builder.record_peaks(empty);
         }
-        filled = filled.max(at);
-        reader.take(event, at);
-        reader.mark(at);
+        filled = filled.max(current);
+        builder.apply(event, current);
+        builder.record_peaks(current);
     }
-    reader.series.lives = reader.lives.into_values().collect();
-    reader.series
+    builder.series.histories = builder.histories.into_values().collect();
+    builder.series
 }
 
-impl Reader {
-    fn mark(&mut self, bucket: usize) {
-        for sender in 0..self.out.len() {
-            let (out, held) = (&mut self.series.out[sender][bucket], &mut self.series.held[sender][bucket]);
-            *out = (*out).max(self.out[sender]);
-            *held = (*held).max(self.held[sender]);
+impl SeriesBuilder {
+    fn record_peaks(&mut self, bucket: usize) {
+        for sender in 0..self.calls_in_flight.len() {
+            let (calls, queued) =
+                (&mut self.series.calls_in_flight[sender][bucket], &mut self.series.queued[sender][bucket]);
+            *calls = (*calls).max(self.calls_in_flight[sender]);
+            *queued = (*queued).max(self.queued[sender]);
         }
     }
 
-    fn step(&mut self, message: u64, at: Us, words: String) -> usize {
-        let life = self.lives.entry(message).or_default();
-        life.steps.push(Step { at, to: None, words });
-        life.steps.len() - 1
+    fn add_step(&mut self, message: u64, at: Us, description: String) -> usize {
+        let history = self.histories.entry(message).or_default();
+        history.steps.push(HistoryStep { at, until: None, description });
+        history.steps.len() - 1
     }
 
-    fn of(&self, id: &str) -> Option<u64> {
-        self.tries.get(id).map(|t| t.message)
+    fn message_of(&self, id: &str) -> Option<u64> {
+        self.submissions.get(id).map(|s| s.message)
     }
 
-    /// Books the change of a try between held, out and over.
-    fn change(&mut self, id: &str, change: impl FnOnce(&mut Try)) {
-        let Some(t) = self.tries.get_mut(id) else { return };
-        let held = |t: &Try| u32::from(t.taken_on && !t.out && !t.over);
-        let before = held(t);
-        change(t);
-        let after = held(t);
-        let all = &mut self.held[t.sender];
-        *all = (*all + after).saturating_sub(before);
+    /// Applies a change to a submission and updates the number of queued messages of its sender.
+    fn update_submission(&mut self, id: &str, change: impl FnOnce(&mut Submission)) {
+        let Some(submission) = self.submissions.get_mut(id) else { return };
+        let is_queued = |s: &Submission| u32::from(s.accepted && !s.in_flight && !s.finished);
+        let before = is_queued(submission);
+        change(submission);
+        let after = is_queued(submission);
+        let queued = &mut self.queued[submission.sender];
+        *queued = (*queued + after).saturating_sub(before);
     }
 
-    fn begin(&mut self, what: String, from: Us) {
-        self.open.entry(what.clone()).or_insert(self.series.stretches.len());
-        self.series.stretches.push(Stretch { what, from, to: None });
+    fn begin_interval(&mut self, label: String, from: Us) {
+        self.open_intervals.entry(label.clone()).or_insert(self.series.intervals.len());
+        self.series.intervals.push(Interval { label, from, to: None });
     }
 
-    fn end(&mut self, what: &str, at: Us) {
-        if let Some(number) = self.open.remove(what) {
-            self.series.stretches[number].to = Some(at);
+    fn end_interval(&mut self, label: &str, at: Us) {
+        if let Some(number) = self.open_intervals.remove(label) {
+            self.series.intervals[number].to = Some(at);
         }
     }
 
-    fn take(&mut self, event: &Event, bucket: usize) {
+    fn apply(&mut self, event: &Event, bucket: usize) {
         let at = event.at;
         match &event.what {
             What::HandedIn { sender, id, message, class, dest, .. } => {
-                self.series.handed_in[bucket] += 1;
-                self.first.entry(*message).or_insert(at);
-                let life = self.lives.entry(*message).or_default();
-                (life.message, life.dest, life.class) = (*message, *dest, *class);
-                let new = Try { message: *message, sender: *sender, ..Try::default() };
-                self.tries.entry(id.clone()).or_insert(new);
-                self.step(*message, at, format!("handed in to sender {sender} as {id}"));
+                self.series.submitted[bucket] += 1;
+                self.first_submitted.entry(*message).or_insert(at);
+                let history = self.histories.entry(*message).or_default();
+                (history.message, history.dest, history.class) = (*message, *dest, *class);
+                let submission = Submission { message: *message, sender: *sender, ..Submission::default() };
+                self.submissions.entry(id.clone()).or_insert(submission);
+                self.add_step(*message, at, format!("submitted to sender {sender} as {id}"));
             }
             What::Heard { id, status } => {
-                self.change(id, |t| t.taken_on |= matches!(status, 200 | 202));
-                let words = match status {
-                    200 | 202 => "taken on".to_string(),
-                    0 => "no answer: the connection ended".to_string(),
-                    status => format!("refused with {status}"),
+                self.update_submission(id, |s| s.accepted |= matches!(status, 200 | 202));
+                let description = match status {
+                    200 | 202 => "accepted".to_string(),
+                    0 => "no answer: the connection was closed".to_string(),
+                    status => format!("rejected with {status}"),
                 };
-                if let Some(message) = self.of(id) {
-                    self.step(message, at, words);
+                if let Some(message) = self.message_of(id) {
+                    self.add_step(message, at, description);
                 }
             }
             What::Left { id } => {
-                self.change(id, |t| t.over = true);
-                if let Some(message) = self.of(id) {
-                    self.step(message, at, "its client left".into());
+                self.update_submission(id, |s| s.finished = true);
+                if let Some(message) = self.message_of(id) {
+                    self.add_step(message, at, "the client closed its connection".into());
                 }
             }
             What::Call { call, sender, endpoint, ids, .. } => {
-                self.out[*sender] += 1;
+                self.calls_in_flight[*sender] += 1;
                 let mut steps = Vec::new();
                 for id in ids {
-                    self.change(id, |t| t.out = true);
-                    if let Some(message) = self.of(id) {
-                        let step = self.step(message, at, format!("sent to endpoint {endpoint}"));
+                    self.update_submission(id, |s| s.in_flight = true);
+                    if let Some(message) = self.message_of(id) {
+                        let step = self.add_step(message, at, format!("sent to endpoint {endpoint}"));
                         steps.push((message, step));
                     }
                 }
-                self.calls.insert(*call, Call { sender: *sender, ids: ids.clone(), steps });
+                self.calls.insert(*call, CallInFlight { sender: *sender, ids: ids.clone(), steps });
             }
-            What::Over { call, how } => self.over(*call, how, at, bucket),
+            What::Over { call, how } => self.end_call(*call, how, at, bucket),
             What::Notice { id, handed_back, .. } => {
-                self.change(id, |t| t.over = true);
-                if let Some(message) = self.of(id) {
-                    let words = if *handed_back { "handed back" } else { "given up" };
-                    self.step(message, at, words.into());
+                self.update_submission(id, |s| s.finished = true);
+                if let Some(message) = self.message_of(id) {
+                    let description = if *handed_back { "returned" } else { "failed" };
+                    self.add_step(message, at, description.into());
                 }
             }
             What::Ran { id, .. } => {
-                if let Some(message) = self.of(id) {
-                    self.step(message, at, "took effect".into());
+                if let Some(message) = self.message_of(id) {
+                    self.add_step(message, at, "took effect".into());
                 }
             }
-            What::OutageBegan { dest, route } => self.begin(outage(*dest, *route), at),
-            What::OutageEnded { dest, route, .. } => self.end(&outage(*dest, *route), at),
-            What::FellOver { dest, route } => self.begin(format!("{} fell over", outage(*dest, *route)), at),
+            What::OutageBegan { dest, route } => self.begin_interval(outage_label(*dest, *route), at),
+            What::OutageEnded { dest, route, .. } => self.end_interval(&outage_label(*dest, *route), at),
+            What::FellOver { dest, route } => {
+                self.begin_interval(format!("{} collapsed under overload", outage_label(*dest, *route)), at)
+            }
             What::Told { sender, endpoint, open } => {
-                let what = format!("endpoint {endpoint} closed, sender {sender}");
+                let label = format!("endpoint {endpoint} not ready, sender {sender}");
                 if *open {
-                    self.end(&what, at);
-                } else if !self.open.contains_key(&what) {
-                    self.begin(what, at);
+                    self.end_interval(&label, at);
+                } else if !self.open_intervals.contains_key(&label) {
+                    self.begin_interval(label, at);
                 }
             }
             What::Going { sender } => {
-                let what = format!("sender {sender} restarts");
-                if !self.open.contains_key(&what) {
-                    self.begin(what, at);
+                let label = format!("sender {sender} restarts");
+                if !self.open_intervals.contains_key(&label) {
+                    self.begin_interval(label, at);
                 }
             }
-            What::Up { sender } => self.end(&format!("sender {sender} restarts"), at),
+            What::Up { sender } => self.end_interval(&format!("sender {sender} restarts"), at),
             What::Stopped { sender, time } => {
-                let what = format!("sender {sender} stands still");
-                self.series.stretches.push(Stretch { what, from: at, to: Some(at + time) });
+                let label = format!("sender {sender} stalled");
+                self.series.intervals.push(Interval { label, from: at, to: Some(at + time) });
             }
             What::Unreached { .. } | What::Ended { .. } => {}
         }
     }
 
-    fn over(&mut self, call: u64, how: &How, at: Us, bucket: usize) {
-        // One that had ended before its last byte came is not out.
+    fn end_call(&mut self, call: u64, how: &How, at: Us, bucket: usize) {
+        // A call that its sender closed before the endpoint received the last byte ends before its `Call` event.
         let Some(call) = self.calls.remove(&call) else { return };
-        self.out[call.sender] = self.out[call.sender].saturating_sub(1);
-        let answer = Answer::of(how);
-        self.series.answers[answer as usize][bucket] += 1;
+        self.calls_in_flight[call.sender] = self.calls_in_flight[call.sender].saturating_sub(1);
+        let outcome = CallOutcome::from_result(how);
+        self.series.outcomes[outcome as usize][bucket] += 1;
         for id in &call.ids {
-            let served = answer == Answer::Served;
-            self.change(id, |t| (t.out, t.over) = (false, t.over || served));
+            let served = outcome == CallOutcome::Served;
+            self.update_submission(id, |s| (s.in_flight, s.finished) = (false, s.finished || served));
         }
         for (message, step) in call.steps {
-            let first = self.first.get(&message).copied().unwrap_or(at);
-            let Some(life) = self.lives.get_mut(&message) else { continue };
-            life.steps[step].to = Some(at);
-            let words = match how {
+            let first_submitted = self.first_submitted.get(&message).copied().unwrap_or(at);
+            let Some(history) = self.histories.get_mut(&message) else { continue };
+            history.steps[step].until = Some(at);
+            let description = match how {
                 How::Answered { status, wait: 0 } => format!(": {status}"),
-                How::Answered { status, wait } => format!(": {status}, told to wait {} ms", wait / 1_000),
-                How::Spoilt => ": spoilt".to_string(),
+                How::Answered { status, wait } => format!(": {status}, retry after {} ms", wait / 1_000),
+                How::Spoilt => ": corrupted".to_string(),
                 How::Closed => ": no answer".to_string(),
             };
-            life.steps[step].words.push_str(&words);
-            if answer == Answer::Served && life.took.is_none() {
-                life.took = Some(at - first);
+            history.steps[step].description.push_str(&description);
+            if outcome == CallOutcome::Served && history.latency.is_none() {
+                history.latency = Some(at - first_submitted);
                 self.series.delivered[bucket] += 1;
             }
         }
     }
 }
 
-fn outage(dest: u64, route: Option<usize>) -> String {
+fn outage_label(dest: u64, route: Option<usize>) -> String {
     match route {
         Some(endpoint) => format!("destination {dest}, endpoint {endpoint}"),
         None => format!("destination {dest}"),
@@ -312,13 +317,13 @@
     use super::*;
     use nickelshed_judge::Effect;
 
-    fn day(events: Vec<(Us, What)>) -> Series {
+    fn series_of(events: Vec<(Us, What)>) -> TimeSeries {
         let events: Vec<Event> =
             events.into_iter().map(|(ms, what)| Event { at: ms * 1_000, what }).collect();
-        series(&events, 100_000)
+        time_series(&events, 100_000)
     }
 
-    fn handed(id: &str, message: u64) -> What {
+    fn submit(id: &str, message: u64) -> What {
         let (class, effect) = (0, Effect::Keyed);
         What::HandedIn { sender: 0, id: id.into(), message, class, effect, dest: 7, expires: 1_000_000 }
     }
@@ -339,47 +344,47 @@
     }
 
     #[test]
-    fn a_message_is_held_while_it_is_taken_on_and_neither_out_nor_over() {
-        let heard = |status| What::Heard { id: "a".into(), status };
+    fn a_message_is_queued_while_accepted_and_neither_in_flight_nor_finished() {
+        let client_read = |status| What::Heard { id: "a".into(), status };
         let answered = |call, status| What::Over { call, how: How::Answered { status, wait: 0 } };
-        let series = day(vec![
-            (10, handed("a", 1)),
-            (20, heard(202)),
+        let series = series_of(vec![
+            (10, submit("a", 1)),
+            (20, client_read(202)),
             (150, call(1, "a")),
             (250, answered(1, 503)),
             (450, call(2, "a")),
             (550, answered(2, 200)),
-            (790, handed("b", 2)),
+            (790, submit("b", 2)),
         ]);
-        assert_eq!(series.held[0], [1, 1, 1, 1, 1, 0, 0, 0]);
-        assert_eq!(series.out[0], [0, 1, 1, 0, 1, 1, 0, 0]);
-        assert_eq!(series.handed_in, [1, 0, 0, 0, 0, 0, 0, 1]);
+        assert_eq!(series.queued[0], [1, 1, 1, 1, 1, 0, 0, 0]);
+        assert_eq!(series.calls_in_flight[0], [0, 1, 1, 0, 1, 1, 0, 0]);
+        assert_eq!(series.submitted, [1, 0, 0, 0, 0, 0, 0, 1]);
         assert_eq!(series.delivered, [0, 0, 0, 0, 0, 1, 0, 0]);
-        assert_eq!(series.answers[Answer::TurnedAway as usize], [0, 0, 1, 0, 0, 0, 0, 0]);
-        let life = &series.lives[0];
-        assert_eq!((life.message, life.dest, life.took), (1, 7, Some(540_000)));
-        let words: Vec<&str> = life.steps.iter().map(|s| s.words.as_str()).collect();
+        assert_eq!(series.outcomes[CallOutcome::Rejected as usize], [0, 0, 1, 0, 0, 0, 0, 0]);
+        let history = &series.histories[0];
+        assert_eq!((history.message, history.dest, history.latency), (1, 7, Some(540_000)));
+        let descriptions: Vec<&str> = history.steps.iter().map(|s| s.description.as_str()).collect();
         let expected =
-            ["handed in to sender 0 as a", "taken on", "sent to endpoint 3: 503", "sent to endpoint 3: 200"];
-        assert_eq!(words, expected);
-        assert_eq!((life.steps[2].at, life.steps[2].to), (150_000, Some(250_000)));
+            ["submitted to sender 0 as a", "accepted", "sent to endpoint 3: 503", "sent to endpoint 3: 200"];
+        assert_eq!(descriptions, expected);
+        assert_eq!((history.steps[2].at, history.steps[2].until), (150_000, Some(250_000)));
     }
 
     #[test]
-    fn an_outage_is_a_stretch_from_its_beginning_to_its_end_or_that_of_the_day() {
-        let series = day(vec![
+    fn an_outage_lasts_until_its_end_event_or_the_end_of_the_run() {
+        let series = series_of(vec![
             (100, What::OutageBegan { dest: 7, route: None }),
             (200, What::OutageBegan { dest: 8, route: Some(4) }),
             (300, What::OutageEnded { dest: 7, route: None, capacity: 1.0 }),
             (400, What::Stopped { sender: 0, time: 50_000 }),
         ]);
-        let seen: Vec<_> = series.stretches.iter().map(|s| (s.what.as_str(), s.from, s.to)).collect();
+        let intervals: Vec<_> = series.intervals.iter().map(|s| (s.label.as_str(), s.from, s.to)).collect();
         assert_eq!(
-            seen,
+            intervals,
             [
                 ("destination 7", 100_000, Some(300_000)),
                 ("destination 8, endpoint 4", 200_000, None),
-                ("sender 0 stands still", 400_000, Some(450_000)),
+                ("sender 0 stalled", 400_000, Some(450_000)),
             ]
         );
     }
