--- a/crates/proof/nickelshed-lab/src/crossings.rs
+++ b/crates/proof/nickelshed-lab/src/crossings.rs
@@ -1,36 +1,37 @@
-//! A short day played once for each place at which a sender meets its host, with something happening just there: what comes
-//! between two lines comes at one of these places, as nothing else of the process is seen or reached from outside.
+//! Repeats a short scenario run with one fault injected at each fault point: just before or just after each interaction of a
+//! sender with its host. The process is visible and reachable from outside only through these interactions, so a
+//! fault that arrives between any two statements of the sender takes effect at one of these points.
 use crate::everywhere::{baseline_run, failures_at_each};
 use crate::life::FaultPoint;
 use crate::{Manner, ScenarioRun};
 use nickelshed_model::Scenario;
 
-/// What happens there.
+/// The fault that is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum InjectedFault {
-    /// SIGTERM, and SIGKILL when it is due.
+    /// SIGTERM, then SIGKILL at the end of the termination grace period.
     Terminate,
-    /// SIGKILL; the folder is there at the next start.
+    /// SIGKILL; the state folder is still there at the next start.
     Kill,
-    /// SIGHUP, with discovery moved to another address.
+    /// SIGHUP, with a configuration that moves discovery to another address.
     Hangup,
-    /// The process stands still for so long that answers, waits and drains come meanwhile.
+    /// The process is stopped long enough for answers, retry-after times and drains to arrive meanwhile.
     Pause,
-    /// Every client that waits for an answer closes its connection.
+    /// All clients that wait for an answer close their connections.
     ClientsLeave,
     /// All endpoints reset all their connections.
     Resets,
-    /// All endpoints close the connections that stand idle.
+    /// All endpoints close their idle connections.
     IdleCloses,
-    /// For a second all endpoints end new connections as they take them.
+    /// For one second all endpoints close each new connection as soon as they accept it.
     EndsNew,
-    /// Discovery says nothing for some seconds.
+    /// Discovery does not answer for four seconds.
     Mute,
     /// Half of the destinations drain an endpoint.
     Drain,
-    /// Half of the destinations turn all away for three seconds, and come back cold.
+    /// Half of the destinations reject all calls for three seconds and then recover in slow start.
     Shut,
-    /// Half of the destinations take calls and say nothing for three seconds, and come back cold.
+    /// Half of the destinations accept calls without answering for three seconds and then recover in slow start.
     Silent,
 }
 
@@ -51,7 +52,7 @@
     ];
 }
 
-/// A happening at a place of one sender.
+/// A fault injected just before or just after a step of one sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultInjection {
     pub sender: usize,
@@ -66,21 +67,21 @@
     }
 }
 
-/// What a day came to that was crossed at each of its places.
+/// The result of the runs with injected faults.
 #[derive(Clone, Debug, Default)]
 pub struct FaultPointReport {
-    /// Steps of all senders in the day without a happening.
+    /// Steps of all senders in the run without an injected fault.
     pub steps: u64,
     pub runs: usize,
-    /// Those in which a rule was broken or a sender crashed, with the first words of each.
+    /// The injections that made a run fail, each with the description of its first failure.
     pub failures: Vec<(FaultInjection, String)>,
 }
 
-/// The places of a day that did so much: each so-manieth, from `first` on.
-fn fault_points(run: &ScenarioRun, every: usize, first: usize) -> Vec<FaultInjection> {
+/// Lists every fault at every fault point of a run, keeping each `every`th from the index `first` on.
+fn list_injections(run: &ScenarioRun, every: usize, first: usize) -> Vec<FaultInjection> {
     let mut out = Vec::new();
-    for (sender, done) in run.counters.iter().enumerate() {
-        for step in 0..done.steps {
+    for (sender, counters) in run.counters.iter().enumerate() {
+        for step in 0..counters.steps {
             for after in [false, true] {
                 out.extend(InjectedFault::ALL.map(|fault| FaultInjection { sender, step, after, fault }));
             }
@@ -89,10 +90,11 @@
     out.into_iter().skip(first).step_by(every.max(1)).collect()
 }
 
-/// Plays a day once for each of its places and happenings, or each so-manieth of them, on so many threads.
+/// Runs the scenario once for each fault at each fault point, or each `every`th of these from the index `first` on, on `jobs`
+/// threads.
 ///
 /// # Errors
-/// If the scenario can't be played, or is not clean without a happening.
+/// If the scenario cannot be run, or its run without an injected fault fails.
 pub fn run_fault_points(
     scenario: &Scenario,
     seed: u64,
@@ -100,13 +102,13 @@
     first: usize,
     jobs: usize,
 ) -> Result<FaultPointReport, String> {
-    let baseline = baseline_run(scenario, seed, "happening")?;
-    let points = fault_points(&baseline, every, first);
-    let manner = |crossing| Manner { crossing: Some(crossing), ..Manner::default() };
-    let failures = failures_at_each(scenario, seed, &points, manner, jobs);
+    let baseline = baseline_run(scenario, seed, "fault")?;
+    let injections = list_injections(&baseline, every, first);
+    let manner_of = |injection| Manner { crossing: Some(injection), ..Manner::default() };
+    let failures = failures_at_each(scenario, seed, &injections, manner_of, jobs);
     Ok(FaultPointReport {
-        steps: baseline.counters.iter().map(|done| done.steps).sum(),
-        runs: points.len(),
+        steps: baseline.counters.iter().map(|counters| counters.steps).sum(),
+        runs: injections.len(),
         failures,
     })
 }
--- a/crates/proof/nickelshed-lab/src/everywhere.rs
+++ b/crates/proof/nickelshed-lab/src/everywhere.rs
@@ -1,53 +1,59 @@
-//! Many days on all threads, and one day at each of many points: what is wrong at which of them.
+//! Runs scenarios in parallel, and repeats one scenario with a variation at each of many points.
 use crate::{failures, run_scenario_with, Manner, ScenarioRun};
 use nickelshed_model::Scenario;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// Does the same to each, on so many threads; what came of them, in their order.
+/// Applies `act` to each item on `jobs` threads. Returns the results in the order of the items.
 pub fn parallel_map<T: Sync, R: Send>(items: &[T], jobs: usize, act: impl Fn(&T) -> R + Sync) -> Vec<R> {
     let next = AtomicUsize::new(0);
-    let out = Mutex::new(Vec::with_capacity(items.len()));
-    let work = || loop {
-        let at = next.fetch_add(1, Ordering::SeqCst);
-        let Some(item) = items.get(at) else { return };
-        let done = act(item);
-        out.lock().unwrap_or_else(|e| e.into_inner()).push((at, done));
+    let results = Mutex::new(Vec::with_capacity(items.len()));
+    let worker = || loop {
+        let index = next.fetch_add(1, Ordering::SeqCst);
+        let Some(item) = items.get(index) else { return };
+        let result = act(item);
+        results.lock().unwrap_or_else(|e| e.into_inner()).push((index, result));
     };
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
-            scope.spawn(work);
+            scope.spawn(worker);
         }
     });
-    let mut out = out.into_inner().unwrap_or_else(|e| e.into_inner());
-    out.sort_by_key(|(at, _)| *at);
-    out.into_iter().map(|(_, done)| done).collect()
+    let mut results = results.into_inner().unwrap_or_else(|e| e.into_inner());
+    results.sort_by_key(|(index, _)| *index);
+    results.into_iter().map(|(_, result)| result).collect()
 }
 
-/// The day by itself, in which points are then looked for.
+/// Runs the scenario without a variation; `what` names the variation in the error.
 ///
 /// # Errors
-/// If the scenario can't be played, or is not clean without a `what`.
+/// If the scenario cannot be run, or the run fails.
 pub(crate) fn baseline_run(scenario: &Scenario, seed: u64, what: &str) -> Result<ScenarioRun, String> {
-    let whole = run_scenario_with(scenario, seed, Manner::default())?;
-    match failures(&whole).into_values().next() {
-        Some(words) => Err(format!("the day is not clean without a {what}: {words}")),
-        None => Ok(whole),
+    let baseline = run_scenario_with(scenario, seed, Manner::default())?;
+    match failures(&baseline).into_values().next() {
+        Some(description) => Err(format!("the run fails even without a {what}: {description}")),
+        None => Ok(baseline),
     }
 }
 
-/// Plays the day once for each point. The points at which a rule was broken, a sender crashed or the day could not be played,
-/// in their order, with the first words of each.
+/// Runs the scenario once for each point. Returns the points at which a rule was violated, a sender crashed or the scenario
+/// could not be run, in their order, each with the description of its first failure.
 pub(crate) fn failures_at_each<P: Copy + Sync>(
     scenario: &Scenario,
     seed: u64,
     points: &[P],
-    manner: impl Fn(P) -> Manner + Sync,
+    manner_of: impl Fn(P) -> Manner + Sync,
     jobs: usize,
 ) -> Vec<(P, String)> {
-    let words = parallel_map(points, jobs, |point| match run_scenario_with(scenario, seed, manner(*point)) {
-        Ok(day) => failures(&day).into_values().next(),
-        Err(error) => Some(error),
-    });
-    points.iter().copied().zip(words).filter_map(|(point, words)| Some((point, words?))).collect()
+    let descriptions =
+        parallel_map(points, jobs, |point| match run_scenario_with(scenario, seed, manner_of(*point)) {
+            Ok(run) => failures(&run).into_values().next(),
+            Err(error) => Some(error),
+        });
+    points
+        .iter()
+        .copied()
+        .zip(descriptions)
+        .filter_map(|(point, description)| Some((point, description?)))
+        .collect()
 }
--- a/crates/proof/nickelshed-lab/src/explore.rs
+++ b/crates/proof/nickelshed-lab/src/explore.rs
@@ -1,4 +1,4 @@
-//! Looking for what nobody thought of: random days on all cores, and each find cut down to what matters.
+//! Searches for failures with randomly drawn scenarios on all cores, and minimizes each failing case.
 use crate::{run_scenario, ScenarioRun};
 use nickelshed_config::units::{Percent, Period};
 use nickelshed_judge::Rule;
@@ -8,10 +8,10 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Days that are tried at most while a find is cut down.
-const CUTS: usize = 300;
+/// The limit on runs while one failing case is minimized.
+const MAX_MINIMIZATION_RUNS: usize = 300;
 
-/// What is wrong with a day, coarsely enough that a smaller day can show the same.
+/// The kind of a failure. It has no details, so that a smaller scenario can show the same failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Failure {
     Violation(Rule),
@@ -27,20 +27,20 @@
     }
 }
 
-/// Every kind of fault of a day, with the words of the first one of each.
-pub fn failures(day: &ScenarioRun) -> BTreeMap<Failure, String> {
+/// Returns each kind of failure of a run with the description of its first occurrence.
+pub fn failures(run: &ScenarioRun) -> BTreeMap<Failure, String> {
     let mut out = BTreeMap::new();
-    for broken in &day.violations {
-        let words = || format!("at {} ms: {}", broken.at / 1_000, broken.words);
-        out.entry(Failure::Violation(broken.rule)).or_insert_with(words);
+    for violation in &run.violations {
+        let description = || format!("at {} ms: {}", violation.at / 1_000, violation.words);
+        out.entry(Failure::Violation(violation.rule)).or_insert_with(description);
     }
-    if let Some(crash) = day.crashes.first() {
+    if let Some(crash) = run.crashes.first() {
         out.insert(Failure::Crash, crash.clone());
     }
     out
 }
 
-/// A day that showed a fault, cut down.
+/// A scenario and seed that show a failure, minimized.
 #[derive(Clone, Debug)]
 pub struct FailingCase {
     pub failure: Failure,
@@ -53,120 +53,122 @@
 pub struct Exploration {
     pub runs: u64,
     pub simulated_time: Duration,
-    /// Processor time, near enough: of all threads together.
+    /// Wall-clock time spent in runs, summed over all threads; approximately the processor time.
     pub thread_time: Duration,
-    /// The seeds whose days showed each fault, with its words, in the order of the seeds.
+    /// For each failure the seeds that showed it, in order, with its description.
     pub failures: BTreeMap<Failure, Vec<(u64, String)>>,
 }
 
-/// The day of a seed.
+/// Draws the scenario of a seed.
 pub type ScenarioGenerator = fn(u64) -> Scenario;
 
-/// Plays the days of these seeds on so many threads, until they are all played or the time is up.
+/// Runs the scenarios of these seeds on `jobs` threads, until all have been run or `time_limit` has passed.
 pub fn explore(
     draw: ScenarioGenerator,
     seeds: std::ops::Range<u64>,
     jobs: usize,
-    time: Duration,
+    time_limit: Duration,
 ) -> Exploration {
     let next = AtomicU64::new(seeds.start);
-    let from = Instant::now();
-    let all = Mutex::new(Exploration::default());
-    let work = || loop {
+    let started = Instant::now();
+    let shared = Mutex::new(Exploration::default());
+    let worker = || loop {
         let seed = next.fetch_add(1, Ordering::SeqCst);
-        if seed >= seeds.end || from.elapsed() >= time {
+        if seed >= seeds.end || started.elapsed() >= time_limit {
             return;
         }
-        let begun = Instant::now();
-        let Ok(day) = run_scenario(&draw(seed), seed) else { continue };
-        let found = failures(&day);
-        let mut explored = all.lock().unwrap_or_else(|e| e.into_inner());
+        let run_started = Instant::now();
+        let Ok(run) = run_scenario(&draw(seed), seed) else { continue };
+        let run_failures = failures(&run);
+        let mut explored = shared.lock().unwrap_or_else(|e| e.into_inner());
         explored.runs += 1;
-        explored.simulated_time += day.length;
-        explored.thread_time += begun.elapsed();
-        for (fault, words) in found {
-            explored.failures.entry(fault).or_default().push((seed, words));
+        explored.simulated_time += run.length;
+        explored.thread_time += run_started.elapsed();
+        for (failure, description) in run_failures {
+            explored.failures.entry(failure).or_default().push((seed, description));
         }
     };
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
-            scope.spawn(work);
+            scope.spawn(worker);
         }
     });
-    let mut explored = all.into_inner().unwrap_or_else(|e| e.into_inner());
-    explored.failures.values_mut().for_each(|days| days.sort());
+    let mut explored = shared.into_inner().unwrap_or_else(|e| e.into_inner());
+    explored.failures.values_mut().for_each(|cases| cases.sort());
     explored
 }
 
 impl Exploration {
-    /// The first day of each fault, cut down.
+    /// Minimizes the first failing case of each failure.
     pub fn minimized(&self, draw: ScenarioGenerator) -> Vec<FailingCase> {
-        let first = self.failures.iter().filter_map(|(fault, days)| Some((*fault, days.first()?.0)));
-        first.map(|(fault, seed)| minimize(fault, seed, draw(seed))).collect()
+        let first_cases =
+            self.failures.iter().filter_map(|(failure, cases)| Some((*failure, cases.first()?.0)));
+        first_cases.map(|(failure, seed)| minimize(failure, seed, draw(seed))).collect()
     }
 }
 
-/// Cuts a day down as long as it still shows the fault.
-pub fn minimize(fault: Failure, seed: u64, scenario: Scenario) -> FailingCase {
-    let shows = |s: &Scenario| run_scenario(s, seed).ok().and_then(|day| failures(&day).remove(&fault));
-    let mut best = scenario;
-    let mut words = shows(&best).unwrap_or_default();
-    let mut tried = 0;
+/// Reduces a scenario step by step for as long as it still shows the failure. A scenario that does not show it is returned
+/// unchanged with an empty description.
+pub fn minimize(failure: Failure, seed: u64, scenario: Scenario) -> FailingCase {
+    let shown = |s: &Scenario| run_scenario(s, seed).ok().and_then(|run| failures(&run).remove(&failure));
+    let mut smallest = scenario;
+    let mut description = shown(&smallest).unwrap_or_default();
+    let mut attempts = 0;
     loop {
-        let smaller = smaller(&best);
-        let found = smaller.into_iter().find_map(|s| {
-            tried += 1;
-            if tried > CUTS {
+        let candidates = reductions(&smallest);
+        let smaller = candidates.into_iter().find_map(|s| {
+            attempts += 1;
+            if attempts > MAX_MINIMIZATION_RUNS {
                 return None;
             }
-            shows(&s).map(|words| (s, words))
+            shown(&s).map(|description| (s, description))
         });
-        match found {
-            Some((s, w)) => (best, words) = (s, w),
+        match smaller {
+            Some((s, d)) => (smallest, description) = (s, d),
             None => {
                 return FailingCase {
-                    failure: fault,
-                    description: words,
+                    failure,
+                    description,
                     seed,
-                    scenario: Scenario { seed: Some(seed), ..best },
+                    scenario: Scenario { seed: Some(seed), ..smallest },
                 }
             }
         }
     }
 }
 
-/// Days that are smaller in one respect, the boldest cuts first.
-fn smaller(s: &Scenario) -> Vec<Scenario> {
+/// Returns scenarios that are smaller in one respect, roughly the largest reductions first.
+fn reductions(s: &Scenario) -> Vec<Scenario> {
     let mut out = Vec::new();
     for i in 0..s.troubles.len() {
-        let mut less = s.clone();
-        less.troubles.remove(i);
-        out.push(less);
+        let mut reduced = s.clone();
+        reduced.troubles.remove(i);
+        out.push(reduced);
     }
-    let mut with = |change: &dyn Fn(&mut Scenario)| {
-        let mut less = s.clone();
-        change(&mut less);
-        if less != *s {
-            out.push(less);
+    let mut reduce = |change: &dyn Fn(&mut Scenario)| {
+        let mut reduced = s.clone();
+        change(&mut reduced);
+        if reduced != *s {
+            out.push(reduced);
         }
     };
-    with(&|s| s.senders = (s.senders / 2).max(1));
-    with(&|s| s.destinations = (s.destinations / 2).max(1));
-    with(&|s| s.length = Period::ms((s.length.0.as_millis() as u64 / 2).max(1_000)));
-    with(&|s| s.length = Period::ms((s.length.0.as_millis() as u64 * 4 / 5).max(1_000)));
-    with(&|s| s.endpoints = 1);
-    with(&|s| s.routes_apart = false);
-    with(&|s| s.rooms = 1);
-    with(&|s| s.batch = 1);
-    with(&|s| s.list_tells_rates = true);
-    with(&|s| _ = s.classes.pop());
-    with(&|s| s.retries = 0);
-    with(&|s| s.spoilt = Percent(0.0));
-    with(&|s| s.clumps = Percent(0.0));
-    with(&|s| s.limit = 0.0);
-    with(&|s| s.told_wait = Period::ms(0));
-    with(&|s| s.rate = (s.rate / 2.0).max(1.0));
-    with(&|s| s.discovery_late = Period::ms(0));
-    with(&|s| s.latency = Period::ms(0));
+    reduce(&|s| s.senders = (s.senders / 2).max(1));
+    reduce(&|s| s.destinations = (s.destinations / 2).max(1));
+    reduce(&|s| s.length = Period::ms((s.length.0.as_millis() as u64 / 2).max(1_000)));
+    reduce(&|s| s.length = Period::ms((s.length.0.as_millis() as u64 * 4 / 5).max(1_000)));
+    reduce(&|s| s.endpoints = 1);
+    reduce(&|s| s.routes_apart = false);
+    reduce(&|s| s.rooms = 1);
+    reduce(&|s| s.batch = 1);
+    reduce(&|s| s.list_tells_rates = true);
+    reduce(&|s| _ = s.classes.pop());
+    reduce(&|s| s.retries = 0);
+    reduce(&|s| s.spoilt = Percent(0.0));
+    reduce(&|s| s.clumps = Percent(0.0));
+    reduce(&|s| s.limit = 0.0);
+    reduce(&|s| s.told_wait = Period::ms(0));
+    reduce(&|s| s.rate = (s.rate / 2.0).max(1.0));
+    reduce(&|s| s.discovery_late = Period::ms(0));
+    reduce(&|s| s.latency = Period::ms(0));
     out
 }
--- a/crates/proof/nickelshed-lab/src/folder.rs
+++ b/crates/proof/nickelshed-lab/src/folder.rs
@@ -1,4 +1,4 @@
-//! A sender's folder in the lab: the testkit's disk, with its process's life in between.
+//! The state folder of a simulated sender: the testkit's disk, with every operation reported to the sender's `ProcessRun`.
 use crate::life::ProcessRun;
 use nickelshed_journal::{FileHandle, Storage};
 use nickelshed_testkit::{Disk, DiskFile};
@@ -16,17 +16,17 @@
         StateFolder { disk, run }
     }
 
-    /// Lets an operation happen that is done or not, never in part.
-    fn whole<T>(&self, operation: impl FnOnce(&Disk) -> io::Result<T>) -> io::Result<T> {
+    /// Runs an operation that takes effect completely or not at all.
+    fn atomic<T>(&self, operation: impl FnOnce(&Disk) -> io::Result<T>) -> io::Result<T> {
         match self.run.on_operation()? {
-            Some(part) if part < 256 => Err(io::Error::other("the process has ended")),
+            Some(part) if part < 256 => Err(io::Error::other("the process has been killed")),
             _ => operation(&self.disk),
         }
     }
 }
 
-/// Syncs are asked for by a thread of their own, which simulated time knows nothing of: days are played with durability
-/// `process`, whose files are never synced.
+/// A file of the state folder. `sync` is not reported to the process run: the journal syncs on a thread of its own, outside
+/// simulated time, and scenarios run with durability `process`, which never syncs.
 #[derive(Clone)]
 pub struct StateFile(DiskFile);
 
@@ -41,49 +41,49 @@
 
     fn lock(&mut self) -> io::Result<()> {
         let mut disk = self.disk.clone();
-        self.whole(|_| disk.lock())
+        self.atomic(|_| disk.lock())
     }
 
     fn list(&self) -> io::Result<Vec<(String, u64)>> {
-        self.whole(Disk::list)
+        self.atomic(Disk::list)
     }
 
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
-        self.whole(|disk| disk.read(name, most))
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>> {
+        self.atomic(|disk| disk.read(name, max_bytes))
     }
 
     fn create(&self, name: &str) -> io::Result<StateFile> {
-        self.whole(|disk| disk.create(name)).map(StateFile)
+        self.atomic(|disk| disk.create(name)).map(StateFile)
     }
 
     fn open(&self, name: &str) -> io::Result<StateFile> {
-        self.whole(|disk| disk.open(name)).map(StateFile)
+        self.atomic(|disk| disk.open(name)).map(StateFile)
     }
 
     fn preallocate(&self, file: &StateFile, length: u64) -> io::Result<()> {
-        self.whole(|disk| disk.preallocate(&file.0, length))
+        self.atomic(|disk| disk.preallocate(&file.0, length))
     }
 
     fn write_at(&self, file: &StateFile, bytes: &[u8], offset: u64) -> io::Result<usize> {
         let Some(part) = self.run.on_operation()? else { return self.disk.write_at(&file.0, bytes, offset) };
-        let done = bytes.len() * usize::from(part.min(256)) / 256;
-        self.disk.write_at(&file.0, &bytes[..done], offset)?;
-        Err(io::Error::other("the process has ended"))
+        let written = bytes.len() * usize::from(part.min(256)) / 256;
+        self.disk.write_at(&file.0, &bytes[..written], offset)?;
+        Err(io::Error::other("the process has been killed"))
     }
 
     fn truncate(&self, file: &StateFile, length: u64) -> io::Result<()> {
-        self.whole(|disk| disk.truncate(&file.0, length))
+        self.atomic(|disk| disk.truncate(&file.0, length))
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        self.whole(|disk| disk.rename(from, to))
+        self.atomic(|disk| disk.rename(from, to))
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        self.whole(|disk| disk.remove(name))
+        self.atomic(|disk| disk.remove(name))
     }
 
     fn folder_handle(&self) -> io::Result<StateFile> {
-        self.whole(Disk::folder_handle).map(StateFile)
+        self.atomic(Disk::folder_handle).map(StateFile)
     }
 }
--- a/crates/proof/nickelshed-lab/src/kills.rs
+++ b/crates/proof/nickelshed-lab/src/kills.rs
@@ -1,56 +1,58 @@
-//! A day killed everywhere: in each operation on the disk, and at each byte that a sender sends.
+//! Repeats a scenario run with one sender killed at each kill point: in each disk operation and at each byte sent.
 use crate::everywhere::{baseline_run, failures_at_each};
 use crate::{Kill, KillPoint, Manner, ScenarioRun};
 use nickelshed_model::Scenario;
 
-/// Which of the points are played: each so-manieth.
+/// Which kill points are run: every n-th operation and every n-th byte, counted within each sender.
 #[derive(Clone, Copy, Debug)]
 pub struct Stride {
     pub operations: u64,
     pub bytes: u64,
 }
 
-/// What a day came to that was killed at each of its points.
+/// The result of the runs at all kill points.
 #[derive(Clone, Debug, Default)]
 pub struct KillReport {
+    /// Runs with a kill in a disk operation.
     pub operations: u64,
+    /// Runs with a kill at a byte sent.
     pub bytes: u64,
-    /// The points at which a rule was broken or a sender crashed, with the first words of each.
+    /// The kill points at which a run failed, each with the description of its first failure.
     pub failures: Vec<(Kill, String)>,
 }
 
-/// The points of a day that did so much, in their order.
-fn points(run: &ScenarioRun, every: Stride) -> Vec<Kill> {
+/// Lists the kill points of a run, by sender.
+fn kill_points(run: &ScenarioRun, stride: Stride) -> Vec<Kill> {
     let mut out = Vec::new();
-    for (sender, done) in run.counters.iter().enumerate() {
-        let operations = (0..done.operations).step_by(every.operations.max(1) as usize);
-        // Nothing, half, and all of a write has been done, by turns.
-        let parts = [0, 128, 256];
+    for (sender, counters) in run.counters.iter().enumerate() {
+        let operations = (0..counters.operations).step_by(stride.operations.max(1) as usize);
+        // In 256ths: a write is in turn not done, half done and fully done; any other operation is done only at 256.
+        let write_parts = [0, 128, 256];
         out.extend(
             operations
                 .enumerate()
-                .map(|(i, at)| Kill { sender, cut: KillPoint::Operation(at, parts[i % 3]) }),
+                .map(|(i, at)| Kill { sender, cut: KillPoint::Operation(at, write_parts[i % 3]) }),
         );
-        let bytes = (1..=done.bytes).step_by(every.bytes.max(1) as usize);
+        let bytes = (1..=counters.bytes).step_by(stride.bytes.max(1) as usize);
         out.extend(bytes.map(|at| Kill { sender, cut: KillPoint::Byte(at) }));
     }
     out
 }
 
-/// Plays a day once for each point, on so many threads.
+/// Runs the scenario once for each kill point, on `jobs` threads.
 ///
 /// # Errors
-/// If the scenario can't be played, or is not clean without a kill.
+/// If the scenario cannot be run, or its run without a kill fails.
 pub fn run_kill_points(
     scenario: &Scenario,
     seed: u64,
-    every: Stride,
+    stride: Stride,
     jobs: usize,
 ) -> Result<KillReport, String> {
-    let whole = baseline_run(scenario, seed, "kill")?;
-    let points = points(&whole, every);
-    let manner = |kill| Manner { kill: Some(kill), ..Manner::default() };
-    let failures = failures_at_each(scenario, seed, &points, manner, jobs);
+    let baseline = baseline_run(scenario, seed, "kill")?;
+    let points = kill_points(&baseline, stride);
+    let manner_of = |kill| Manner { kill: Some(kill), ..Manner::default() };
+    let failures = failures_at_each(scenario, seed, &points, manner_of, jobs);
     let operations = points.iter().filter(|k| matches!(k.cut, KillPoint::Operation(..))).count() as u64;
     Ok(KillReport { operations, bytes: points.len() as u64 - operations, failures })
 }
--- a/crates/proof/nickelshed-lab/src/life.rs
+++ b/crates/proof/nickelshed-lab/src/life.rs
@@ -1,40 +1,41 @@
-//! The life of one sender's process: what it has done on its disk and its network, counted, and what befalls it in the
-//! middle of that. Its folder and its connections ask here before each operation and for each byte.
+//! The state of one sender's process: counts its operations on disk and network, and kills or blocks it in the middle of
+//! them. The simulated state folder and connections consult it before each operation and for each byte sent.
 use std::cell::Cell;
 use std::io;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// In the middle of what a process is ended.
+/// The point in the middle of an operation at which a process is killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KillPoint {
-    /// The operation on the folder with this number, from 0. Of a write, this part (in 256ths) has been done.
+    /// At this operation on the state folder, counted from 0, with this part of a write (in 256ths) done.
     Operation(u64, u16),
-    /// After this many bytes sent, over all connections.
+    /// After this many bytes sent over all connections.
     Byte(u64),
 }
 
-/// What its processes did over a day.
+/// What all processes of a sender did over a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessCounters {
     pub operations: u64,
     pub bytes: u64,
-    /// Times that it met its host: took, made or closed a connection, read, wrote, or used its disk.
+    /// Interactions with the host: accepting, opening or closing a connection, reading, writing, or using the disk.
     pub steps: u64,
 }
 
-/// The place of a happening: just before or just after a step, which are numbered from 0.
+/// Where a fault is injected: just before or just after a step. Steps are numbered from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultPoint {
     pub step: u64,
     pub after: bool,
-    /// The process is killed there; whatever else happens is for others to do, who wait for `crossed`.
+    /// Whether the process is killed there. Any other fault is injected by the task that awaits
+    /// [`ProcessRun::fault_point_reached`].
     pub kills_process: bool,
 }
 
 #[derive(Default)]
 pub struct ProcessRun {
-    /// Its sender's number.
+    /// The number of the sender.
     pub sender: usize,
     counters: Cell<ProcessCounters>,
     kill_point: Cell<Option<KillPoint>>,
@@ -42,9 +43,9 @@
     fault_point_reached: Cell<bool>,
     fault_point_notify: Notify,
     killed: Cell<bool>,
-    /// Until when its disk says nothing.
+    /// The end of a disk stall; operations do not complete before it.
     disk_stalled_until: Cell<Option<Instant>>,
-    /// Until when its process stands still in an operation on the disk.
+    /// The end of the disk operation in which the process is blocked.
     blocked_until: Cell<Option<Instant>>,
     state_changed: Notify,
 }
@@ -58,25 +59,26 @@
         self.fault_point.set(Some(point));
     }
 
-    /// A step begins. Its number, to be given when it is done; None if the process has ended, also just now.
+    /// Begins a step. Returns its number for [`end_step`](Self::end_step), or None if the process has been killed, also by
+    /// a fault point just before this step.
     pub fn begin_step(&self) -> Option<u64> {
         if self.killed.get() {
             return None;
         }
-        let done = self.counters.get();
-        self.counters.set(ProcessCounters { steps: done.steps + 1, ..done });
-        self.check_fault_point(done.steps, false);
-        (!self.killed.get()).then_some(done.steps)
+        let counters = self.counters.get();
+        self.counters.set(ProcessCounters { steps: counters.steps + 1, ..counters });
+        self.check_fault_point(counters.steps, false);
+        (!self.killed.get()).then_some(counters.steps)
     }
 
-    /// That step is done.
+    /// Ends the step with that number.
     pub fn end_step(&self, step: u64) {
         self.check_fault_point(step, true);
     }
 
     fn check_fault_point(&self, step: u64, after: bool) {
-        let here = |m: &FaultPoint| m.step == step && m.after == after;
-        let Some(point) = self.fault_point.get().filter(here) else { return };
+        let is_here = |p: &FaultPoint| p.step == step && p.after == after;
+        let Some(point) = self.fault_point.get().filter(is_here) else { return };
         self.fault_point.set(None);
         if point.kills_process {
             self.kill();
@@ -85,7 +87,7 @@
         self.fault_point_notify.notify_one();
     }
 
-    /// Comes back when the marked place is reached.
+    /// Waits until the fault point is reached.
     pub async fn fault_point_reached(&self) {
         while !self.fault_point_reached.get() {
             self.fault_point_notify.notified().await;
@@ -96,28 +98,28 @@
         self.counters.get()
     }
 
-    /// It has ended in the middle of something, and nothing that it does counts.
+    /// Whether the process has been killed in the middle of an operation. Nothing that it does from then on has an effect.
     pub fn is_killed(&self) -> bool {
         self.killed.get()
     }
 
-    /// A new process begins; it is not cut again.
+    /// Starts a new process. A kill point that was reached does not apply again.
     pub fn start(&self) {
         self.killed.set(false);
         self.blocked_until.set(None);
     }
 
-    /// Its disk says nothing until then.
+    /// Stalls the disk until then.
     pub fn stall_disk(&self, until: Instant) {
         self.disk_stalled_until.set(Some(until));
     }
 
-    /// Until when its process stands still now.
+    /// Returns until when the process is blocked in a disk operation, or None if it is not.
     pub fn blocked_until(&self) -> Option<Instant> {
         self.blocked_until.get().filter(|until| *until > Instant::now())
     }
 
-    /// Comes back when it has ended in the middle of something, or stands still.
+    /// Waits until the process is killed in the middle of an operation or blocked in one.
     pub async fn killed_or_blocked(&self) {
         loop {
             let state_changed = self.state_changed.notified();
@@ -134,24 +136,25 @@
         self.state_changed.notify_one();
     }
 
-    /// An operation on the folder begins. `Some(part)`: it is the last one, and so many 256ths of it are done.
+    /// Begins an operation on the state folder. `Some(part)` means that the process is killed in it with `part` 256ths done.
     ///
     /// # Errors
-    /// If the process has ended.
+    /// If the process has been killed.
     pub fn on_operation(&self) -> io::Result<Option<u16>> {
-        // What befalls the process just after it is just before its next step: nothing is seen outside in between.
+        // The step needs no `end_step`: a fault just after a disk operation has the same effect as one just before the next
+        // step, because nothing is visible outside in between.
         if self.begin_step().is_none() {
-            return Err(io::Error::other("the process has ended"));
+            return Err(io::Error::other("the process has been killed"));
         }
-        let done = self.counters.get();
-        self.counters.set(ProcessCounters { operations: done.operations + 1, ..done });
+        let counters = self.counters.get();
+        self.counters.set(ProcessCounters { operations: counters.operations + 1, ..counters });
         if let Some(until) = self.disk_stalled_until.get().filter(|until| *until > Instant::now()) {
-            // Nothing of the process goes on before the disk does.
+            // The process makes no progress until the disk responds again.
             self.blocked_until.set(Some(until));
             self.state_changed.notify_one();
         }
         match self.kill_point.get() {
-            Some(KillPoint::Operation(number, part)) if number == done.operations => {
+            Some(KillPoint::Operation(number, part)) if number == counters.operations => {
                 self.kill();
                 Ok(Some(part))
             }
@@ -159,24 +162,24 @@
         }
     }
 
-    /// So many of these bytes are sent; none from one that has ended.
+    /// Returns how many of these bytes are sent before the process is killed; 0 if it has been killed already.
     pub fn on_send(&self, bytes: usize) -> usize {
         if self.killed.get() {
             return 0;
         }
-        let done = self.counters.get();
+        let counters = self.counters.get();
         let sent = match self.kill_point.get() {
-            Some(KillPoint::Byte(last)) if done.bytes + bytes as u64 >= last => {
+            Some(KillPoint::Byte(last)) if counters.bytes + bytes as u64 >= last => {
                 self.kill();
-                last.saturating_sub(done.bytes) as usize
+                last.saturating_sub(counters.bytes) as usize
             }
             _ => bytes,
         };
-        self.counters.set(ProcessCounters { bytes: done.bytes + sent as u64, ..done });
+        self.counters.set(ProcessCounters { bytes: counters.bytes + sent as u64, ..counters });
         sent
     }
 
-    /// When what it sends now leaves it.
+    /// Returns when data that the process sends now leaves it: at once, or when it is no longer blocked.
     pub fn departure_time(&self) -> Instant {
         self.blocked_until().unwrap_or_else(Instant::now)
     }
@@ -188,51 +191,51 @@
     use std::time::Duration;
 
     #[test]
-    fn it_ends_at_the_very_byte_and_nothing_counts_after_it() {
-        let life = ProcessRun::new(0, Some(KillPoint::Byte(10)));
-        assert_eq!((life.on_send(6), life.is_killed()), (6, false));
-        assert_eq!((life.on_send(6), life.is_killed()), (4, true));
-        assert_eq!((life.on_send(6), life.counters().bytes), (0, 10));
-        assert!(life.on_operation().is_err());
-        life.start();
-        assert_eq!(life.on_send(6), 6);
+    fn a_process_is_killed_at_the_exact_byte_and_sends_nothing_afterwards() {
+        let process = ProcessRun::new(0, Some(KillPoint::Byte(10)));
+        assert_eq!((process.on_send(6), process.is_killed()), (6, false));
+        assert_eq!((process.on_send(6), process.is_killed()), (4, true));
+        assert_eq!((process.on_send(6), process.counters().bytes), (0, 10));
+        assert!(process.on_operation().is_err());
+        process.start();
+        assert_eq!(process.on_send(6), 6);
     }
 
     #[tokio::test]
-    async fn a_happening_is_placed_before_or_after_its_step_and_once() {
+    async fn a_fault_point_applies_once_before_or_after_its_step() {
         for after in [false, true] {
-            let life = ProcessRun::new(0, None);
-            life.set_fault_point(FaultPoint { step: 1, after, kills_process: true });
-            let first = life.begin_step().expect("it lives");
-            life.end_step(first);
-            assert_eq!((life.is_killed(), life.begin_step()), (false, after.then_some(1)));
-            life.end_step(1);
-            assert!(life.is_killed());
-            life.fault_point_reached().await;
-            life.start();
-            assert_eq!(life.begin_step(), Some(2));
-            assert!(!life.is_killed(), "the next process is not met by it");
+            let process = ProcessRun::new(0, None);
+            process.set_fault_point(FaultPoint { step: 1, after, kills_process: true });
+            let first = process.begin_step().expect("the process is running");
+            process.end_step(first);
+            assert_eq!((process.is_killed(), process.begin_step()), (false, after.then_some(1)));
+            process.end_step(1);
+            assert!(process.is_killed());
+            process.fault_point_reached().await;
+            process.start();
+            assert_eq!(process.begin_step(), Some(2));
+            assert!(!process.is_killed(), "the fault point does not apply to the next process");
         }
     }
 
     #[test]
-    fn it_ends_in_the_very_operation() {
-        let life = ProcessRun::new(0, Some(KillPoint::Operation(1, 128)));
-        assert!(matches!(life.on_operation(), Ok(None)));
-        assert!(matches!(life.on_operation(), Ok(Some(128))));
-        assert!(life.on_operation().is_err() && life.on_send(1) == 0);
+    fn a_process_is_killed_in_the_exact_operation() {
+        let process = ProcessRun::new(0, Some(KillPoint::Operation(1, 128)));
+        assert!(matches!(process.on_operation(), Ok(None)));
+        assert!(matches!(process.on_operation(), Ok(Some(128))));
+        assert!(process.on_operation().is_err() && process.on_send(1) == 0);
     }
 
     #[tokio::test(start_paused = true)]
-    async fn it_stands_still_from_the_first_operation_on_a_disk_that_says_nothing_until_that_is_over() {
-        let life = ProcessRun::new(0, None);
+    async fn a_process_is_blocked_from_its_first_operation_on_a_stalled_disk_until_the_stall_ends() {
+        let process = ProcessRun::new(0, None);
         let until = Instant::now() + Duration::from_secs(2);
-        life.stall_disk(until);
-        assert_eq!(life.blocked_until(), None, "it has not touched its disk");
-        assert!(life.on_operation().is_ok());
-        life.killed_or_blocked().await;
-        assert_eq!((life.blocked_until(), life.departure_time()), (Some(until), until));
+        process.stall_disk(until);
+        assert_eq!(process.blocked_until(), None, "it has not used its disk yet");
+        assert!(process.on_operation().is_ok());
+        process.killed_or_blocked().await;
+        assert_eq!((process.blocked_until(), process.departure_time()), (Some(until), until));
         tokio::time::sleep_until(until).await;
-        assert_eq!(life.blocked_until(), None);
+        assert_eq!(process.blocked_until(), None);
     }
 }
--- a/crates/proof/nickelshed-lab/src/memory.rs
+++ b/crates/proof/nickelshed-lab/src/memory.rs
@@ -1,6 +1,6 @@
-//! How much memory this process has had at most.
+//! Peak memory use of this process.
 
-/// Bytes, from the kernel's own count; none where it does not tell.
+/// Returns the peak resident set size in bytes, or None if the kernel does not report it.
 pub fn peak_bytes() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:"))?;
