--- a/crates/proof/nickelshed-lab/src/compare.rs
+++ b/crates/proof/nickelshed-lab/src/compare.rs
@@ -1,4 +1,5 @@
-//! Compares two scenarios run on the same seeds: mean of the paired differences with a bootstrap confidence interval.
+//! Compares two scenarios run on the same seeds: mean of the paired differences with a bootstrap confidence
+//! interval.
 use rand::RngExt;
 
 const BOOTSTRAP_SAMPLES: usize = 4_000;
@@ -18,8 +19,8 @@
     }
 }
 
-/// Returns the mean difference of the pairs (second minus first), or None if there are no pairs. The result is deterministic:
-/// the same pairs give the same interval.
+/// Returns the mean difference of the pairs (second minus first), or None if there are no pairs. The result
+/// is deterministic: the same pairs give the same interval.
 pub fn difference(pairs: &[(f64, f64)]) -> Option<Difference> {
     if pairs.is_empty() {
         return None;
--- a/crates/proof/nickelshed-lab/src/crossings.rs
+++ b/crates/proof/nickelshed-lab/src/crossings.rs
@@ -1,6 +1,7 @@
-//! Repeats a short scenario run with one fault injected at each fault point: just before or just after each interaction of a
-//! sender with its host. The process is visible and reachable from outside only through these interactions, so a
-//! fault that arrives between any two statements of the sender takes effect at one of these points.
+//! Repeats a short scenario run with one fault injected at each fault point: just before or just after each
+//! interaction of a sender with its host. The process is visible and reachable from outside only through
+//! these interactions, so a fault that arrives between any two statements of the sender takes effect at one
+//! of these points.
 use crate::everywhere::{baseline_run, failures_at_each};
 use crate::life::FaultPoint;
 use crate::{Manner, ScenarioRun};
@@ -31,7 +32,8 @@
     Drain,
     /// Half of the destinations reject all calls for three seconds and then recover in slow start.
     Shut,
-    /// Half of the destinations accept calls without answering for three seconds and then recover in slow start.
+    /// Half of the destinations accept calls without answering for three seconds and then recover in slow
+    /// start.
     Silent,
 }
 
@@ -90,8 +92,8 @@
     out.into_iter().skip(first).step_by(every.max(1)).collect()
 }
 
-/// Runs the scenario once for each fault at each fault point, or each `every`th of these from the index `first` on, on `jobs`
-/// threads.
+/// Runs the scenario once for each fault at each fault point, or each `every`th of these from the index
+/// `first` on, on `jobs` threads.
 ///
 /// # Errors
 /// If the scenario cannot be run, or its run without an injected fault fails.
--- a/crates/proof/nickelshed-lab/src/everywhere.rs
+++ b/crates/proof/nickelshed-lab/src/everywhere.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// Runs the scenario once for each point. Returns the points at which a rule was violated, a sender crashed or the scenario
-/// could not be run, in their order, each with the description of its first failure.
+/// Runs the scenario once for each point. Returns the points at which a rule was violated, a sender crashed
+/// or the scenario could not be run, in their order, each with the description of its first failure.
 pub(crate) fn failures_at_each<P: Copy + Sync>(
     scenario: &Scenario,
     seed: u64,
--- a/crates/proof/nickelshed-lab/src/explore.rs
+++ b/crates/proof/nickelshed-lab/src/explore.rs
@@ -107,8 +107,8 @@
     }
 }
 
-/// Reduces a scenario step by step for as long as it still shows the failure. A scenario that does not show it is returned
-/// unchanged with an empty description.
+/// Reduces a scenario step by step for as long as it still shows the failure. A scenario that does not show
+/// it is returned unchanged with an empty description.
 pub fn minimize(failure: Failure, seed: u64, scenario: Scenario) -> FailingCase {
     let shown = |s: &Scenario| run_scenario(s, seed).ok().and_then(|run| failures(&run).remove(&failure));
     let mut smallest = scenario;
--- a/crates/proof/nickelshed-lab/src/folder.rs
+++ b/crates/proof/nickelshed-lab/src/folder.rs
@@ -1,4 +1,5 @@
-//! The state folder of a simulated sender: the testkit's disk, with every operation reported to the sender's `ProcessRun`.
+//! The state folder of a simulated sender: the testkit's disk, with every operation reported to the sender's
+//! `ProcessRun`.
 use crate::life::ProcessRun;
 use nickelshed_journal::{FileHandle, Storage};
 use nickelshed_testkit::{Disk, DiskFile};
@@ -25,8 +26,8 @@
     }
 }
 
-/// A file of the state folder. `sync` is not reported to the process run: the journal syncs on a thread of its own, outside
-/// simulated time, and scenarios run with durability `process`, which never syncs.
+/// A file of the state folder. `sync` is not reported to the process run: the journal syncs on a thread of
+/// its own, outside simulated time, and scenarios run with durability `process`, which never syncs.
 #[derive(Clone)]
 pub struct StateFile(DiskFile);
 
--- a/crates/proof/nickelshed-lab/src/kills.rs
+++ b/crates/proof/nickelshed-lab/src/kills.rs
@@ -1,4 +1,5 @@
-//! Repeats a scenario run with one sender killed at each kill point: in each disk operation and at each byte sent.
+//! Repeats a scenario run with one sender killed at each kill point: in each disk operation and at each byte
+//! sent.
 use crate::everywhere::{baseline_run, failures_at_each};
 use crate::{Kill, KillPoint, Manner, ScenarioRun};
 use nickelshed_model::Scenario;
@@ -26,7 +27,8 @@
     let mut out = Vec::new();
     for (sender, counters) in run.counters.iter().enumerate() {
         let operations = (0..counters.operations).step_by(stride.operations.max(1) as usize);
-        // In 256ths: a write is in turn not done, half done and fully done; any other operation is done only at 256.
+        // In 256ths: a write is in turn not done, half done and fully done; any other operation is done only
+        // at 256.
         let write_parts = [0, 128, 256];
         out.extend(
             operations
--- a/crates/proof/nickelshed-lab/src/lib.rs
+++ b/crates/proof/nickelshed-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The lab: the whole sender in virtual time, over a simulated network and disk, against the model of the systems that it
-//! serves, under the judge.
+//! The lab: the whole sender in virtual time, over a simulated network and disk, against the model of the
+//! systems that it serves, under the judge.
 mod compare;
 mod crossings;
 mod everywhere;
--- a/crates/proof/nickelshed-lab/src/life.rs
+++ b/crates/proof/nickelshed-lab/src/life.rs
@@ -1,5 +1,6 @@
-//! The state of one sender's process: counts its operations on disk and network, and kills or blocks it in the middle of
-//! them. The simulated state folder and connections consult it before each operation and for each byte sent.
+//! The state of one sender's process: counts its operations on disk and network, and kills or blocks it in
+//! the middle of them. The simulated state folder and connections consult it before each operation and for
+//! each byte sent.
 use std::cell::Cell;
 use std::io;
 use tokio::sync::Notify;
@@ -19,7 +20,8 @@
 pub struct ProcessCounters {
     pub operations: u64,
     pub bytes: u64,
-    /// Interactions with the host: accepting, opening or closing a connection, reading, writing, or using the disk.
+    /// Interactions with the host: accepting, opening or closing a connection, reading, writing, or using the
+    /// disk.
     pub steps: u64,
 }
 
@@ -59,8 +61,8 @@
         self.fault_point.set(Some(point));
     }
 
-    /// Begins a step. Returns its number for [`end_step`](Self::end_step), or None if the process has been killed, also by
-    /// a fault point just before this step.
+    /// Begins a step. Returns its number for [`end_step`](Self::end_step), or None if the process has been
+    /// killed, also by a fault point just before this step.
     pub fn begin_step(&self) -> Option<u64> {
         if self.killed.get() {
             return None;
@@ -98,7 +100,8 @@
         self.counters.get()
     }
 
-    /// Whether the process has been killed in the middle of an operation. Nothing that it does from then on has an effect.
+    /// Whether the process has been killed in the middle of an operation. Nothing that it does from then on
+    /// has an effect.
     pub fn is_killed(&self) -> bool {
         self.killed.get()
     }
@@ -136,13 +139,14 @@
         self.state_changed.notify_one();
     }
 
-    /// Begins an operation on the state folder. `Some(part)` means that the process is killed in it with `part` 256ths done.
+    /// Begins an operation on the state folder. `Some(part)` means that the process is killed in it with
+    /// `part` 256ths done.
     ///
     /// # Errors
     /// If the process has been killed.
     pub fn on_operation(&self) -> io::Result<Option<u16>> {
-        // The step needs no `end_step`: a fault just after a disk operation has the same effect as one just before the next
-        // step, because nothing is visible outside in between.
+        // The step needs no `end_step`: a fault just after a disk operation has the same effect as one just
+        // before the next step, because nothing is visible outside in between.
         if self.begin_step().is_none() {
             return Err(io::Error::other("the process has been killed"));
         }
@@ -162,7 +166,8 @@
         }
     }
 
-    /// Returns how many of these bytes are sent before the process is killed; 0 if it has been killed already.
+    /// Returns how many of these bytes are sent before the process is killed; 0 if it has been killed
+    /// already.
     pub fn on_send(&self, bytes: usize) -> usize {
         if self.killed.get() {
             return 0;
--- a/crates/proof/nickelshed-lab/src/main.rs
+++ b/crates/proof/nickelshed-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `nickelshed-lab`: its arguments, and what it prints of days.
+//! The program `nickelshed-lab`: parses the arguments, runs scenarios and prints the results.
 use clap::{Parser, Subcommand};
 use nickelshed_judge::{Account, State};
 use nickelshed_lab::{
@@ -14,13 +14,15 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// Plays days of the whole sender in virtual time, against a model of the systems that it serves, and judges them.
+/// Runs whole senders in simulated time against a model of the systems that they call, and checks the
+/// results.
 ///
-/// A day is a scenario file in TOML (see lab/scenarios) and a seed; the same two give the same bytes on any machine.
+/// A run is defined by a scenario file in TOML (see lab/scenarios) and a seed. The same scenario and seed
+/// give the same trace, byte for byte, on any machine.
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Ends with 0 if no rule was broken and nothing crashed, with 1 if something was, with 2 if it was called wrongly."
+    after_help = "Exit status: 0 if no rule was violated and nothing crashed, 1 if a run failed, 2 on wrong usage or another error."
 )]
 struct Arguments {
     #[command(subcommand)]
@@ -29,131 +31,137 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a scenario and print the judge's verdict, and where worth was lost
+    /// Run scenarios and print the verdict of the checker and where worth was lost
     Run {
         #[arg(required = true, value_name = "SCENARIO")]
         scenarios: Vec<PathBuf>,
         /// [default: the file's own, or 1]
         #[arg(long)]
         seed: Option<u64>,
-        /// Write every event as a line of JSON
+        /// Write every event as a line of JSON to this file
         #[arg(long, value_name = "FILE")]
         trace: Option<PathBuf>,
     },
-    /// Play a scenario and write one page of it: plots, the verdict, and the life of any message
+    /// Run a scenario and write an HTML page with plots, the verdict and the history of each message
     Report {
         #[arg(value_name = "SCENARIO")]
         scenario: PathBuf,
         /// [default: the file's own, or 1]
         #[arg(long)]
         seed: Option<u64>,
-        /// Where the page is written; it needs no network
+        /// Output file; the page loads nothing over the network
         #[arg(long, value_name = "FILE", default_value = "report.html")]
         out: PathBuf,
     },
-    /// Play random days on all cores, look for broken rules and crashes, and cut each find down
+    /// Run random scenarios on all cores, search for violated rules and crashes, and minimize the failing
+    /// cases
     Explore {
-        /// The seeds to play, as in 1..1000
-        #[arg(long, value_parser = range, default_value = "1..1000000000")]
+        /// Seeds to run, for example 1..1000
+        #[arg(long, value_parser = parse_seed_range, default_value = "1..1000000000")]
         seeds: Range<u64>,
-        /// Days of 60 to 300 senders with troubles of such a fleet: killed in a herd, regions down, rooms cut off
+        /// Scenarios with 60 to 300 senders and faults of large fleets: mass kills, regional outages, network
+        /// partitions
         #[arg(long)]
         large: bool,
-        /// Stop after so many seconds
+        /// Stop after this many seconds
         #[arg(long, default_value_t = 60.0)]
         seconds: f64,
-        /// Days at once [default: one a core]
+        /// Runs in parallel [default: one per core]
         #[arg(long)]
         jobs: Option<usize>,
-        /// Where finds are written
+        /// Folder to which minimized failing cases are written
         #[arg(long, value_name = "FOLDER", default_value = "lab/found")]
         keep: PathBuf,
-        /// Tell the finds by their seeds, without cutting them down
+        /// Only list the seeds of failing cases, without minimizing and writing them
         #[arg(long)]
         no_cut: bool,
     },
-    /// Write the day that explore plays for a seed as a scenario
+    /// Write the scenario that `explore` runs for a seed to a file
     Draw {
         seed: u64,
-        /// One of its large days
+        /// Draw as `explore --large` does
         #[arg(long)]
         large: bool,
         #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Play a scenario once for each operation on the disk and each byte sent, with a sender killed there
+    /// Run a scenario once for each disk operation and each byte sent, with the sender killed at that point
     Kills {
         scenario: PathBuf,
         /// [default: the file's own, or 1]
         #[arg(long)]
         seed: Option<u64>,
-        /// Only each so-manieth operation
+        /// Kill only in every n-th disk operation
         #[arg(long, default_value_t = 1)]
         operations: u64,
-        /// Only each so-manieth byte
+        /// Kill only at every n-th byte
         #[arg(long, default_value_t = 1)]
         bytes: u64,
         #[arg(long)]
         jobs: Option<usize>,
     },
-    /// Play a scenario once for each step at which a sender meets its host and each happening, placed just there
+    /// Run a scenario once for each fault at each interaction of a sender with its host, with the fault
+    /// injected there
     Crossings {
         scenario: PathBuf,
         /// [default: the file's own, or 1]
         #[arg(long)]
         seed: Option<u64>,
-        /// Only each so-manieth place
+        /// Inject only at every n-th pair of fault point and fault
         #[arg(long, default_value_t = 1)]
         every: usize,
-        /// The first place of these
+        /// Index of the first such pair
         #[arg(long, default_value_t = 0)]
         first: usize,
         #[arg(long)]
         jobs: Option<usize>,
     },
-    /// Play a scenario in simulated time and over real loopback sockets, side by side; the second takes its time
+    /// Run a scenario in simulated time and over real loopback sockets, and compare the results; the second
+    /// takes real time
     Sockets {
         scenario: PathBuf,
         /// [default: the file's own, or 1]
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Play two scenarios on the same seeds, and say whether a difference is seen
+    /// Run two scenarios on the same seeds and test whether their results differ significantly
     Compare {
         a: PathBuf,
         b: PathBuf,
-        #[arg(long, value_parser = range, default_value = "1..31")]
+        #[arg(long, value_parser = parse_seed_range, default_value = "1..31")]
         seeds: Range<u64>,
         #[arg(long)]
         jobs: Option<usize>,
     },
-    /// Play a scenario with one of its figures at several values
+    /// Run a scenario with several values of one key
     Sweep {
         scenario: PathBuf,
-        /// KEY=VALUE,VALUE as in slots=8,16,32 or latency=0ms,20ms
+        /// KEY=VALUE,VALUE, for example slots=8,16,32 or latency=0ms,20ms
         #[arg(long, value_name = "KEY=VALUES")]
         key: String,
-        #[arg(long, value_parser = range, default_value = "1..11")]
+        #[arg(long, value_parser = parse_seed_range, default_value = "1..11")]
         seeds: Range<u64>,
         #[arg(long)]
         jobs: Option<usize>,
     },
 }
 
-fn range(text: &str) -> Result<Range<u64>, String> {
+fn parse_seed_range(text: &str) -> Result<Range<u64>, String> {
     let parsed = text.split_once("..").and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
-    parsed.filter(|r: &Range<u64>| !r.is_empty()).ok_or(format!("`{text}` is no range of seeds; write 1..31"))
+    parsed
+        .filter(|range: &Range<u64>| !range.is_empty())
+        .ok_or(format!("`{text}` is not a range of seeds; write for example 1..31"))
 }
 
-fn jobs(asked: Option<usize>) -> usize {
-    asked.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, |n| n.get()))
+fn thread_count(requested_jobs: Option<usize>) -> usize {
+    requested_jobs.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, |n| n.get()))
 }
 
-fn print(text: &str) {
+fn print_stdout(text: &str) {
     let _ = std::io::stdout().lock().write_all(text.as_bytes());
 }
 
-fn state(state: State) -> &'static str {
+fn state_label(state: State) -> &'static str {
     match state {
         State::Well => "well",
         State::Unseen => "out, not seen yet",
@@ -162,156 +170,159 @@
     }
 }
 
-fn booked(account: &Account) -> String {
+fn format_account(account: &Account) -> String {
     let mut out = String::new();
     let _ = writeln!(
         out,
-        "  {:.1}% of slot time in vain; by how destinations stood, in seconds:",
+        "  {:.1}% of slot time wasted; seconds by state of the destination:",
         100.0 * account.in_vain()
     );
-    let time = |of: (State, bool, bool)| account.slots.get(&of).copied().unwrap_or(0) as f64 / 1e6;
+    let slot_seconds = |key: (State, bool, bool)| account.slots.get(&key).copied().unwrap_or(0) as f64 / 1e6;
     for s in [State::Well, State::Unseen, State::Sick, State::Returning] {
-        let [a, b, c, d] =
-            [(true, true), (true, false), (false, true), (false, false)].map(|(f, u)| time((s, f, u)));
-        if a + b + c + d > 0.0 {
+        let [first_useful, first_wasted, retry_useful, retry_wasted] =
+            [(true, true), (true, false), (false, true), (false, false)]
+                .map(|(first, useful)| slot_seconds((s, first, useful)));
+        if first_useful + first_wasted + retry_useful + retry_wasted > 0.0 {
             let _ = writeln!(
                 out,
-                "    {:<18} first tries {a:7.1} useful {b:7.1} in vain; further ones {c:7.1} useful {d:7.1} in vain",
-                state(s)
+                "    {:<18} first attempts {first_useful:7.1} useful {first_wasted:7.1} wasted; retries {retry_useful:7.1} useful {retry_wasted:7.1} wasted",
+                state_label(s)
             );
         }
     }
-    let all: usize = account.causes.values().sum();
+    let total: usize = account.causes.values().sum();
     for ((s, doing), n) in &account.causes {
-        let part = 100.0 * *n as f64 / all.max(1) as f64;
+        let percent = 100.0 * *n as f64 / total.max(1) as f64;
         let _ = writeln!(
             out,
-            "    late or not delivered, most of its time {doing:?} while {}: {n} ({part:.0}%)",
-            state(*s)
+            "    late or not delivered, mostly {doing:?} while {}: {n} ({percent:.0}%)",
+            state_label(*s)
         );
     }
-    let (calm, amid) = account.well_p99_ms;
-    if amid > 0.0 {
+    let (without_outage, during_outage) = account.well_p99_ms;
+    if during_outage > 0.0 {
         let _ = writeln!(
             out,
-            "  p99 for destinations that are well: {calm:.0} ms while none is out, {amid:.0} ms while any is"
+            "  p99 for destinations that are well: {without_outage:.0} ms while none is out, {during_outage:.0} ms while any is"
         );
     }
     out
 }
 
-fn tell(name: &str, scenario: &Scenario, seed: u64, day: &ScenarioRun, took: Duration) -> String {
-    let (account, reachable) = account_with_oracle(scenario, seed, day);
-    let r = &day.score;
+fn format_run(name: &str, scenario: &Scenario, seed: u64, run: &ScenarioRun, elapsed: Duration) -> String {
+    let (account, oracle_value) = account_with_oracle(scenario, seed, run);
+    let score = &run.score;
     let mut out = String::new();
     let _ = writeln!(
         out,
-        "{name}, seed {seed}: {:.0} s played in {:.2} s ({:.0} times as fast)",
-        day.length.as_secs_f64(),
-        took.as_secs_f64(),
-        day.length.as_secs_f64() / took.as_secs_f64().max(1e-9)
+        "{name}, seed {seed}: {:.0} s simulated in {:.2} s ({:.0} times real time)",
+        run.length.as_secs_f64(),
+        elapsed.as_secs_f64(),
+        run.length.as_secs_f64() / elapsed.as_secs_f64().max(1e-9)
     );
     let _ = writeln!(
         out,
         "  worth {:.4}: {} messages, {} in time, {} late, {} not delivered; p50 {:.0} ms, p99 {:.0} ms",
-        r.worth, r.messages, r.in_time, r.late, r.lost, r.p50_ms, r.p99_ms
+        score.worth, score.messages, score.in_time, score.late, score.lost, score.p50_ms, score.p99_ms
     );
     let _ = writeln!(
         out,
-        "  {:.4} is reached by one who knows how every destination stands: {:.3} of that here",
-        reachable,
-        r.worth / reachable.max(1e-9)
+        "  {:.4} is reached by one who knows the state of every destination: {:.3} of that here",
+        oracle_value,
+        score.worth / oracle_value.max(1e-9)
     );
-    let _ = writeln!(out, "  {} calls, {} turned away", r.calls, r.turned_away);
-    let why: Vec<String> =
-        r.why.iter().map(|(why, n)| format!("{n} {}", format!("{why:?}").to_lowercase())).collect();
-    if !why.is_empty() {
-        let _ = writeln!(out, "  late or not delivered, by what took their time: {}", why.join(", "));
+    let _ = writeln!(out, "  {} calls, {} turned away", score.calls, score.turned_away);
+    let causes: Vec<String> =
+        score.why.iter().map(|(cause, n)| format!("{n} {}", format!("{cause:?}").to_lowercase())).collect();
+    if !causes.is_empty() {
+        let _ = writeln!(out, "  late or not delivered, by main cause: {}", causes.join(", "));
     }
-    out += &booked(&account);
-    for broken in day.violations.iter().take(10) {
+    out += &format_account(&account);
+    for violation in run.violations.iter().take(10) {
         let _ = writeln!(
             out,
             "  BROKEN {:?} at {} ms: {} (events {:?})",
-            broken.rule,
-            broken.at / 1_000,
-            broken.words,
-            broken.events
+            violation.rule,
+            violation.at / 1_000,
+            violation.words,
+            violation.events
         );
     }
-    if day.violations.len() > 10 {
-        let _ = writeln!(out, "  and {} more", day.violations.len() - 10);
+    if run.violations.len() > 10 {
+        let _ = writeln!(out, "  and {} more", run.violations.len() - 10);
     }
-    for crash in &day.crashes {
+    for crash in &run.crashes {
         let _ = writeln!(out, "  CRASH {crash}");
     }
-    if day.is_clean() {
+    if run.is_clean() {
         let _ = writeln!(out, "  all six rules were kept");
     }
     out
 }
 
-fn run(paths: &[PathBuf], seed: Option<u64>, trace: Option<&Path>) -> Result<bool, String> {
-    // All of them before the first is played.
+fn run_scenarios(paths: &[PathBuf], seed: Option<u64>, trace: Option<&Path>) -> Result<bool, String> {
+    // Reads all files first, so that a mistake in any of them is reported before the first run.
     let scenarios = paths.iter().map(|p| files::read(p)).collect::<Result<Vec<_>, _>>()?;
-    let mut clean = true;
+    let mut all_clean = true;
     for (path, scenario) in paths.iter().zip(scenarios) {
         let seed = seed.or(scenario.seed).unwrap_or(1);
-        let from = Instant::now();
-        let day = run_scenario(&scenario, seed)?;
-        print(&tell(&path.display().to_string(), &scenario, seed, &day, from.elapsed()));
-        clean &= day.is_clean();
+        let started = Instant::now();
+        let run = run_scenario(&scenario, seed)?;
+        print_stdout(&format_run(&path.display().to_string(), &scenario, seed, &run, started.elapsed()));
+        all_clean &= run.is_clean();
         if let Some(trace) = trace {
             let line = |e| serde_json::to_string(e).unwrap_or_default() + "\n";
-            let text: String = day.events.iter().map(line).collect();
+            let text: String = run.events.iter().map(line).collect();
             std::fs::write(trace, text).map_err(|e| format!("cannot write {}: {e}", trace.display()))?;
         }
     }
-    Ok(clean)
+    Ok(all_clean)
 }
 
 fn report(path: &Path, seed: Option<u64>, out: &Path) -> Result<bool, String> {
     let scenario = files::read(path)?;
     let seed = seed.or(scenario.seed).unwrap_or(1);
-    let day = run_scenario(&scenario, seed)?;
-    let page = nickelshed_lab::report::page(&path.display().to_string(), &scenario, seed, &day)?;
+    let run = run_scenario(&scenario, seed)?;
+    let page = nickelshed_lab::report::page(&path.display().to_string(), &scenario, seed, &run)?;
     std::fs::write(out, page).map_err(|e| format!("cannot write {}: {e}", out.display()))?;
-    print(&format!("{}\n", out.display()));
-    Ok(day.is_clean())
+    print_stdout(&format!("{}\n", out.display()));
+    Ok(run.is_clean())
 }
 
-/// Kills that are named one by one, at most.
-const NAMED: usize = 20;
+/// Failures that are listed one by one.
+const MAX_LISTED_FAILURES: usize = 20;
 
-/// Prints the first of the points at which something was wrong. Whether there was none.
-fn name_finds<P>(finds: &[(P, String)], name: impl Fn(&P) -> String) -> bool {
-    for (point, words) in finds.iter().take(NAMED) {
-        print(&format!("  {}: {words}\n", name(point)));
+/// Prints the first failures, each with the name of its point. Returns whether there were none.
+fn print_failures<P>(failures: &[(P, String)], name: impl Fn(&P) -> String) -> bool {
+    for (point, description) in failures.iter().take(MAX_LISTED_FAILURES) {
+        print_stdout(&format!("  {}: {description}\n", name(point)));
     }
-    match finds.len() {
-        0 => print("  all six rules were kept\n"),
-        more if more > NAMED => print(&format!("  and {} more\n", more - NAMED)),
+    match failures.len() {
+        0 => print_stdout("  all six rules were kept\n"),
+        count if count > MAX_LISTED_FAILURES => {
+            print_stdout(&format!("  and {} more\n", count - MAX_LISTED_FAILURES))
+        }
         _ => {}
     }
-    finds.is_empty()
+    failures.is_empty()
 }
 
-fn kill_everywhere(path: &Path, seed: Option<u64>, every: Stride, jobs: usize) -> Result<bool, String> {
+fn run_kills(path: &Path, seed: Option<u64>, stride: Stride, jobs: usize) -> Result<bool, String> {
     let scenario = files::read(path)?;
     let seed = seed.or(scenario.seed).unwrap_or(1);
-    let from = Instant::now();
-    let killed = run_kill_points(&scenario, seed, every, jobs)?;
-    print(&format!(
+    let started = Instant::now();
+    let report = run_kill_points(&scenario, seed, stride, jobs)?;
+    print_stdout(&format!(
         "{}, seed {seed}: killed in {} operations and at {} bytes, in {:.0} s on {jobs} threads\n",
         path.display(),
-        killed.operations,
-        killed.bytes,
-        from.elapsed().as_secs_f64()
+        report.operations,
+        report.bytes,
+        started.elapsed().as_secs_f64()
     ));
-    Ok(name_finds(&killed.failures, |kill| format!("sender {}, {:?}", kill.sender, kill.cut)))
+    Ok(print_failures(&report.failures, |kill| format!("sender {}, {:?}", kill.sender, kill.cut)))
 }
 
-fn cross_everywhere(
+fn run_crossings(
     path: &Path,
     seed: Option<u64>,
     every: usize,
@@ -320,31 +331,32 @@
 ) -> Result<bool, String> {
     let scenario = files::read(path)?;
     let seed = seed.or(scenario.seed).unwrap_or(1);
-    let from = Instant::now();
-    let crossed = run_fault_points(&scenario, seed, every, first, jobs)?;
-    print(&format!(
-        "{}, seed {seed}: {} steps, {} days with something at one of them, in {:.0} s on {jobs} threads\n",
+    let started = Instant::now();
+    let report = run_fault_points(&scenario, seed, every, first, jobs)?;
+    print_stdout(&format!(
+        "{}, seed {seed}: {} steps, {} runs with a fault injected at one of them, in {:.0} s on {jobs} threads\n",
         path.display(),
-        crossed.steps,
-        crossed.runs,
-        from.elapsed().as_secs_f64()
+        report.steps,
+        report.runs,
+        started.elapsed().as_secs_f64()
     ));
-    Ok(name_finds(&crossed.failures, |FaultInjection { sender, step, after, fault }| {
+    Ok(print_failures(&report.failures, |FaultInjection { sender, step, after, fault }| {
         let when = if *after { "after" } else { "before" };
         format!("{fault:?} {when} step {step} of sender {sender}")
     }))
 }
 
-fn sockets(path: &Path, seed: Option<u64>) -> Result<bool, String> {
+fn compare_sockets(path: &Path, seed: Option<u64>) -> Result<bool, String> {
     let scenario = files::read(path)?;
     let seed = seed.or(scenario.seed).unwrap_or(1);
     let simulated = run_scenario(&scenario, seed)?;
     let real = run_scenario_with(&scenario, seed, Manner { over_sockets: true, ..Manner::default() })?;
-    let row = |name: &str, figure: &dyn Fn(&ScenarioRun) -> f64| {
-        let (a, b) = (figure(&simulated), figure(&real));
+    let row = |name: &str, value_of: &dyn Fn(&ScenarioRun) -> f64| {
+        let (a, b) = (value_of(&simulated), value_of(&real));
         format!("{name:>24} {a:>12.4} {b:>12.4} {:>+12.4}\n", b - a)
     };
-    let why = |why| move |d: &ScenarioRun| d.score.why.get(&why).copied().unwrap_or(0) as f64;
+    let count_of_cause =
+        |cause| move |run: &ScenarioRun| run.score.why.get(&cause).copied().unwrap_or(0) as f64;
     let mut out = format!(
         "{}, seed {seed}\n{:>24} {:>12} {:>12} {:>12}\n",
         path.display(),
@@ -353,111 +365,121 @@
         "sockets",
         "difference"
     );
-    out += &row("worth", &|d| d.score.worth);
-    out += &row("in time", &|d| d.score.in_time as f64);
-    out += &row("late", &|d| d.score.late as f64);
-    out += &row("not delivered", &|d| d.score.lost as f64);
-    out += &row("refused at the door", &why(nickelshed_judge::Why::Refused));
-    out += &row("median, ms", &|d| d.score.p50_ms);
-    out += &row("p99, ms", &|d| d.score.p99_ms);
-    out += &row("calls", &|d| d.score.calls as f64);
-    out += &row("turned away", &|d| d.score.turned_away as f64);
-    out += &row("rules broken", &|d| d.violations.len() as f64);
-    for (name, day) in [("simulated", &simulated), ("sockets", &real)] {
-        for broken in day.violations.iter().take(5) {
+    out += &row("worth", &|run| run.score.worth);
+    out += &row("in time", &|run| run.score.in_time as f64);
+    out += &row("late", &|run| run.score.late as f64);
+    out += &row("not delivered", &|run| run.score.lost as f64);
+    out += &row("rejected by the sender", &count_of_cause(nickelshed_judge::Why::Refused));
+    out += &row("median, ms", &|run| run.score.p50_ms);
+    out += &row("p99, ms", &|run| run.score.p99_ms);
+    out += &row("calls", &|run| run.score.calls as f64);
+    out += &row("turned away", &|run| run.score.turned_away as f64);
+    out += &row("rule violations", &|run| run.violations.len() as f64);
+    for (name, run) in [("simulated", &simulated), ("sockets", &real)] {
+        for violation in run.violations.iter().take(5) {
             let _ = writeln!(
                 out,
                 "  {name}: BROKEN {:?} at {} ms: {}",
-                broken.rule,
-                broken.at / 1_000,
-                broken.words
+                violation.rule,
+                violation.at / 1_000,
+                violation.words
             );
         }
-        for crash in &day.crashes {
+        for crash in &run.crashes {
             let _ = writeln!(out, "  {name}: CRASH {crash}");
         }
     }
-    print(&out);
+    print_stdout(&out);
     Ok(simulated.is_clean() && real.is_clean())
 }
 
-fn told(explored: &Exploration, jobs: usize, took: Duration) -> String {
-    let (simulated, spent) = (explored.simulated_time.as_secs_f64(), explored.thread_time.as_secs_f64());
+fn format_exploration(exploration: &Exploration, jobs: usize, elapsed: Duration) -> String {
+    let (simulated_s, thread_s) =
+        (exploration.simulated_time.as_secs_f64(), exploration.thread_time.as_secs_f64());
     let mut out = format!(
-        "{} days, {:.1} simulated hours, on {jobs} threads in {:.1} s: {:.0} simulated seconds for each second of a core\n",
-        explored.runs,
-        simulated / 3_600.0,
-        took.as_secs_f64(),
-        simulated / spent.max(1e-9)
+        "{} runs, {:.1} simulated hours, on {jobs} threads in {:.1} s: {:.0} simulated seconds per second of a core\n",
+        exploration.runs,
+        simulated_s / 3_600.0,
+        elapsed.as_secs_f64(),
+        simulated_s / thread_s.max(1e-9)
     );
-    for (fault, days) in &explored.failures {
-        let _ = writeln!(out, "  {}: on {} days", fault.name(), days.len());
-        for (seed, words) in days {
-            let _ = writeln!(out, "    seed {seed}, {words}");
+    for (failure, cases) in &exploration.failures {
+        let _ = writeln!(out, "  {}: in {} runs", failure.name(), cases.len());
+        for (seed, description) in cases {
+            let _ = writeln!(out, "    seed {seed}, {description}");
         }
     }
-    if explored.failures.is_empty() {
+    if exploration.failures.is_empty() {
         out.push_str("  no rule was broken and nothing crashed\n");
     }
     if let Some(bytes) = memory::peak_bytes() {
-        let _ = writeln!(out, "  {:.0} MB of memory at most", bytes as f64 / 1e6);
+        let _ = writeln!(out, "  {:.0} MB peak memory", bytes as f64 / 1e6);
     }
     out
 }
 
-fn explore_and_keep(
+fn explore_and_save(
     draw: ScenarioGenerator,
     seeds: Range<u64>,
     seconds: f64,
     jobs: usize,
-    keep: Option<&Path>,
+    folder: Option<&Path>,
 ) -> Result<bool, String> {
-    let from = Instant::now();
-    let explored = explore(draw, seeds, jobs, Duration::from_secs_f64(seconds.clamp(0.0, 1e6)));
-    print(&told(&explored, jobs, from.elapsed()));
-    let Some(keep) = keep else { return Ok(explored.failures.is_empty()) };
-    for find in explored.minimized(draw) {
-        std::fs::create_dir_all(keep).map_err(|e| format!("cannot make {}: {e}", keep.display()))?;
-        let path = keep.join(format!("{}-{}.toml", find.failure.name(), find.seed));
-        let about = format!("Found by explore with seed {}, cut down.\n{}", find.seed, find.description);
-        files::write(&path, &find.scenario, &about)?;
-        print(&format!("  {}: {}\n", path.display(), find.description));
+    let started = Instant::now();
+    let exploration = explore(draw, seeds, jobs, Duration::from_secs_f64(seconds.clamp(0.0, 1e6)));
+    print_stdout(&format_exploration(&exploration, jobs, started.elapsed()));
+    let Some(folder) = folder else { return Ok(exploration.failures.is_empty()) };
+    for case in exploration.minimized(draw) {
+        std::fs::create_dir_all(folder).map_err(|e| format!("cannot create {}: {e}", folder.display()))?;
+        let path = folder.join(format!("{}-{}.toml", case.failure.name(), case.seed));
+        let about = format!("Found by explore with seed {}, minimized.\n{}", case.seed, case.description);
+        files::write(&path, &case.scenario, &about)?;
+        print_stdout(&format!("  {}: {}\n", path.display(), case.description));
     }
-    Ok(explored.failures.is_empty())
+    Ok(exploration.failures.is_empty())
 }
 
-/// The worth of each day, in order, on so many threads; an error is that of the first day that can't be played.
-fn worths(days: &[(Scenario, u64)], jobs: usize) -> Result<Vec<ScenarioRun>, String> {
-    let play_one = |(scenario, seed): &(Scenario, u64)| {
-        run_scenario(scenario, *seed).map(|day| ScenarioRun { events: Vec::new(), ..day })
+/// Runs each scenario with its seed on `jobs` threads. Returns the results in order without their events, or
+/// the error of the first scenario that cannot be run.
+fn run_all(cases: &[(Scenario, u64)], jobs: usize) -> Result<Vec<ScenarioRun>, String> {
+    let run_one = |(scenario, seed): &(Scenario, u64)| {
+        run_scenario(scenario, *seed).map(|run| ScenarioRun { events: Vec::new(), ..run })
     };
-    parallel_map(days, jobs, play_one).into_iter().collect()
+    parallel_map(cases, jobs, run_one).into_iter().collect()
 }
 
 fn compare(a: &Path, b: &Path, seeds: Range<u64>, jobs: usize) -> Result<bool, String> {
     let (first, second) = (files::read(a)?, files::read(b)?);
     let pairs = seeds.flat_map(|seed| [(first.clone(), seed), (second.clone(), seed)]);
-    let days = worths(&pairs.collect::<Vec<_>>(), jobs)?;
-    let worth = |d: &ScenarioRun| d.score.worth;
-    let pairs: Vec<(f64, f64)> = days.chunks(2).map(|pair| (worth(&pair[0]), worth(&pair[1]))).collect();
-    let mean = |part: fn(&(f64, f64)) -> f64| pairs.iter().map(part).sum::<f64>() / pairs.len() as f64;
-    let broken = |of: usize| days.iter().skip(of).step_by(2).filter(|d| !d.is_clean()).count();
-    print(&format!(
-        "{} seeds\n  A {}: worth {:.4}, {} days not clean\n",
+    let runs = run_all(&pairs.collect::<Vec<_>>(), jobs)?;
+    let worth = |run: &ScenarioRun| run.score.worth;
+    let pairs: Vec<(f64, f64)> = runs.chunks(2).map(|pair| (worth(&pair[0]), worth(&pair[1]))).collect();
+    let mean =
+        |value_of: fn(&(f64, f64)) -> f64| pairs.iter().map(value_of).sum::<f64>() / pairs.len() as f64;
+    let failed_count =
+        |offset: usize| runs.iter().skip(offset).step_by(2).filter(|run| !run.is_clean()).count();
+    print_stdout(&format!(
+        "{} seeds\n  A {}: worth {:.4}, {} runs failed\n",
         pairs.len(),
         a.display(),
         mean(|p| p.0),
-        broken(0)
+        failed_count(0)
+    ));
+    print_stdout(&format!(
+        "  B {}: worth {:.4}, {} runs failed\n",
+        b.display(),
+        mean(|p| p.1),
+        failed_count(1)
     ));
-    print(&format!("  B {}: worth {:.4}, {} days not clean\n", b.display(), mean(|p| p.1), broken(1)));
     if let Some(d) = difference(&pairs) {
-        let seen = if d.is_significant() { "a difference is seen" } else { "no difference seen" };
-        print(&format!(
-            "  B - A {:+.4}, 95 of 100 between {:+.4} and {:+.4}: {seen}\n",
+        let verdict =
+            if d.is_significant() { "the difference is significant" } else { "no significant difference" };
+        print_stdout(&format!(
+            "  B - A {:+.4}, 95% confidence interval {:+.4} to {:+.4}: {verdict}\n",
             d.mean, d.low, d.high
         ));
     }
-    Ok(days.iter().all(ScenarioRun::is_clean))
+    Ok(runs.iter().all(ScenarioRun::is_clean))
 }
 
 fn sweep(path: &Path, key: &str, seeds: Range<u64>, jobs: usize) -> Result<bool, String> {
@@ -465,58 +487,63 @@
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     let (key, values) = key.split_once('=').ok_or("write --key KEY=VALUE,VALUE")?;
     let mut table: toml::Table = text.parse().map_err(|e| format!("{}: {e}", path.display()))?;
-    let mut days = Vec::new();
+    let mut cases = Vec::new();
     let values: Vec<&str> = values.split(',').collect();
     for value in &values {
-        // A figure, or else a text: a time with its unit.
+        // Values that are not valid TOML, such as durations with their unit, become strings.
         let parsed = format!("v = {value}").parse::<toml::Table>().ok().and_then(|mut t| t.remove("v"));
         table.insert(key.to_string(), parsed.unwrap_or(toml::Value::String(value.to_string())));
         let text = toml::to_string(&table).map_err(|e| e.to_string())?;
         let scenario = files::parse(&text, path)?;
-        days.extend(seeds.clone().map(|seed| (scenario.clone(), seed)));
+        cases.extend(seeds.clone().map(|seed| (scenario.clone(), seed)));
     }
-    let played = worths(&days, jobs)?;
-    print(&format!("{key:>12}    worth    least   in time      p99    refused  not clean\n"));
-    for (value, days) in values.iter().zip(played.chunks((seeds.end - seeds.start) as usize)) {
-        let mean =
-            |part: &dyn Fn(&ScenarioRun) -> f64| days.iter().map(part).sum::<f64>() / days.len() as f64;
-        let least = days.iter().map(|d| d.score.worth).fold(1.0, f64::min);
-        let in_time = mean(&|d| d.score.in_time as f64 / d.score.messages.max(1) as f64);
-        let refused =
-            mean(&|d| d.score.why.get(&nickelshed_judge::Why::Refused).copied().unwrap_or(0) as f64);
-        let unclean = days.iter().filter(|d| !d.is_clean()).count();
-        print(&format!(
-            "{value:>12}   {:.4}   {least:.4}    {in_time:.4} {:>6.0}ms   {refused:8.1}   {unclean:8}\n",
-            mean(&|d| d.score.worth),
-            mean(&|d| d.score.p99_ms)
+    let all_runs = run_all(&cases, jobs)?;
+    print_stdout(&format!("{key:>12}    worth    least   in time      p99    refused     failed\n"));
+    for (value, runs) in values.iter().zip(all_runs.chunks((seeds.end - seeds.start) as usize)) {
+        let mean = |value_of: &dyn Fn(&ScenarioRun) -> f64| {
+            runs.iter().map(value_of).sum::<f64>() / runs.len() as f64
+        };
+        let lowest = runs.iter().map(|run| run.score.worth).fold(1.0, f64::min);
+        let in_time = mean(&|run| run.score.in_time as f64 / run.score.messages.max(1) as f64);
+        let rejected =
+            mean(&|run| run.score.why.get(&nickelshed_judge::Why::Refused).copied().unwrap_or(0) as f64);
+        let failed = runs.iter().filter(|run| !run.is_clean()).count();
+        print_stdout(&format!(
+            "{value:>12}   {:.4}   {lowest:.4}    {in_time:.4} {:>6.0}ms   {rejected:8.1}   {failed:8}\n",
+            mean(&|run| run.score.worth),
+            mean(&|run| run.score.p99_ms)
         ));
     }
-    Ok(played.iter().all(ScenarioRun::is_clean))
+    Ok(all_runs.iter().all(ScenarioRun::is_clean))
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
-        Command::Run { scenarios, seed, trace } => run(&scenarios, seed, trace.as_deref()),
+    let result = match Arguments::parse().command {
+        Command::Run { scenarios, seed, trace } => run_scenarios(&scenarios, seed, trace.as_deref()),
         Command::Report { scenario, seed, out } => report(&scenario, seed, &out),
-        Command::Explore { seeds, large, seconds, jobs: asked, keep, no_cut } => {
+        Command::Explore { seeds, large, seconds, jobs: requested_jobs, keep, no_cut } => {
             let draw = if large { draw_large } else { draw };
-            explore_and_keep(draw, seeds, seconds, jobs(asked), (!no_cut).then_some(&keep))
+            explore_and_save(draw, seeds, seconds, thread_count(requested_jobs), (!no_cut).then_some(&keep))
         }
         Command::Draw { seed, large, out } => {
-            let day = if large { draw_large(seed) } else { draw(seed) };
-            files::write(&out, &day, &format!("The day of seed {seed}.")).map(|()| true)
+            let scenario = if large { draw_large(seed) } else { draw(seed) };
+            files::write(&out, &scenario, &format!("The scenario of seed {seed}.")).map(|()| true)
+        }
+        Command::Kills { scenario, seed, operations, bytes, jobs: requested_jobs } => {
+            run_kills(&scenario, seed, Stride { operations, bytes }, thread_count(requested_jobs))
+        }
+        Command::Crossings { scenario, seed, every, first, jobs: requested_jobs } => {
+            run_crossings(&scenario, seed, every, first, thread_count(requested_jobs))
         }
-        Command::Kills { scenario, seed, operations, bytes, jobs: asked } => {
-            kill_everywhere(&scenario, seed, Stride { operations, bytes }, jobs(asked))
+        Command::Sockets { scenario, seed } => compare_sockets(&scenario, seed),
+        Command::Compare { a, b, seeds, jobs: requested_jobs } => {
+            compare(&a, &b, seeds, thread_count(requested_jobs))
         }
-        Command::Crossings { scenario, seed, every, first, jobs: asked } => {
-            cross_everywhere(&scenario, seed, every, first, jobs(asked))
+        Command::Sweep { scenario, key, seeds, jobs: requested_jobs } => {
+            sweep(&scenario, &key, seeds, thread_count(requested_jobs))
         }
-        Command::Sockets { scenario, seed } => sockets(&scenario, seed),
-        Command::Compare { a, b, seeds, jobs: asked } => compare(&a, &b, seeds, jobs(asked)),
-        Command::Sweep { scenario, key, seeds, jobs: asked } => sweep(&scenario, &key, seeds, jobs(asked)),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(error) => {
--- a/crates/proof/nickelshed-lab/src/play.rs
+++ b/crates/proof/nickelshed-lab/src/play.rs
@@ -1,4 +1,5 @@
-//! One day: senders as processes, the stand-ins around them, the troubles at their times, and the judge at the end.
+//! Runs one scenario: starts the senders as simulated processes with fake servers and clients around them,
+//! injects the faults at their times, and has the recorded events checked and scored at the end.
 use crate::crossings::{FaultInjection, InjectedFault};
 use crate::lie::Lie;
 use crate::life::ProcessCounters;
@@ -24,30 +25,31 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// From SIGTERM to SIGKILL.
-const TO_KILL: Duration = Duration::from_millis(3_700);
-/// An old agent goes so long after a new configuration.
-const OLD_AGENT: Duration = Duration::from_millis(1_500);
-/// How long a process stands still that is crossed so: longer than a told wait.
-const STANDS_STILL: Duration = Duration::from_millis(700);
-/// What is owed after the last message's time is up: notices, and what a restart puts off.
-const AFTERWARDS: Duration = Duration::from_millis(8_000);
+/// Time from SIGTERM to SIGKILL.
+const TERMINATION_GRACE: Duration = Duration::from_millis(3_700);
+/// After a configuration that moves discovery, the agent at the old address closes with this delay.
+const OLD_AGENT_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
+/// Length of the pause that is injected at a fault point; longer than a usual retry-after time.
+const INJECTED_PAUSE: Duration = Duration::from_millis(700);
+/// How long a run goes on after the last message has expired, for pending notices and for work delayed by a
+/// restart.
+const SETTLE_TIME: Duration = Duration::from_millis(8_000);
 
-/// What is left of a message's worth, however late it is delivered.
-const LATE_WORTH: f64 = 0.3;
+/// The fraction of a message's value that remains, however late the message is delivered.
+const LATE_VALUE_FRACTION: f64 = 0.3;
 
-/// What a day came to.
+/// The result of one run of a scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioRun {
     pub events: Vec<Event>,
     pub violations: Vec<Broken>,
     pub score: Reckoning,
-    /// Why a sender ended by itself, or a part of it did.
+    /// Errors and panics of senders that ended on their own, wholly or in part.
     pub crashes: Vec<String>,
     pub length: Duration,
-    /// What each sender did on its disk and sent.
+    /// What the processes of each sender did on disk and network.
     pub counters: Vec<ProcessCounters>,
-    /// Notes between senders.
+    /// Number of datagrams sent between senders.
     pub peer_datagrams: u64,
 }
 
@@ -58,62 +60,66 @@
 }
 
 thread_local! {
-    /// Panics of this thread while it plays a day: Tokio catches those of tasks.
+    /// Panics of this thread during a run. Recorded by the panic hook, because Tokio catches the panics of
+    /// tasks.
     static PANICS: RefCell<Option<Vec<String>>> = const { RefCell::new(None) };
 }
 
-/// Has panics of threads that play a day noted, and all others told as before.
-fn watch_panics() {
+/// Installs a panic hook that records panics of threads with a run in progress and passes all others to the
+/// previous hook.
+fn capture_panics() {
     static ONCE: std::sync::Once = std::sync::Once::new();
     ONCE.call_once(|| {
-        let before = std::panic::take_hook();
+        let previous_hook = std::panic::take_hook();
         std::panic::set_hook(Box::new(move |info| {
-            let noted =
+            let recorded =
                 PANICS.try_with(|p| p.borrow_mut().as_mut().map(|panics| panics.push(info.to_string())));
-            if !matches!(noted, Ok(Some(()))) {
-                before(info);
+            if !matches!(recorded, Ok(Some(()))) {
+                previous_hook(info);
             }
         }));
     });
     PANICS.with(|p| *p.borrow_mut() = Some(Vec::new()));
 }
 
-/// What a sender is told of a day's deployment, in the platform's form.
-fn settings(s: &Scenario, lie: Option<Lie>, sender: usize) -> Value {
+/// The deployment settings of a sender, in the format of the platform. A mutation of the sender may falsify
+/// some of them.
+fn settings(scenario: &Scenario, mutation: Option<Lie>, sender: usize) -> Value {
     let ns = |p: nickelshed_config::units::Period| p.ns();
     let figures = Figures::default();
-    let multiple = if lie == Some(Lie::KnowsNoCold) { 1_000.0 } else { figures.fall_multiple };
-    let window = if lie == Some(Lie::ForgetsWindow) { 3_600_000_000_000 } else { ns(s.repeat_window) };
-    let scope = match s.repeats_known_by {
-        _ if lie == Some(Lie::TrustsAllWithRepeats) => "all",
+    let overload_multiple = if mutation == Some(Lie::KnowsNoCold) { 1_000.0 } else { figures.fall_multiple };
+    let window_ns =
+        if mutation == Some(Lie::ForgetsWindow) { 3_600_000_000_000 } else { ns(scenario.repeat_window) };
+    let dedup_scope = match scenario.repeats_known_by {
+        _ if mutation == Some(Lie::TrustsAllWithRepeats) => "all",
         Scope::Destination => "all",
         Scope::Zone => "zone",
         Scope::Endpoint => "endpoint",
     };
     let class = |c: &Mix| {
         let effect = match c.effect {
-            _ if lie == Some(Lie::RepeatsUnsafe) => "safe",
+            _ if mutation == Some(Lie::RepeatsUnsafe) => "safe",
             Effect::Safe => "safe",
             Effect::Keyed => "keyed",
             Effect::Unsafe => "unsafe",
         };
         json!({"Name": c.name, "PromiseNs": ns(c.wanted_within), "DeadlineNs": ns(c.abandoned_after),
-            "Effect": effect, "DedupScope": scope, "WindowNs": window, "Worth": c.worth, "LateWorth": LATE_WORTH})
+            "Effect": effect, "DedupScope": dedup_scope, "WindowNs": window_ns, "Worth": c.worth, "LateWorth": LATE_VALUE_FRACTION})
     };
-    let rooms: Vec<String> = (0..s.rooms).map(|r| format!("room-{r}")).collect();
-    json!({"NInstances": s.senders, "TickNs": 5_000_000, "Kinds": ["plain"], "Localities": rooms,
-        "Zone": s.room(sender), "Weights": if s.list_tells_rates { "rough" } else { "none" },
+    let rooms: Vec<String> = (0..scenario.rooms).map(|r| format!("room-{r}")).collect();
+    json!({"NInstances": scenario.senders, "TickNs": 5_000_000, "Kinds": ["plain"], "Localities": rooms,
+        "Zone": scenario.room(sender), "Weights": if scenario.list_tells_rates { "rough" } else { "none" },
         "Feedback": {"Source": "piggyback", "Fields": ["x0", "x1"]},
-        "FamilyInfo": {"CallsOut": s.slots, "Decay": "halves", "KindBatch": [s.batch], "SeparateRoutes": [s.routes_apart]},
-        "Limits": {"Peers": s.notes, "MaxOpen": s.held, "MaxAttempts": 8, "Cancel": true, "IdleCloseNs": 5_000_000_000u64,
+        "FamilyInfo": {"CallsOut": scenario.slots, "Decay": "halves", "KindBatch": [scenario.batch], "SeparateRoutes": [scenario.routes_apart]},
+        "Limits": {"Peers": scenario.notes, "MaxOpen": scenario.held, "MaxAttempts": 8, "Cancel": true, "IdleCloseNs": 5_000_000_000u64,
             "DialTimeoutNs": 1_000_000_000, "MaxRetryAfterNs": 3_000_000_000u64},
         "Safety": {"StartCapacity": figures.start_capacity, "ColdNs": figures.cold * 1_000,
-            "FallMultiple": multiple, "OverloadForNs": figures.fall_for * 1_000},
-        "Services": s.mix().iter().map(class).collect::<Vec<_>>()})
+            "FallMultiple": overload_multiple, "OverloadForNs": figures.fall_for * 1_000},
+        "Services": scenario.mix().iter().map(class).collect::<Vec<_>>()})
 }
 
-fn config(scenario: &Scenario, lie: Option<Lie>, sender: usize, home: u16, seed: u64) -> String {
-    // Each has all of them in one order; without leave the list is not looked at.
+fn config(scenario: &Scenario, mutation: Option<Lie>, sender: usize, home: u16, seed: u64) -> String {
+    // All senders list the same peers in the same order. Without `notes` the list is empty and unused.
     let peers: Vec<String> = (0..scenario.senders as usize)
         .filter(|_| scenario.notes)
         .map(|s| notes_address(s).to_string())
@@ -121,116 +127,118 @@
     json!({"name": format!("n{sender}"), "peers": peers, "peer_listen": notes_address(sender).to_string(), "seed": format!("{:x}", seed ^ (sender as u64) << 32),
         "discovery": agent_address(sender, home).to_string(),
         "limits": {"memory_mb": 64, "sockets": 1_024, "disk_mb": scenario.disk as f64 / 1e6},
-        // At each start of a process it is what its machine had last.
+        // Replaced at each process start by the endpoint list that the machine had last.
         "known": {"generation": 0, "reset": true, "instances": []},
-        "settings": settings(scenario, lie, sender)})
+        "settings": settings(scenario, mutation, sender)})
     .to_string()
 }
 
-/// The destinations that a trouble meets: those with most traffic first.
-fn met(world: &World, trouble: &Trouble) -> Vec<u64> {
-    (1..=u64::from(trouble.of(world.scenario.destinations))).collect()
+/// The destinations that a fault affects, those with the most traffic first.
+fn affected_destinations(sim: &World, fault: &Trouble) -> Vec<u64> {
+    (1..=u64::from(fault.of(sim.scenario.destinations))).collect()
 }
 
-async fn outage(world: Rc<World>, trouble: Trouble) {
-    let kind = trouble.kind;
-    for dest in met(&world, &trouble) {
-        let place = &world.destinations[&dest];
-        place.system.borrow_mut().begin(kind, trouble.size, trouble.to());
+async fn inject_outage(sim: Rc<World>, fault: Trouble) {
+    let kind = fault.kind;
+    for dest in affected_destinations(&sim, &fault) {
+        let destination = &sim.destinations[&dest];
+        destination.system.borrow_mut().begin(kind, fault.size, fault.to());
         if kind.is_outage() {
-            let routes = place.system.borrow().routes();
-            routes.into_iter().for_each(|route| world.note(What::OutageBegan { dest, route }));
+            let routes = destination.system.borrow().routes();
+            routes.into_iter().for_each(|route| sim.note(What::OutageBegan { dest, route }));
         }
         if kind == Kind::Refused {
-            for (_, p) in standing(&world, dest) {
-                world.net.close(p.address);
+            for (_, p) in ready_endpoints(&sim, dest) {
+                sim.net.close(p.address);
             }
-            place.resets.notify_waiters();
+            destination.resets.notify_waiters();
         }
     }
-    sleep_until(world.instant(trouble.to())).await;
-    for dest in met(&world, &trouble) {
-        let place = &world.destinations[&dest];
-        place.system.borrow_mut().end(world.now(), kind);
+    sleep_until(sim.instant(fault.to())).await;
+    for dest in affected_destinations(&sim, &fault) {
+        let destination = &sim.destinations[&dest];
+        destination.system.borrow_mut().end(sim.now(), kind);
         if kind.is_outage() {
-            let system = place.system.borrow();
+            let system = destination.system.borrow();
             for route in system.routes() {
-                world.note(What::OutageEnded { dest, route, capacity: system.capacity(route) });
+                sim.note(What::OutageEnded { dest, route, capacity: system.capacity(route) });
             }
             drop(system);
-            // What hung on its connections is gone with what it was.
-            place.resets.notify_waiters();
+            // Calls that hung in the outage are reset with the connections of the failed destination.
+            destination.resets.notify_waiters();
         }
         if kind == Kind::Refused {
-            for (number, p) in standing(&world, dest) {
-                listen(&world, dest, number, p.address).await;
+            for (number, p) in ready_endpoints(&sim, dest) {
+                listen(&sim, dest, number, p.address).await;
             }
         }
     }
 }
 
-/// The endpoints of a destination that are listed as ready.
-fn standing(world: &World, dest: u64) -> Vec<(usize, Place)> {
-    let mut last: BTreeMap<usize, Place> = BTreeMap::new();
-    for (number, place) in world.list.borrow().iter().filter(|(_, p)| p.dest == dest) {
-        last.insert(*number, place.clone());
+/// The endpoints of a destination that are listed as ready, with their numbers.
+fn ready_endpoints(sim: &World, dest: u64) -> Vec<(usize, Place)> {
+    let mut latest: BTreeMap<usize, Place> = BTreeMap::new();
+    for (number, endpoint) in sim.list.borrow().iter().filter(|(_, p)| p.dest == dest) {
+        latest.insert(*number, endpoint.clone());
     }
-    last.into_iter().filter(|(_, p)| p.lifecycle == "Ready").collect()
+    latest.into_iter().filter(|(_, p)| p.lifecycle == "Ready").collect()
 }
 
-/// Tells all agents of changes, as late as discovery is.
-fn tell_late(world: &Rc<World>, changes: Vec<usize>) {
-    let world = world.clone();
+/// Announces changes to all discovery agents, after the scenario's discovery delay.
+fn announce_after_delay(sim: &Rc<World>, changes: Vec<usize>) {
+    let sim = sim.clone();
     spawn_local(async move {
-        sleep(world.scenario.discovery_late.0).await;
-        world.tell(&changes);
+        sleep(sim.scenario.discovery_late.0).await;
+        sim.tell(&changes);
     });
 }
 
-async fn drain(world: Rc<World>, trouble: Trouble) {
-    for dest in met(&world, &trouble) {
-        let Some((number, place)) = standing(&world, dest).into_iter().next() else { continue };
-        let old = world.list(number, Place { lifecycle: "Terminating", ..place.clone() });
-        // Where only the same endpoint knows a repeat, nobody could tell the new one from it before the list does.
-        let takes = trouble.kind == Kind::Replace && world.scenario.repeats_known_by != Scope::Endpoint;
-        let (new, at) = open_endpoint(&world, dest, takes.then_some(&place)).await;
-        let new = world.list(new, at);
-        tell_late(&world, vec![old, new]);
-        let (world, gone) = (world.clone(), Place { lifecycle: "Gone", ..place.clone() });
+async fn drain_endpoints(sim: Rc<World>, fault: Trouble) {
+    for dest in affected_destinations(&sim, &fault) {
+        let Some((number, endpoint)) = ready_endpoints(&sim, dest).into_iter().next() else { continue };
+        let old = sim.list(number, Place { lifecycle: "Terminating", ..endpoint.clone() });
+        // The replacement takes over the address, except where only the same endpoint recognises a repeat:
+        // before the list changes, a sender could not tell the new endpoint from the old one, and a repeat
+        // sent to it would take effect twice.
+        let reuses_address = fault.kind == Kind::Replace && sim.scenario.repeats_known_by != Scope::Endpoint;
+        let (new, new_endpoint) = open_endpoint(&sim, dest, reuses_address.then_some(&endpoint)).await;
+        let new = sim.list(new, new_endpoint);
+        announce_after_delay(&sim, vec![old, new]);
+        let (sim, removed) = (sim.clone(), Place { lifecycle: "Gone", ..endpoint.clone() });
         spawn_local(async move {
             sleep(Duration::from_secs(3)).await;
-            world.destinations[&dest].system.borrow_mut().remove(number);
-            if !takes {
-                world.net.close(gone.address);
+            sim.destinations[&dest].system.borrow_mut().remove(number);
+            if !reuses_address {
+                sim.net.close(removed.address);
             }
-            let gone = world.list(number, gone);
-            tell_late(&world, vec![gone]);
+            let removed = sim.list(number, removed);
+            announce_after_delay(&sim, vec![removed]);
         });
     }
 }
 
-async fn reload(world: Rc<World>, processes: Rc<Vec<Process>>, seed: u64) {
+async fn move_discovery(sim: Rc<World>, processes: Rc<Vec<Process>>, seed: u64) {
     for (sender, process) in processes.iter().enumerate() {
-        let home = world.agents[sender].home.get() + 1;
-        world.agents[sender].home.set(home);
-        world.agents[sender].moved.set(Some(world.now()));
-        spawn_local(agent(world.clone(), sender, home));
-        process.told.borrow_mut().config = config(&world.scenario, world.lie, sender, home, seed);
+        let home = sim.agents[sender].home.get() + 1;
+        sim.agents[sender].home.set(home);
+        sim.agents[sender].moved.set(Some(sim.now()));
+        spawn_local(agent(sim.clone(), sender, home));
+        process.told.borrow_mut().config = config(&sim.scenario, sim.lie, sender, home, seed);
         let _ = process.control.send(Control::Hangup);
-        world.agents[sender].news.notify_waiters();
-        let world = world.clone();
+        sim.agents[sender].news.notify_waiters();
+        let sim = sim.clone();
         spawn_local(async move {
-            sleep(OLD_AGENT).await;
-            world.net.close(agent_address(sender, home - 1));
+            sleep(OLD_AGENT_CLOSE_DELAY).await;
+            sim.net.close(agent_address(sender, home - 1));
         });
     }
 }
 
-/// A trouble that begins now.
-fn now(world: &World, kind: Kind, lasts: u64) -> Trouble {
+/// A fault that starts now and affects half of the destinations and all senders.
+fn fault_starting_now(sim: &World, kind: Kind, lasts: u64) -> Trouble {
     Trouble {
         kind,
-        at: Period::ms(world.now() / 1_000),
+        at: Period::ms(sim.now() / 1_000),
         lasts: Period::ms(lasts),
         part: Percent(0.5),
         senders: Percent(1.0),
@@ -238,262 +246,280 @@
     }
 }
 
-/// Has happen what a day is crossed by, once the place is reached.
-async fn cross(world: Rc<World>, processes: Rc<Vec<Process>>, crossing: FaultInjection, seed: u64) {
-    world.lives[crossing.sender].fault_point_reached().await;
-    let control = &processes[crossing.sender].control;
-    let (kind, lasts) = match crossing.fault {
-        // The process has ended already.
+/// Waits until the fault point is reached, then injects the fault there.
+async fn inject_at_fault_point(
+    sim: Rc<World>,
+    processes: Rc<Vec<Process>>,
+    injection: FaultInjection,
+    seed: u64,
+) {
+    sim.lives[injection.sender].fault_point_reached().await;
+    let control = &processes[injection.sender].control;
+    let (kind, lasts) = match injection.fault {
+        // The fault point itself has killed the process.
         InjectedFault::Kill => return,
         InjectedFault::Terminate => {
             let _ = control.send(Control::Terminate);
-            sleep(TO_KILL).await;
+            sleep(TERMINATION_GRACE).await;
             let _ = control.send(Control::Kill);
             return;
         }
         InjectedFault::Pause => {
-            let _ = control.send(Control::Pause(STANDS_STILL));
+            let _ = control.send(Control::Pause(INJECTED_PAUSE));
             return;
         }
-        InjectedFault::ClientsLeave => return world.leave.notify_waiters(),
-        InjectedFault::Resets => return world.destinations.values().for_each(|d| d.resets.notify_waiters()),
+        InjectedFault::ClientsLeave => return sim.leave.notify_waiters(),
+        InjectedFault::Resets => return sim.destinations.values().for_each(|d| d.resets.notify_waiters()),
         InjectedFault::IdleCloses => {
-            return world.destinations.values().for_each(|d| d.closes.notify_waiters())
+            return sim.destinations.values().for_each(|d| d.closes.notify_waiters())
         }
-        InjectedFault::EndsNew => return world.ends_new.set(world.now() + 1_000_000),
+        InjectedFault::EndsNew => return sim.ends_new.set(sim.now() + 1_000_000),
         InjectedFault::Hangup => (Kind::Reload, 0),
         InjectedFault::Mute => (Kind::Mute, 4_000),
         InjectedFault::Drain => (Kind::Drain, 0),
         InjectedFault::Shut => (Kind::Shut, 3_000),
         InjectedFault::Silent => (Kind::Silent, 3_000),
     };
-    let happens = now(&world, kind, lasts);
-    trouble(world, processes, happens, seed).await;
+    let fault = fault_starting_now(&sim, kind, lasts);
+    inject_fault(sim, processes, fault, seed).await;
 }
 
-async fn trouble(world: Rc<World>, processes: Rc<Vec<Process>>, trouble: Trouble, seed: u64) {
-    sleep_until(world.instant(trouble.from())).await;
-    let met = |sender: &usize| trouble.meets(*sender, processes.len());
-    let tell = |control: Control| {
-        (0..processes.len()).filter(met).for_each(|s| _ = processes[s].control.send(control));
+async fn inject_fault(sim: Rc<World>, processes: Rc<Vec<Process>>, fault: Trouble, seed: u64) {
+    sleep_until(sim.instant(fault.from())).await;
+    let is_affected = |sender: &usize| fault.meets(*sender, processes.len());
+    let send_to_affected = |control: Control| {
+        (0..processes.len()).filter(is_affected).for_each(|s| _ = processes[s].control.send(control));
     };
-    match trouble.kind {
-        kind if kind.is_of_systems() => outage(world, trouble).await,
-        Kind::Drain | Kind::Replace => drain(world, trouble).await,
+    match fault.kind {
+        kind if kind.is_of_systems() => inject_outage(sim, fault).await,
+        Kind::Drain | Kind::Replace => drain_endpoints(sim, fault).await,
         Kind::Restart => {
-            tell(Control::Terminate);
-            sleep(TO_KILL).await;
-            tell(Control::Kill);
+            send_to_affected(Control::Terminate);
+            sleep(TERMINATION_GRACE).await;
+            send_to_affected(Control::Kill);
         }
-        Kind::Kill => tell(Control::Kill),
-        Kind::Roll => roll(&processes, &trouble).await,
+        Kind::Kill => send_to_affected(Control::Kill),
+        Kind::Roll => rolling_restart(&processes, &fault).await,
         Kind::Cut => {
-            let until = world.instant(trouble.to());
-            let rooms = world.clone();
-            let between = Box::new(move |sender, to| rooms.are_apart(sender, to));
-            world.net.sever(Severed { until, between });
+            let until = sim.instant(fault.to());
+            let topology = sim.clone();
+            let is_severed = Box::new(move |sender, to| topology.are_apart(sender, to));
+            sim.net.sever(Severed { until, between: is_severed });
         }
-        Kind::Impatient => world.impatient.set(trouble.to()),
-        Kind::Pause => tell(Control::Pause(trouble.lasts.0)),
-        Kind::Reload => reload(world, processes, seed).await,
+        Kind::Impatient => sim.impatient.set(fault.to()),
+        Kind::Pause => send_to_affected(Control::Pause(fault.lasts.0)),
+        Kind::Reload => move_discovery(sim, processes, seed).await,
         Kind::Mute => {
-            (0..processes.len()).filter(met).for_each(|s| world.agents[s].mute.set(true));
-            sleep_until(world.instant(trouble.to())).await;
-            world.unmute();
+            (0..processes.len()).filter(is_affected).for_each(|s| sim.agents[s].mute.set(true));
+            sleep_until(sim.instant(fault.to())).await;
+            sim.unmute();
         }
-        Kind::Jump => world.net.jump((trouble.size * 1e3) as i64),
+        Kind::Jump => sim.net.jump((fault.size * 1e3) as i64),
         Kind::Stall => {
-            let until = world.instant(trouble.to());
-            (0..processes.len()).filter(met).for_each(|s| world.lives[s].stall_disk(until));
+            let until = sim.instant(fault.to());
+            (0..processes.len()).filter(is_affected).for_each(|s| sim.lives[s].stall_disk(until));
         }
-        Kind::Rude => rude::visit(world, trouble, seed).await,
-        // What is left is in the traffic already.
+        Kind::Rude => rude::visit(sim, fault, seed).await,
+        // All other kinds are part of the generated traffic.
         _ => {}
     }
 }
 
-/// Restarts those that it meets a tenth at a time, every second tenth without a warning.
-async fn roll(processes: &[Process], trouble: &Trouble) {
-    let met: Vec<&Process> =
-        (0..processes.len()).filter(|s| trouble.meets(*s, processes.len())).map(|s| &processes[s]).collect();
-    let mut going: Vec<&Process> = Vec::new();
-    for (number, tenth) in met.chunks(met.len().div_ceil(10).max(1)).enumerate() {
-        going.drain(..).for_each(|p| _ = p.control.send(Control::Kill));
-        let gently = number % 2 == 0;
+/// Restarts the affected senders a tenth at a time, every second tenth by SIGKILL without SIGTERM.
+async fn rolling_restart(processes: &[Process], fault: &Trouble) {
+    let affected: Vec<&Process> =
+        (0..processes.len()).filter(|s| fault.meets(*s, processes.len())).map(|s| &processes[s]).collect();
+    let mut terminating: Vec<&Process> = Vec::new();
+    for (number, tenth) in affected.chunks(affected.len().div_ceil(10).max(1)).enumerate() {
+        terminating.drain(..).for_each(|p| _ = p.control.send(Control::Kill));
+        let sends_sigterm = number % 2 == 0;
         tenth
             .iter()
-            .for_each(|p| _ = p.control.send(if gently { Control::Terminate } else { Control::Kill }));
-        if gently {
-            going.extend(tenth);
+            .for_each(|p| _ = p.control.send(if sends_sigterm { Control::Terminate } else { Control::Kill }));
+        if sends_sigterm {
+            terminating.extend(tenth);
         }
-        sleep((trouble.lasts.0 / 10).max(TO_KILL)).await;
+        sleep((fault.lasts.0 / 10).max(TERMINATION_GRACE)).await;
     }
-    going.iter().for_each(|p| _ = p.control.send(Control::Kill));
+    terminating.iter().for_each(|p| _ = p.control.send(Control::Kill));
 }
 
-/// Two outages of a destination that overlap would be one of an unknown kind: only the first is played. So it is with two
-/// of a kind that the first one's end would take back.
-fn played(scenario: &Scenario) -> Vec<Trouble> {
+/// The faults of a scenario without those that conflict with an earlier one. Overlapping outages of a
+/// destination would be one outage of an undefined kind, so only the first is injected. The same holds for
+/// process faults, and for overlapping faults of one kind, because the end of the first would undo the
+/// second.
+fn without_conflicts(scenario: &Scenario) -> Vec<Trouble> {
     let mut troubles = scenario.troubles.clone();
     troubles.sort_by_key(|t| t.from());
-    let mut until: Us = 0;
-    let mut processes: Us = 0;
-    let cold = Figures::default().cold;
-    let mut kinds: BTreeMap<Kind, Us> = BTreeMap::new();
+    let mut systems_until: Us = 0;
+    let mut processes_until: Us = 0;
+    let slow_start = Figures::default().cold;
+    let mut kinds_until: BTreeMap<Kind, Us> = BTreeMap::new();
     troubles.retain(|t| {
         if matches!(t.kind, Kind::Cut | Kind::Lower | Kind::Lossy | Kind::Impatient) {
-            let until = kinds.entry(t.kind).or_default();
-            let free = t.from() >= *until;
-            *until = if free { t.to() } else { *until };
-            return free;
+            let kind_until = kinds_until.entry(t.kind).or_default();
+            let is_free = t.from() >= *kind_until;
+            *kind_until = if is_free { t.to() } else { *kind_until };
+            return is_free;
         }
         if t.kind.is_outage() || t.kind == Kind::Slow {
-            let free = t.from() >= until;
-            until = if free { t.to() + cold } else { until };
-            return free;
+            let is_free = t.from() >= systems_until;
+            systems_until = if is_free { t.to() + slow_start } else { systems_until };
+            return is_free;
         }
         if matches!(t.kind, Kind::Restart | Kind::Kill | Kind::Pause | Kind::Roll) {
-            let free = t.from() >= processes;
-            let takes = if t.kind == Kind::Roll { 11 * TO_KILL.as_micros() as Us } else { 4_300_000 };
-            // Until it runs again, and has done what it owes.
-            processes = if free { t.to().max(t.from() + takes) + 2_000_000 } else { processes };
-            return free;
+            let is_free = t.from() >= processes_until;
+            let duration_us =
+                if t.kind == Kind::Roll { 11 * TERMINATION_GRACE.as_micros() as Us } else { 4_300_000 };
+            // Until the process runs again and has caught up with its recovered messages and notices.
+            processes_until =
+                if is_free { t.to().max(t.from() + duration_us) + 2_000_000 } else { processes_until };
+            return is_free;
         }
         true
     });
     troubles
 }
 
-/// What the messages of each class are worth.
-fn worths(scenario: &Scenario) -> Vec<Worth> {
-    let worth =
-        |c: &Mix| Worth { wanted: c.wanted_within.0.as_micros() as Us, whole: c.worth, least: LATE_WORTH };
-    scenario.mix().iter().map(worth).collect()
+/// The value of the messages of each class.
+fn class_values(scenario: &Scenario) -> Vec<Worth> {
+    let value_of_class = |c: &Mix| Worth {
+        wanted: c.wanted_within.0.as_micros() as Us,
+        whole: c.worth,
+        least: LATE_VALUE_FRACTION,
+    };
+    scenario.mix().iter().map(value_of_class).collect()
 }
 
-/// Where a day's slots and time went, and the worth that one reaches who knows how every destination stands. Apart from
-/// the day, as days that are only judged need neither.
-pub fn account_with_oracle(scenario: &Scenario, seed: u64, day: &ScenarioRun) -> (Account, f64) {
-    let worths = worths(scenario);
-    (account(&day.events, &worths, Figures::default().cold), reachable(scenario, seed, &worths))
+/// Returns the account of slots and message time, and the share of the value that the oracle reaches, which
+/// knows the state of every destination. Separate from the run, because runs that are only checked need
+/// neither.
+pub fn account_with_oracle(scenario: &Scenario, seed: u64, run: &ScenarioRun) -> (Account, f64) {
+    let class_values = class_values(scenario);
+    (
+        account(&run.events, &class_values, Figures::default().cold),
+        oracle_value(scenario, seed, &class_values),
+    )
 }
 
-/// The part of the worth asked for that `soonest` delivers.
-fn reachable(scenario: &Scenario, seed: u64, worths: &[Worth]) -> f64 {
-    let soonest = soonest(scenario, seed);
-    let (mut asked, mut got) = (0.0, 0.0);
+/// The share of the submitted value that the oracle schedule of `soonest` delivers.
+fn oracle_value(scenario: &Scenario, seed: u64, class_values: &[Worth]) -> f64 {
+    let oracle = soonest(scenario, seed);
+    let (mut submitted, mut delivered) = (0.0, 0.0);
     for arrival in arrivals(scenario, seed) {
-        let worth = worths[arrival.class];
-        asked += worth.whole;
-        got += soonest[arrival.message as usize].map_or(0.0, |took| worth.after(took));
+        let value = class_values[arrival.class];
+        submitted += value.whole;
+        delivered += oracle[arrival.message as usize].map_or(0.0, |latency| value.after(latency));
     }
-    got / f64::max(asked, 1e-9)
+    delivered / f64::max(submitted, 1e-9)
 }
 
-async fn day(scenario: Scenario, seed: u64, manner: Manner) -> ScenarioRun {
-    let lie = manner.lie;
-    let world = World::new(&scenario, seed, manner);
-    let mut first = Vec::new();
+async fn simulate(scenario: Scenario, seed: u64, manner: Manner) -> ScenarioRun {
+    let mutation = manner.lie;
+    let sim = World::new(&scenario, seed, manner);
+    let mut initial_list = Vec::new();
     for dest in 1..=u64::from(scenario.destinations) {
         for _ in 0..scenario.endpoints {
-            let (number, place) = open_endpoint(&world, dest, None).await;
-            first.push(world.list(number, place));
+            let (number, endpoint) = open_endpoint(&sim, dest, None).await;
+            initial_list.push(sim.list(number, endpoint));
         }
     }
-    world.tell(&first);
-    world.agents.iter().for_each(|agent| agent.told.set(first.len()));
-    if let Some(crossing) = manner.crossing {
-        world.lives[crossing.sender].set_fault_point(crossing.fault_point());
+    sim.tell(&initial_list);
+    sim.agents.iter().for_each(|agent| agent.told.set(initial_list.len()));
+    if let Some(injection) = manner.crossing {
+        sim.lives[injection.sender].set_fault_point(injection.fault_point());
     }
     let mut processes = Vec::new();
     for sender in 0..scenario.senders as usize {
-        spawn_local(agent(world.clone(), sender, 0));
-        let told = Rc::new(RefCell::new(EnvironmentVariables {
+        spawn_local(agent(sim.clone(), sender, 0));
+        let environment = Rc::new(RefCell::new(EnvironmentVariables {
             listen: Some(sender_address(sender).to_string()),
             discovery: None,
             state: Some("state".into()),
-            config: config(&scenario, lie, sender, 0, seed),
+            config: config(&scenario, mutation, sender, 0, seed),
             config_path: "config.json".into(),
         }));
-        let (control, told_process) = mpsc::unbounded_channel();
+        let (control, control_receiver) = mpsc::unbounded_channel();
         let up = Rc::new(Cell::new(false));
-        spawn_local(machine(world.clone(), sender, told.clone(), up.clone(), told_process));
-        processes.push(Process { control, told, up });
+        spawn_local(machine(sim.clone(), sender, environment.clone(), up.clone(), control_receiver));
+        processes.push(Process { control, told: environment, up });
     }
     let processes = Rc::new(processes);
-    let ready = Instant::now() + Duration::from_secs(5);
-    while !processes.iter().all(|p| p.up.get()) && Instant::now() < ready {
+    let ready_deadline = Instant::now() + Duration::from_secs(5);
+    while !processes.iter().all(|p| p.up.get()) && Instant::now() < ready_deadline {
         sleep(Duration::from_millis(1)).await;
     }
-    if let Some(crossing) = manner.crossing {
-        spawn_local(cross(world.clone(), processes.clone(), crossing, seed));
+    if let Some(injection) = manner.crossing {
+        spawn_local(inject_at_fault_point(sim.clone(), processes.clone(), injection, seed));
     }
-    for t in played(&scenario) {
-        spawn_local(trouble(world.clone(), processes.clone(), t, seed));
+    for fault in without_conflicts(&scenario) {
+        spawn_local(inject_fault(sim.clone(), processes.clone(), fault, seed));
     }
-    let kept = RefCell::new((0..scenario.senders).map(|_| Vec::new()).collect());
+    let idle_connections = RefCell::new((0..scenario.senders).map(|_| Vec::new()).collect());
     let classes = scenario.mix();
-    let clients = Rc::new(Clients { world: world.clone(), host: world.net.host(None), kept, classes });
+    let clients =
+        Rc::new(Clients { world: sim.clone(), host: sim.net.host(None), kept: idle_connections, classes });
     for arrival in arrivals(&scenario, seed) {
-        sleep_until(world.instant(arrival.at)).await;
+        sleep_until(sim.instant(arrival.at)).await;
         spawn_local(clients.clone().hand_in(arrival));
     }
-    sleep_until(world.instant(scenario.length.0.as_micros() as Us)).await;
-    sleep(scenario.longest() + AFTERWARDS).await;
+    sleep_until(sim.instant(scenario.length.0.as_micros() as Us)).await;
+    sleep(scenario.longest() + SETTLE_TIME).await;
     let addresses: BTreeMap<_, _> =
-        world.list.borrow().iter().map(|(number, p)| (p.address, (*number, p.dest))).collect();
-    for (at, sender, to) in world.net.refused() {
+        sim.list.borrow().iter().map(|(number, p)| (p.address, (*number, p.dest))).collect();
+    for (at, sender, to) in sim.net.refused() {
         if let Some(&(number, dest)) = addresses.get(&to) {
-            let route = world.destinations[&dest].system.borrow().route_of(number);
-            world.note_at(world.us(at), What::Unreached { sender, dest, route });
+            let route = sim.destinations[&dest].system.borrow().route_of(number);
+            sim.note_at(sim.us(at), What::Unreached { sender, dest, route });
         }
     }
-    let mut events = world.events.borrow().clone();
+    let mut events = sim.events.borrow().clone();
     events.sort_by_key(|e| e.at);
-    let known = match scenario.repeats_known_by {
+    let dedup_scope = match scenario.repeats_known_by {
         Scope::Destination => Known::Everywhere,
         Scope::Zone => Known::InTheRoom,
         Scope::Endpoint => Known::AtTheEndpoint,
     };
     let window = scenario.repeat_window.0.as_micros() as Us;
-    let figures = Figures { window, known, ..Figures::default() };
-    let mut crashes = world.crashes.borrow().clone();
+    let figures = Figures { window, known: dedup_scope, ..Figures::default() };
+    let mut crashes = sim.crashes.borrow().clone();
     crashes.extend(PANICS.with(|p| p.borrow_mut().take()).unwrap_or_default());
     ScenarioRun {
         violations: judge(&events, figures),
-        score: reckon(&events, &worths(&scenario)),
+        score: reckon(&events, &class_values(&scenario)),
         crashes,
-        length: world.net.start().elapsed(),
-        counters: world.lives.iter().map(|life| life.counters()).collect(),
-        peer_datagrams: world.net.noted(),
+        length: sim.net.start().elapsed(),
+        counters: sim.lives.iter().map(|life| life.counters()).collect(),
+        peer_datagrams: sim.net.noted(),
         events,
     }
 }
 
-/// Plays a day in virtual time, on this thread. The same scenario and seed give the same day.
+/// Runs a scenario in simulated time, on this thread. The same scenario and seed give the same run.
 ///
 /// # Errors
-/// If the scenario can't be played.
+/// If the scenario is invalid.
 pub fn run_scenario(scenario: &Scenario, seed: u64) -> Result<ScenarioRun, String> {
     run_scenario_with(scenario, seed, Manner::default())
 }
 
-/// As [`run_scenario`], in a manner of its own. Over sockets a day takes as long as it is, and no two are the same.
+/// Like [`run_scenario`], with the options in `manner`. A run over real sockets takes place in real time and
+/// is not deterministic.
 ///
 /// # Errors
-/// If the scenario can't be played.
+/// If the scenario is invalid or the runtime cannot be created.
 pub fn run_scenario_with(scenario: &Scenario, seed: u64, manner: Manner) -> Result<ScenarioRun, String> {
     scenario.sound()?;
-    watch_panics();
+    capture_panics();
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = match manner.over_sockets {
         true => runtime.enable_all().build(),
         false => runtime.enable_time().start_paused(true).build(),
     };
-    let runtime = runtime.map_err(|e| format!("cannot make a runtime: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("cannot create the runtime: {e}"))?;
     let tasks = LocalSet::new();
-    let day = tasks.block_on(&runtime, day(scenario.clone(), seed, manner));
-    // Senders may hold what others own; their ends come before the runtime's.
+    let run = tasks.block_on(&runtime, simulate(scenario.clone(), seed, manner));
+    // Tasks may hold handles into one another and into the runtime, so they are dropped before it.
     drop(tasks);
-    Ok(day)
+    Ok(run)
 }
--- a/crates/proof/nickelshed-lab/src/report/mod.rs
+++ b/crates/proof/nickelshed-lab/src/report/mod.rs
@@ -1,5 +1,5 @@
-//! Renders one HTML page about a run: the verdict of the checker, the score, plots and the history of each message. The page
-//! loads nothing over the network.
+//! Renders one HTML page about a run: the verdict of the checker, the score, plots and the history of each
+//! message. The page loads nothing over the network.
 mod plots;
 pub mod series;
 
@@ -47,7 +47,8 @@
     Ok(fill_template(PAGE_TEMPLATE, &replacements))
 }
 
-/// Replaces the placeholders in one pass over the template, so that inserted text is never read as a placeholder.
+/// Replaces the placeholders in one pass over the template, so that inserted text is never read as a
+/// placeholder.
 fn fill_template(template: &str, replacements: &[(&str, String)]) -> String {
     let mut out = String::new();
     let mut rest = template;
@@ -107,7 +108,8 @@
     format!("<table>{}</table>", rows.into_iter().map(row).collect::<String>())
 }
 
-/// Encodes the message histories as the script of the page reads them: undelivered messages first, then the slowest.
+/// Encodes the message histories as the script of the page reads them: undelivered messages first, then the
+/// slowest.
 fn histories_json(scenario: &Scenario, mut histories: Vec<MessageHistory>) -> String {
     histories.sort_by_key(|h| (h.latency.is_some(), std::cmp::Reverse(h.latency), h.message));
     histories.truncate(MAX_HISTORIES);
--- a/crates/proof/nickelshed-lab/src/report/plots.rs
+++ b/crates/proof/nickelshed-lab/src/report/plots.rs
@@ -108,8 +108,8 @@
     line_chart("Calls ended per second, by outcome", bucket, &CallOutcome::ALL.map(line))
 }
 
-/// Plots outages, stalls, restarts and endpoints that are not ready. Returns the plot with the number of rows left out, or
-/// None if there is nothing to plot.
+/// Plots outages, stalls, restarts and endpoints that are not ready. Returns the plot with the number of rows
+/// left out, or None if there is nothing to plot.
 pub fn intervals(series: &TimeSeries) -> Result<Option<(String, usize)>, String> {
     let mut labels: Vec<&str> = Vec::new();
     for interval in &series.intervals {
--- a/crates/proof/nickelshed-lab/src/report/series.rs
+++ b/crates/proof/nickelshed-lab/src/report/series.rs
@@ -1,4 +1,5 @@
-//! Turns the events of a run into time series for the plots and into the history of each message. Does no I/O.
+//! Turns the events of a run into time series for the plots and into the history of each message. Does no
+//! I/O.
 use nickelshed_judge::{Event, How, Us, What};
 use std::collections::{BTreeMap, HashMap};
 
@@ -35,7 +36,8 @@
     }
 }
 
-/// A labelled period of the run: an outage, a stalled or restarting sender, or an endpoint that accepts no new work.
+/// A labelled period of the run: an outage, a stalled or restarting sender, or an endpoint that accepts no
+/// new work.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Interval {
     pub label: String,
@@ -76,7 +78,8 @@
     pub outcomes: [Vec<u32>; 4],
     /// For each sender, the highest number of calls in flight in each bucket.
     pub calls_in_flight: Vec<Vec<u32>>,
-    /// For each sender, the highest number of queued messages in each bucket: accepted, not in flight and not finished.
+    /// For each sender, the highest number of queued messages in each bucket: accepted, not in flight and not
+    /// finished.
     pub queued: Vec<Vec<u32>>,
     pub intervals: Vec<Interval>,
     pub histories: Vec<MessageHistory>,
@@ -277,7 +280,8 @@
     }
 
     fn end_call(&mut self, call: u64, how: &How, at: Us, bucket: usize) {
-        // A call that its sender closed before the endpoint received the last byte ends before its `Call` event.
+        // A call that its sender closed before the endpoint received the last byte ends before its `Call`
+        // event.
         let Some(call) = self.calls.remove(&call) else { return };
         self.calls_in_flight[call.sender] = self.calls_in_flight[call.sender].saturating_sub(1);
         let outcome = CallOutcome::from_result(how);
