--- a/crates/proof/nickelshed-lab/src/lib.rs
+++ b/crates/proof/nickelshed-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The lab: the whole sender in virtual time, over a simulated network and disk, against the model of the
-//! systems that it serves, under the judge.
+//! Runs whole senders in simulated time, over a simulated network and disk, against a model of the systems
+//! that they call, and has the checker verify each run.
 mod compare;
 mod crossings;
 mod everywhere;
--- a/crates/proof/nickelshed-lab/src/play.rs
+++ b/crates/proof/nickelshed-lab/src/play.rs
@@ -29,7 +29,8 @@
 const TERMINATION_GRACE: Duration = Duration::from_millis(3_700);
 /// After a configuration that moves discovery, the agent at the old address closes with this delay.
 const OLD_AGENT_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
-/// Length of the pause that is injected at a fault point; longer than a usual retry-after time.
+/// Length of the pause that is injected at a fault point; long enough for a retry-after time to expire
+/// meanwhile.
 const INJECTED_PAUSE: Duration = Duration::from_millis(700);
 /// How long a run goes on after the last message has expired, for pending notices and for work delayed by a
 /// restart.
