--- a/crates/proof/nickelshed-lab/src/report/mod.rs
+++ b/crates/proof/nickelshed-lab/src/report/mod.rs
@@ -21,7 +21,7 @@
 /// Renders the page of a run as HTML.
 ///
 /// # Errors
-/// If a plot can't be drawn.
+/// If a plot cannot be drawn.
 pub fn page(name: &str, scenario: &Scenario, seed: u64, run: &ScenarioRun) -> Result<String, String> {
     let end = run.events.last().map_or(0, |e| e.at);
     let series = time_series(&run.events, (end / TARGET_BUCKETS).max(MIN_BUCKET_US));
