--- a/crates/proof/nickelshed-lab/src/everywhere.rs
+++ b/crates/proof/nickelshed-lab/src/everywhere.rs
@@ -24,14 +24,14 @@
     results.into_iter().map(|(_, result)| result).collect()
 }
 
-/// Runs the scenario without a variation; `what` names the variation in the error.
+/// Runs the scenario unchanged; `variation` names what its other runs will have, for the error message.
 ///
 /// # Errors
 /// If the scenario cannot be run, or the run fails.
-pub(crate) fn baseline_run(scenario: &Scenario, seed: u64, what: &str) -> Result<ScenarioRun, String> {
+pub(crate) fn baseline_run(scenario: &Scenario, seed: u64, variation: &str) -> Result<ScenarioRun, String> {
     let baseline = run_scenario_with(scenario, seed, Manner::default())?;
     match failures(&baseline).into_values().next() {
-        Some(description) => Err(format!("the run fails even without a {what}: {description}")),
+        Some(description) => Err(format!("the run fails even without a {variation}: {description}")),
         None => Ok(baseline),
     }
 }
--- a/crates/proof/nickelshed-lab/src/play.rs
+++ b/crates/proof/nickelshed-lab/src/play.rs
@@ -107,8 +107,8 @@
         json!({"Name": c.name, "PromiseNs": ns(c.wanted_within), "DeadlineNs": ns(c.abandoned_after),
             "Effect": effect, "DedupScope": dedup_scope, "WindowNs": window_ns, "Worth": c.worth, "LateWorth": LATE_VALUE_FRACTION})
     };
-    let rooms: Vec<String> = (0..scenario.rooms).map(|r| format!("room-{r}")).collect();
-    json!({"NInstances": scenario.senders, "TickNs": 5_000_000, "Kinds": ["plain"], "Localities": rooms,
+    let sites: Vec<String> = (0..scenario.rooms).map(|r| format!("room-{r}")).collect();
+    json!({"NInstances": scenario.senders, "TickNs": 5_000_000, "Kinds": ["plain"], "Localities": sites,
         "Zone": scenario.room(sender), "Weights": if scenario.list_tells_rates { "rough" } else { "none" },
         "Feedback": {"Source": "piggyback", "Fields": ["x0", "x1"]},
         "FamilyInfo": {"CallsOut": scenario.slots, "Decay": "halves", "KindBatch": [scenario.batch], "SeparateRoutes": [scenario.routes_apart]},
@@ -350,36 +350,39 @@
 /// process faults, and for overlapping faults of one kind, because the end of the first would undo the
 /// second.
 fn without_conflicts(scenario: &Scenario) -> Vec<Trouble> {
-    let mut troubles = scenario.troubles.clone();
-    troubles.sort_by_key(|t| t.from());
+    let mut faults = scenario.troubles.clone();
+    faults.sort_by_key(|fault| fault.from());
     let mut systems_until: Us = 0;
     let mut processes_until: Us = 0;
     let slow_start = Figures::default().cold;
     let mut kinds_until: BTreeMap<Kind, Us> = BTreeMap::new();
-    troubles.retain(|t| {
-        if matches!(t.kind, Kind::Cut | Kind::Lower | Kind::Lossy | Kind::Impatient) {
-            let kind_until = kinds_until.entry(t.kind).or_default();
-            let is_free = t.from() >= *kind_until;
-            *kind_until = if is_free { t.to() } else { *kind_until };
+    faults.retain(|fault| {
+        if matches!(fault.kind, Kind::Cut | Kind::Lower | Kind::Lossy | Kind::Impatient) {
+            let kind_until = kinds_until.entry(fault.kind).or_default();
+            let is_free = fault.from() >= *kind_until;
+            *kind_until = if is_free { fault.to() } else { *kind_until };
             return is_free;
         }
-        if t.kind.is_outage() || t.kind == Kind::Slow {
-            let is_free = t.from() >= systems_until;
-            systems_until = if is_free { t.to() + slow_start } else { systems_until };
+        if fault.kind.is_outage() || fault.kind == Kind::Slow {
+            let is_free = fault.from() >= systems_until;
+            systems_until = if is_free { fault.to() + slow_start } else { systems_until };
             return is_free;
         }
-        if matches!(t.kind, Kind::Restart | Kind::Kill | Kind::Pause | Kind::Roll) {
-            let is_free = t.from() >= processes_until;
+        if matches!(fault.kind, Kind::Restart | Kind::Kill | Kind::Pause | Kind::Roll) {
+            let is_free = fault.from() >= processes_until;
             let duration_us =
-                if t.kind == Kind::Roll { 11 * TERMINATION_GRACE.as_micros() as Us } else { 4_300_000 };
+                if fault.kind == Kind::Roll { 11 * TERMINATION_GRACE.as_micros() as Us } else { 4_300_000 };
             // Until the process runs again and has caught up with its recovered messages and notices.
-            processes_until =
-                if is_free { t.to().max(t.from() + duration_us) + 2_000_000 } else { processes_until };
+            processes_until = if is_free {
+                fault.to().max(fault.from() + duration_us) + 2_000_000
+            } else {
+                processes_until
+            };
             return is_free;
         }
         true
     });
-    troubles
+    faults
 }
 
 /// The value of the messages of each class.
@@ -490,7 +493,7 @@
         score: reckon(&events, &class_values(&scenario)),
         crashes,
         length: sim.net.start().elapsed(),
-        counters: sim.lives.iter().map(|life| life.counters()).collect(),
+        counters: sim.lives.iter().map(|process| process.counters()).collect(),
         peer_datagrams: sim.net.noted(),
         events,
     }
--- a/crates/proof/nickelshed-lab/src/report/series.rs
+++ b/crates/proof/nickelshed-lab/src/report/series.rs
@@ -140,14 +140,14 @@
         queued: vec![0; senders],
         open_intervals: BTreeMap::new(),
     };
-    let mut filled = 0;
+    let mut last_filled = 0;
     for event in events {
         let current = ((event.at / bucket) as usize).min(buckets - 1);
         // Counts carry over into the buckets without events since the last one.
-        for empty in filled + 1..=current {
+        for empty in last_filled + 1..=current {
             builder.record_peaks(empty);
         }
-        filled = filled.max(current);
+        last_filled = last_filled.max(current);
         builder.apply(event, current);
         builder.record_peaks(current);
     }
