--- a/crates/proof/nickelshed-lab/src/crossings.rs
+++ b/crates/proof/nickelshed-lab/src/fault_points.rs
@@ -2,8 +2,8 @@
 //! interaction of a sender with its host. The process is visible and reachable from outside only through
 //! these interactions, so a fault that arrives between any two statements of the sender takes effect at one
 //! of these points.
-use crate::everywhere::{baseline_run, failures_at_each};
-use crate::life::FaultPoint;
+use crate::parallel_runs::{baseline_run, failures_at_each};
+use crate::process_run::FaultPoint;
 use crate::{Manner, ScenarioRun};
 use nickelshed_model::Scenario;
 
--- a/crates/proof/nickelshed-lab/src/kills.rs
+++ b/crates/proof/nickelshed-lab/src/kill_points.rs
@@ -1,6 +1,6 @@
 //! Repeats a scenario run with one sender killed at each kill point: in each disk operation and at each byte
 //! sent.
-use crate::everywhere::{baseline_run, failures_at_each};
+use crate::parallel_runs::{baseline_run, failures_at_each};
 use crate::{Kill, KillPoint, Manner, ScenarioRun};
 use nickelshed_model::Scenario;
 
--- a/crates/proof/nickelshed-lab/src/manner.rs
+++ b/crates/proof/nickelshed-lab/src/manner.rs
@@ -1,7 +1,7 @@
 //! How a day is played, beside its scenario and its seed.
-use crate::crossings::FaultInjection;
+use crate::fault_points::FaultInjection;
 use crate::lie::Lie;
-use crate::life::KillPoint;
+use crate::process_run::KillPoint;
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Manner {
--- a/crates/proof/nickelshed-lab/src/net.rs
+++ b/crates/proof/nickelshed-lab/src/net.rs
@@ -1,6 +1,6 @@
 //! A network in memory, in Tokio's paused time: connections with latency, windows, ends and resets. Everything happens in
 //! one thread and in one order, so the same day is the same bytes.
-use crate::life::ProcessRun;
+use crate::process_run::ProcessRun;
 use nickelshed_host::{Datagrams, Host, Listener, Stream};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/proof/nickelshed-lab/src/process.rs
+++ b/crates/proof/nickelshed-lab/src/process.rs
@@ -1,7 +1,7 @@
 //! One sender's machine over a day: its process is started, told, ended in the middle of something, and started again.
-use crate::folder::StateFolder;
 use crate::lie::Lie;
 use crate::stands::sender_address;
+use crate::state_folder::StateFolder;
 use crate::world::World;
 use nickelshed::{serve, ConfigSource, EnvironmentVariables, Operator, Signals};
 use nickelshed_host::Host;
--- a/crates/proof/nickelshed-lab/src/play.rs
+++ b/crates/proof/nickelshed-lab/src/scenario_run.rs
@@ -1,11 +1,11 @@
 //! Runs one scenario: starts the senders as simulated processes with fake servers and clients around them,
 //! injects the faults at their times, and has the recorded events checked and scored at the end.
-use crate::crossings::{FaultInjection, InjectedFault};
+use crate::fault_points::{FaultInjection, InjectedFault};
 use crate::lie::Lie;
-use crate::life::ProcessCounters;
 use crate::manner::Manner;
 use crate::net::Severed;
 use crate::process::{machine, Control, Process};
+use crate::process_run::ProcessCounters;
 use crate::rude;
 use crate::stands::{agent, agent_address, listen, notes_address, open_endpoint, sender_address, Clients};
 use crate::world::{Place, World};
--- a/crates/proof/nickelshed-lab/src/sockets.rs
+++ b/crates/proof/nickelshed-lab/src/sockets.rs
@@ -1,7 +1,7 @@
 //! Real loopback sockets under the names of the simulated machines: each address is a port that the kernel gave. The same
 //! stand-ins and the same sender run over them in real time.
-use crate::life::ProcessRun;
 use crate::net::{is_far, Net};
+use crate::process_run::ProcessRun;
 use nickelshed_host::{Host, Machine, Stream};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/proof/nickelshed-lab/src/folder.rs
+++ b/crates/proof/nickelshed-lab/src/state_folder.rs
@@ -1,6 +1,6 @@
 //! The state folder of a simulated sender: the testkit's disk, with every operation reported to the sender's
 //! `ProcessRun`.
-use crate::life::ProcessRun;
+use crate::process_run::ProcessRun;
 use nickelshed_journal::{FileHandle, Storage};
 use nickelshed_testkit::{Disk, DiskFile};
 use std::io;
--- a/crates/proof/nickelshed-lab/src/wire.rs
+++ b/crates/proof/nickelshed-lab/src/wire.rs
@@ -1,6 +1,6 @@
 //! The machines of a day as its senders and stand-ins see them: over the simulated network, or over real sockets.
-use crate::life::ProcessRun;
 use crate::net::{Net, Severed, SimDatagrams, SimHost, SimListener, SimStream};
+use crate::process_run::ProcessRun;
 use crate::sockets::{Ports, SocketHost, SocketListener, SocketStream};
 use nickelshed_host::{Host, Listener, Machine, Stream};
 use std::io::{self, IoSlice};
--- a/crates/proof/nickelshed-lab/src/world.rs
+++ b/crates/proof/nickelshed-lab/src/world.rs
@@ -1,8 +1,8 @@
 //! A day's shared state: its time, its history, its customer systems, and the list of endpoints as discovery has it.
 use crate::lie::Lie;
-use crate::life::ProcessRun;
 use crate::manner::Manner;
 use crate::net::Net;
+use crate::process_run::ProcessRun;
 use crate::stands::sender_of_notes;
 use crate::wire::Machines;
 use nickelshed_judge::{Event, How, Us, What};
