--- a/crates/proof/nickelshed-lab/src/lib.rs
+++ b/crates/proof/nickelshed-lab/src/lib.rs
@@ -1,33 +1,33 @@
-//! The lab: the whole sender in virtual time, over a simulated network and disk, against the model of the systems that it
-//! serves, under the judge.
+//! Runs whole senders in simulated time, over a simulated network and disk, against a model of the systems
+//! that they call, and has the checker verify each run.
 mod compare;
-mod crossings;
-mod everywhere;
 mod explore;
 mod fake_servers;
+mod fault_points;
 pub mod files;
-mod folder;
 mod http;
-mod kills;
-mod life;
+mod kill_points;
 mod malformed_clients;
 pub mod memory;
 mod mutation;
 mod network;
-mod play;
+mod parallel_runs;
 mod process;
+mod process_run;
 pub mod report;
 mod run_options;
+mod scenario_run;
 mod sim_network;
 mod simulation;
 mod sockets;
+mod state_folder;
 
 pub use compare::{difference, Difference};
-pub use crossings::{crossings, Crossed, Crossing, Happening};
-pub use everywhere::each;
-pub use explore::{cut, explore, faults, Draw, Explored, Fault, Find};
-pub use kills::{kills, Every, Killed};
-pub use life::{Cut, Done};
+pub use explore::{explore, failures, minimize, Exploration, FailingCase, Failure, ScenarioGenerator};
+pub use fault_points::{run_fault_points, FaultInjection, FaultPointAction, FaultPointReport};
+pub use kill_points::{run_kill_points, KillReport, Stride};
 pub use mutation::Mutation;
-pub use play::{accounted, play, play_so, Day};
+pub use parallel_runs::parallel_map;
+pub use process_run::{KillPoint, ProcessCounters};
 pub use run_options::{Kill, RunOptions};
+pub use scenario_run::{account_with_oracle, run_scenario, run_scenario_with, ScenarioRun};
--- a/crates/proof/nickelshed-lab/src/network.rs
+++ b/crates/proof/nickelshed-lab/src/network.rs
@@ -1,6 +1,7 @@
 //! The network that senders, fake servers and clients use: the simulated one, or real loopback sockets behind
 //! the same types.
-use crate::life::Life;
+//! The machines of a day as its senders and stand-ins see them: over the simulated network, or over real sockets.
+use crate::process_run::ProcessRun;
 use crate::sim_network::{Partition, SimDatagrams, SimHost, SimListener, SimNetwork, SimStream};
 use crate::sockets::{ListenerRegistry, SocketHost, SocketListener, SocketStream};
 use nickelshed_host::{Host, Listener, Stream, SystemHost};
@@ -26,7 +27,7 @@
     }
 
     /// Returns the network interface of one machine. With a process state, the machine is that sender's.
-    pub fn host(&self, process_state: Option<Rc<Life>>) -> LabHost {
+    pub fn host(&self, process_state: Option<Rc<ProcessRun>>) -> LabHost {
         match &self.real_listeners {
             None => LabHost::Simulated(self.simulated.host(process_state)),
             Some(listeners) => LabHost::Real(SocketHost {
--- a/crates/proof/nickelshed-lab/src/process.rs
+++ b/crates/proof/nickelshed-lab/src/process.rs
@@ -1,9 +1,9 @@
 //! Runs one sender's machine: starts its process, delivers signals, stops the process at injected kill
 //! points, and restarts it.
 use crate::fake_servers::sender_address;
-use crate::folder::Folder;
 use crate::mutation::Mutation;
 use crate::simulation::Simulation;
+use crate::state_folder::StateFolder;
 use nickelshed::{serve, ConfigSource, EnvironmentVariables, Operator, Signals};
 use nickelshed_host::Host;
 use nickelshed_journal::Storage;
@@ -53,7 +53,7 @@
     let process_state = sim.process_states[sender].clone();
     loop {
         disk.restart_process();
-        process_state.begin();
+        process_state.start();
         match sim.mutation {
             Some(Mutation::ForgetsJournal) => disk = Disk::new(),
             // The file may not exist yet.
@@ -77,7 +77,7 @@
             if sim.mutation == Some(Mutation::LeavesCallsOpen) { host.leaking_connections() } else { host };
         let (config_source, folder) = (
             ConfigSource::InMemory(Operator::default(), environment.clone()),
-            Folder::new(disk.clone(), process_state.clone()),
+            StateFolder::new(disk.clone(), process_state.clone()),
         );
         let mut process: Pin<Box<dyn Future<Output = Result<(), String>>>> = Box::pin(async move {
             // The task set is dropped with the process, which ends all tasks of the process.
@@ -86,11 +86,11 @@
         });
         let readiness_check = spawn_local(wait_until_ready(sim.clone(), sender, is_ready.clone()));
         let result = loop {
-            if process_state.is_dead() {
+            if process_state.is_killed() {
                 sim.record(EventKind::Going { sender });
                 break None;
             }
-            if let Some(until) = process_state.still() {
+            if let Some(until) = process_state.blocked_until() {
                 // A process that is blocked in a disk operation cannot even be killed.
                 let time = until.saturating_duration_since(Instant::now()).as_micros() as Us;
                 sim.record(EventKind::Stopped { sender, duration: time });
@@ -98,7 +98,7 @@
             }
             tokio::select! {
                 biased;
-                () = process_state.befallen() => {}
+                () = process_state.killed_or_blocked() => {}
                 signal = control.recv() => match signal {
                     None => return,
                     Some(ProcessControl::Terminate) => {
@@ -121,8 +121,8 @@
                 },
                 // The result of a process that reaches an injected kill point does not count: the process was
                 // killed before it could return.
-                result = &mut process, if !process_state.is_dead() => {
-                    if !process_state.is_dead() {
+                result = &mut process, if !process_state.is_killed() => {
+                    if !process_state.is_killed() {
                         break Some(result);
                     }
                 }
--- a/crates/proof/nickelshed-lab/src/run_options.rs
+++ b/crates/proof/nickelshed-lab/src/run_options.rs
@@ -1,7 +1,7 @@
 //! Options of a run, in addition to its scenario and its seed.
-use crate::crossings::Crossing;
-use crate::life::Cut;
+use crate::fault_points::FaultInjection;
 use crate::mutation::Mutation;
+use crate::process_run::KillPoint;
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunOptions {
@@ -10,7 +10,7 @@
     /// The point at which one sender's process is killed, if any. The process is restarted afterwards.
     pub kill: Option<Kill>,
     /// The fault that is injected at one step of one sender, if any.
-    pub fault_point: Option<Crossing>,
+    pub fault_point: Option<FaultInjection>,
     /// Whether the run uses real loopback sockets and real time instead of the simulated network and clock.
     pub uses_real_sockets: bool,
 }
@@ -18,5 +18,5 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Kill {
     pub sender: usize,
-    pub point: Cut,
+    pub point: KillPoint,
 }
--- a/crates/proof/nickelshed-lab/src/sim_network.rs
+++ b/crates/proof/nickelshed-lab/src/sim_network.rs
@@ -1,7 +1,7 @@
 //! Simulated network in Tokio's paused time: byte streams with latency, a send window, half-close and resets,
 //! and datagrams. All events happen on one thread in a fixed order, so the same scenario and seed produce the
 //! same bytes.
-use crate::life::Life;
+use crate::process_run::ProcessRun;
 use nickelshed_host::{DatagramSocket, Host, Listener, Stream};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -115,7 +115,7 @@
     }
 
     /// Returns the network interface of one machine. With a process state, the machine is that sender's.
-    pub fn host(&self, process_state: Option<Rc<Life>>) -> SimHost {
+    pub fn host(&self, process_state: Option<Rc<ProcessRun>>) -> SimHost {
         SimHost { network: self.clone(), process_state, leaks_connections: false }
     }
 
@@ -152,7 +152,7 @@
 #[derive(Clone)]
 pub struct SimHost {
     network: SimNetwork,
-    process_state: Option<Rc<Life>>,
+    process_state: Option<Rc<ProcessRun>>,
     /// Whether connections to endpoints stay open at the endpoint after they are dropped here.
     leaks_connections: bool,
 }
@@ -164,11 +164,11 @@
 
 /// Runs `act` as one numbered step of a sender's process. Returns None without running it if the process has
 /// ended or is killed just before this step. Without a process state, `act` runs uncounted.
-fn as_step<T>(process_state: Option<&Rc<Life>>, act: impl FnOnce() -> T) -> Option<T> {
+fn as_step<T>(process_state: Option<&Rc<ProcessRun>>, act: impl FnOnce() -> T) -> Option<T> {
     let Some(process_state) = process_state else { return Some(act()) };
-    let step = process_state.step()?;
+    let step = process_state.begin_step()?;
     let result = act();
-    process_state.stepped(step);
+    process_state.end_step(step);
     Some(result)
 }
 
@@ -216,9 +216,9 @@
     async fn connect(&self, to: SocketAddr) -> io::Result<SimStream> {
         let Some(process) = &self.process_state else { return self.open_connection(to).await };
         // The process has ended, so the call never completes.
-        let Some(step) = process.step() else { return std::future::pending().await };
+        let Some(step) = process.begin_step() else { return std::future::pending().await };
         let connected = self.open_connection(to).await;
-        process.stepped(step);
+        process.end_step(step);
         connected
     }
 
@@ -253,7 +253,7 @@
     }
 
     fn monotonic(&self) -> Instant {
-        self.process_state.as_ref().map_or_else(Instant::now, |process| process.leaves())
+        self.process_state.as_ref().map_or_else(Instant::now, |process| process.departure_time())
     }
 
     fn wall_ms(&self) -> i64 {
@@ -274,7 +274,7 @@
 
 pub struct SimDatagrams {
     network: SimNetwork,
-    process_state: Option<Rc<Life>>,
+    process_state: Option<Rc<ProcessRun>>,
     address: SocketAddr,
     queue: Rc<DatagramQueue>,
 }
@@ -284,7 +284,7 @@
         if let Some(process) = &self.process_state {
             // A process that has ended sends nothing, and a datagram in the middle of which it is killed is
             // not sent.
-            if process.send(bytes.len()) < bytes.len()
+            if process.on_send(bytes.len()) < bytes.len()
                 || self.network.partitioned_until(process.sender, to).is_some()
             {
                 return;
@@ -293,7 +293,8 @@
         let Some(queue) = self.network.0.datagram_queues.borrow().get(&to).cloned() else { return };
         let mut pending = queue.pending.borrow_mut();
         if pending.len() < DATAGRAM_QUEUE_MAX {
-            let sent_at = self.process_state.as_ref().map_or_else(Instant::now, |process| process.leaves());
+            let sent_at =
+                self.process_state.as_ref().map_or_else(Instant::now, |process| process.departure_time());
             pending.push_back((sent_at + self.network.0.latency, self.address, bytes.to_vec()));
             self.network.0.datagrams_sent.set(self.network.0.datagrams_sent.get() + 1);
             queue.arrival.notify_one();
@@ -328,7 +329,7 @@
 
 pub struct SimListener {
     network: SimNetwork,
-    process_state: Option<Rc<Life>>,
+    process_state: Option<Rc<ProcessRun>>,
     address: SocketAddr,
     queue: Rc<AcceptQueue>,
 }
@@ -414,7 +415,7 @@
     /// When the peer wrote the bytes that were read last.
     last_sent_at: Cell<Instant>,
     /// State of the process that owns this end, if it is a sender's.
-    process_state: Option<Rc<Life>>,
+    process_state: Option<Rc<ProcessRun>>,
     is_leaked: bool,
     /// None for connections that partitions do not affect.
     flow: Option<Flow>,
@@ -438,7 +439,7 @@
     /// Time at which bytes written now leave the machine: later than now while the process is stalled on its
     /// disk.
     fn departure_time(&self) -> Instant {
-        self.process_state.as_ref().map_or_else(Instant::now, |process| process.leaves())
+        self.process_state.as_ref().map_or_else(Instant::now, |process| process.departure_time())
     }
 
     /// Time at which bytes sent at `sent` arrive: after the end of a current partition and the latency.
@@ -554,7 +555,7 @@
         for part in parts {
             bytes.extend_from_slice(&part[..part.len().min(capacity - bytes.len())]);
         }
-        let count = self.process_state.as_ref().map_or(bytes.len(), |process| process.send(bytes.len()));
+        let count = self.process_state.as_ref().map_or(bytes.len(), |process| process.on_send(bytes.len()));
         if count == 0 && !bytes.is_empty() {
             // The process has ended.
             return Poll::Pending;
--- a/crates/proof/nickelshed-lab/src/simulation.rs
+++ b/crates/proof/nickelshed-lab/src/simulation.rs
@@ -1,9 +1,9 @@
 //! Shared state of a run: the clock, the event history, the customer systems, and discovery's list of
 //! endpoints.
 use crate::fake_servers::sender_of_membership_address;
-use crate::life::Life;
 use crate::mutation::Mutation;
 use crate::network::Network;
+use crate::process_run::ProcessRun;
 use crate::run_options::RunOptions;
 use crate::sim_network::SimNetwork;
 use nickelshed_judge::{CallEnd, Event, EventKind, Us};
@@ -69,7 +69,7 @@
     pub mutation: Option<Mutation>,
     pub network: Network,
     /// State of each sender's processes, by sender.
-    pub process_states: Vec<Rc<Life>>,
+    pub process_states: Vec<Rc<ProcessRun>>,
     pub scenario: Scenario,
     pub events: RefCell<Vec<Event>>,
     pub random: RefCell<Random>,
@@ -126,7 +126,7 @@
                 Network::simulated(network)
             },
             process_states: (0..scenario.senders as usize)
-                .map(|s| Rc::new(Life::new(s, kill_point(s))))
+                .map(|s| Rc::new(ProcessRun::new(s, kill_point(s))))
                 .collect(),
             scenario: scenario.clone(),
             events: RefCell::default(),
--- a/crates/proof/nickelshed-lab/src/sockets.rs
+++ b/crates/proof/nickelshed-lab/src/sockets.rs
@@ -1,6 +1,8 @@
 //! Real loopback sockets behind the addresses of the simulated machines: each simulated address maps to a
 //! port that the kernel assigns. The same fake servers and the same sender run over them in real time.
-use crate::life::Life;
+//! Real loopback sockets under the names of the simulated machines: each address is a port that the kernel gave. The same
+//! stand-ins and the same sender run over them in real time.
+use crate::process_run::ProcessRun;
 use crate::sim_network::{is_endpoint_address, SimNetwork};
 use nickelshed_host::{Host, Stream, SystemHost};
 use std::cell::{Cell, RefCell};
@@ -41,7 +43,7 @@
 pub struct SocketHost {
     pub listeners: ListenerRegistry,
     pub network: SimNetwork,
-    pub process_state: Option<Rc<Life>>,
+    pub process_state: Option<Rc<ProcessRun>>,
 }
 
 impl SocketHost {
--- a/crates/proof/nickelshed-lab/tests/scenarios.rs
+++ b/crates/proof/nickelshed-lab/tests/scenarios.rs
@@ -4,8 +4,8 @@
 use nickelshed_config::units::{Percent, Period};
 use nickelshed_judge::{CallEnd, Event, EventKind, Rule};
 use nickelshed_lab::{
-    crossings, cut, faults, files, kills, play, play_so, Crossing, Day, Every, Fault, Happening, Mutation,
-    RunOptions,
+    failures, files, minimize, run_fault_points, run_kill_points, run_scenario, run_scenario_with, Failure,
+    FaultInjection, FaultPointAction, Mutation, RunOptions, ScenarioRun, Stride,
 };
 use nickelshed_model::{random_scenario, FaultKind, InjectedFault, Scenario};
 use std::path::{Path, PathBuf};
@@ -21,7 +21,7 @@
     files
 }
 
-fn event_trace(run: &Day) -> String {
+fn event_trace(run: &ScenarioRun) -> String {
     run.events.iter().map(|e| serde_json::to_string(e).unwrap() + "\n").collect()
 }
 
@@ -29,13 +29,13 @@
 #[test]
 fn same_seed_produces_the_same_events() {
     for seed in [3, 6, 8, 11] {
-        let first = event_trace(&play(&random_scenario(seed), seed).unwrap());
+        let first = event_trace(&run_scenario(&random_scenario(seed), seed).unwrap());
         assert!(first.lines().count() > 500);
         let parallel_runs: Vec<_> = (0..3u64)
             .map(|i| {
                 std::thread::spawn(move || {
-                    play(&random_scenario(seed + 100 + i), i).unwrap();
-                    event_trace(&play(&random_scenario(seed), seed).unwrap())
+                    run_scenario(&random_scenario(seed + 100 + i), i).unwrap();
+                    event_trace(&run_scenario(&random_scenario(seed), seed).unwrap())
                 })
             })
             .collect();
@@ -48,7 +48,7 @@
                 first_difference.map(|n| (first.lines().nth(n), other.lines().nth(n)))
             );
         }
-        assert!(event_trace(&play(&random_scenario(seed), seed + 1).unwrap()) != first);
+        assert!(event_trace(&run_scenario(&random_scenario(seed), seed + 1).unwrap()) != first);
     }
 }
 
@@ -63,21 +63,21 @@
     for path in paths {
         let scenario = files::read(&path).unwrap();
         for seed in [1, 3] {
-            let run = play(&scenario, seed).unwrap();
-            let violations: Vec<Rule> = run.broken.iter().map(|b| b.rule).collect();
+            let run = run_scenario(&scenario, seed).unwrap();
+            let violations: Vec<Rule> = run.violations.iter().map(|b| b.rule).collect();
             let expected = KNOWN_VIOLATIONS
                 .iter()
                 .filter(|(name, at, _)| path.ends_with(name) && *at == seed)
                 .map(|(.., rule)| *rule);
             let expected: Vec<Rule> = expected.collect();
             let (crashes, descriptions) =
-                (&run.crashes, run.broken.iter().map(|b| &b.description).collect::<Vec<_>>());
+                (&run.crashes, run.violations.iter().map(|b| &b.description).collect::<Vec<_>>());
             assert!(
                 crashes.is_empty() && violations == expected,
                 "{} seed {seed}: {crashes:?} {descriptions:?}",
                 path.display()
             );
-            assert!(run.reckoning.messages > 200);
+            assert!(run.score.messages > 200);
         }
     }
 }
@@ -88,13 +88,18 @@
 fn fleet_members_violate_no_rule_and_their_runs_are_reproducible() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../lab/scenarios/large-notes.toml");
     let scenario = files::read(&path).unwrap();
-    let without_membership = play(&Scenario { membership_enabled: false, ..scenario.clone() }, 1).unwrap();
-    let run = play(&scenario, 1).unwrap();
-    assert!(run.is_clean(), "{:?} {:?}", run.crashes, run.broken);
+    let without_membership =
+        run_scenario(&Scenario { membership_enabled: false, ..scenario.clone() }, 1).unwrap();
+    let run = run_scenario(&scenario, 1).unwrap();
+    assert!(run.is_clean(), "{:?} {:?}", run.crashes, run.violations);
     // Each sender probes another one about once per second while it runs.
     let min_datagrams = u64::from(scenario.senders) * (run.length.as_secs() - 10);
-    assert!(without_membership.notes == 0 && run.notes > min_datagrams, "{} notes", run.notes);
-    assert!(event_trace(&play(&scenario, 1).unwrap()) == event_trace(&run));
+    assert!(
+        without_membership.peer_datagrams == 0 && run.peer_datagrams > min_datagrams,
+        "{} notes",
+        run.peer_datagrams
+    );
+    assert!(event_trace(&run_scenario(&scenario, 1).unwrap()) == event_trace(&run));
 }
 
 /// Failing cases that `explore` has found must not fail again.
@@ -102,8 +107,8 @@
 fn regression_cases_stay_fixed() {
     for path in scenario_files("found") {
         let scenario = files::read(&path).unwrap();
-        let run = play(&scenario, scenario.seed.unwrap_or(1)).unwrap();
-        assert!(run.is_clean(), "{}: {:?} {:?}", path.display(), run.crashes, run.broken);
+        let run = run_scenario(&scenario, scenario.seed.unwrap_or(1)).unwrap();
+        assert!(run.is_clean(), "{}: {:?} {:?}", path.display(), run.crashes, run.violations);
     }
 }
 
@@ -134,8 +139,8 @@
     for kill_ms in (800..4_800).step_by(50) {
         let mut with_kill = scenario.clone();
         with_kill.faults.push(fault(FaultKind::Kill, kill_ms, 0));
-        let run = play(&with_kill, 1).unwrap();
-        assert!(run.is_clean(), "killed at {kill_ms} ms: {:?} {:?}", run.crashes, run.broken);
+        let run = run_scenario(&with_kill, 1).unwrap();
+        assert!(run.is_clean(), "killed at {kill_ms} ms: {:?} {:?}", run.crashes, run.violations);
     }
 }
 
@@ -146,9 +151,9 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../lab/scenarios/kills.toml");
     let scenario = files::read(&path).unwrap();
     let jobs = std::thread::available_parallelism().map_or(1, |n| n.get());
-    let killed = kills(&scenario, 1, Every { operations: 2, bytes: 499 }, jobs).unwrap();
+    let killed = run_kill_points(&scenario, 1, Stride { operations: 2, bytes: 499 }, jobs).unwrap();
     assert!(killed.operations > 300 && killed.bytes > 100, "{killed:?}");
-    assert_eq!(killed.finds, []);
+    assert_eq!(killed.failures, []);
 }
 
 /// The same fake servers and the same model over real sockets. Timing depends on the machine there, so only
@@ -173,13 +178,14 @@
         }],
         ..Scenario::default()
     };
-    let simulated = play(&scenario, 1).unwrap();
+    let simulated = run_scenario(&scenario, 1).unwrap();
     let real =
-        play_so(&scenario, 1, RunOptions { uses_real_sockets: true, ..RunOptions::default() }).unwrap();
+        run_scenario_with(&scenario, 1, RunOptions { uses_real_sockets: true, ..RunOptions::default() })
+            .unwrap();
     assert_eq!(real.crashes, [] as [String; 0]);
-    assert_eq!(real.reckoning.messages, simulated.reckoning.messages);
-    assert!(real.reckoning.in_time > 0);
-    let violation = |rule| real.broken.iter().find(|b| b.rule == rule);
+    assert_eq!(real.score.messages, simulated.score.messages);
+    assert!(real.score.in_time > 0);
+    let violation = |rule| real.violations.iter().find(|b| b.rule == rule);
     assert_eq!((violation(Rule::AtOnce), violation(Rule::Twice)), (None, None));
 }
 
@@ -210,11 +216,11 @@
         faults: vec![fault(FaultKind::Slow), fault(FaultKind::Burst), fault(FaultKind::Mute)],
         ..Scenario::default()
     };
-    let failure = Fault::Crash;
-    assert!(!faults(&play(&scenario, 1).unwrap()).contains_key(&failure));
-    let failing_case = cut(failure, 1, scenario.clone());
+    let failure = Failure::Crash;
+    assert!(!failures(&run_scenario(&scenario, 1).unwrap()).contains_key(&failure));
+    let failing_case = minimize(failure, 1, scenario.clone());
     assert_eq!(
-        (failing_case.words.as_str(), failing_case.scenario.faults.len()),
+        (failing_case.description.as_str(), failing_case.scenario.faults.len()),
         ("", 3),
         "a scenario that does not show the failure is not minimized"
     );
@@ -226,9 +232,9 @@
 fn every_removed_guard_is_detected() {
     for mutation in Mutation::ALL {
         let mut simulated_hours = 0.0;
-        let violates = |run: &Day| run.broken.iter().any(|b| b.rule == mutation.violated_rule());
+        let violates = |run: &ScenarioRun| run.violations.iter().any(|b| b.rule == mutation.violated_rule());
         let caught = (1..=150).find(|&seed| {
-            let run = play_so(
+            let run = run_scenario_with(
                 &random_scenario(seed),
                 seed,
                 RunOptions { mutation: Some(mutation), ..RunOptions::default() },
@@ -236,7 +242,7 @@
             .unwrap();
             simulated_hours += run.length.as_secs_f64() / 3_600.0;
             // The mutation is the cause: the same run without it does not violate the rule.
-            violates(&run) && !violates(&play(&random_scenario(seed), seed).unwrap())
+            violates(&run) && !violates(&run_scenario(&random_scenario(seed), seed).unwrap())
         });
         println!("{mutation:?}: caught by seed {caught:?} after {simulated_hours:.2} simulated hours");
         assert!(caught.is_some(), "{mutation:?} is not detected within {simulated_hours:.1} simulated hours");
@@ -254,9 +260,9 @@
 fn fault_at_any_step_of_a_sender_violates_no_rule() {
     let jobs = std::thread::available_parallelism().map_or(1, |n| n.get());
     for seed in [1, 2] {
-        let report = crossings(&fault_point_scenario(), seed, 9, 0, jobs).unwrap();
-        assert!(report.steps > 100 && report.played > 300, "{report:?}");
-        assert_eq!(report.finds, []);
+        let report = run_fault_points(&fault_point_scenario(), seed, 9, 0, jobs).unwrap();
+        assert!(report.steps > 100 && report.runs > 300, "{report:?}");
+        assert_eq!(report.failures, []);
     }
 }
 
@@ -267,7 +273,7 @@
     let jobs = std::thread::available_parallelism().map_or(1, |n| n.get());
     let full = Scenario { max_open_messages: 6, rate: 40.0, limit_multiple: 0.4, ..fault_point_scenario() };
     for seed in [1, 2] {
-        let baseline = play(&full, seed).unwrap();
+        let baseline = run_scenario(&full, seed).unwrap();
         let submitted_at = |id: &str| {
             let is_submission = |e: &&Event| matches!(&e.kind, EventKind::HandedIn { id: i, .. } if i == id);
             baseline.events.iter().find(is_submission).unwrap().at
@@ -277,9 +283,9 @@
             _ => false,
         });
         assert!(delayed_answers.count() > 3, "at most 3 clients waited more than 100 ms for an answer");
-        let report = crossings(&full, seed, 19, 0, jobs).unwrap();
-        assert!(report.played > 300, "{report:?}");
-        assert_eq!(report.finds, []);
+        let report = run_fault_points(&full, seed, 19, 0, jobs).unwrap();
+        assert!(report.runs > 300, "{report:?}");
+        assert_eq!(report.failures, []);
     }
 }
 
@@ -287,18 +293,19 @@
 #[test]
 fn every_injected_fault_changes_its_run() {
     let run = |fault_point| {
-        play_so(&fault_point_scenario(), 1, RunOptions { fault_point, ..RunOptions::default() }).unwrap()
+        run_scenario_with(&fault_point_scenario(), 1, RunOptions { fault_point, ..RunOptions::default() })
+            .unwrap()
     };
     let baseline = run(None);
-    for fault in Happening::ALL {
+    for fault in FaultPointAction::ALL {
         let points = baseline
-            .done
+            .counters
             .iter()
             .enumerate()
             .flat_map(|(s, done)| (0..done.steps).step_by(4).map(move |n| (s, n)));
         let visible = points.filter(|&(sender, step)| {
             let after = step % 2 == 0;
-            run(Some(Crossing { sender, step, after, happening: fault })).events != baseline.events
+            run(Some(FaultInjection { sender, step, after, fault })).events != baseline.events
         });
         assert!(visible.count() >= 1, "{fault:?}");
     }
@@ -311,13 +318,14 @@
     let scenario =
         Scenario { rate: 2.0, length: Period::ms(2_000), faults: Vec::new(), ..fault_point_scenario() };
     let steps = |fault_point| {
-        let run = play_so(&scenario, 1, RunOptions { fault_point, ..RunOptions::default() }).unwrap();
-        assert!(run.is_clean(), "{:?}", run.broken);
-        run.done.iter().map(|done| done.steps).sum::<u64>()
+        let run =
+            run_scenario_with(&scenario, 1, RunOptions { fault_point, ..RunOptions::default() }).unwrap();
+        assert!(run.is_clean(), "{:?}", run.violations);
+        run.counters.iter().map(|done| done.steps).sum::<u64>()
     };
     let without_fault = steps(None);
     let with_fault =
-        steps(Some(Crossing { sender: 0, step: 5, after: false, happening: Happening::EndsNew }));
+        steps(Some(FaultInjection { sender: 0, step: 5, after: false, fault: FaultPointAction::EndsNew }));
     assert!(with_fault < without_fault + 60, "{with_fault} steps, {without_fault} without it");
 }
 
@@ -326,11 +334,11 @@
 #[test]
 fn message_of_a_disconnected_client_is_not_sent() {
     let mut sent_calls = Vec::new();
-    let baseline = play(&fault_point_scenario(), 1).unwrap();
-    for (sender, done) in baseline.done.iter().enumerate() {
+    let baseline = run_scenario(&fault_point_scenario(), 1).unwrap();
+    for (sender, done) in baseline.counters.iter().enumerate() {
         for (step, after) in (0..done.steps).flat_map(|n| [(n, false), (n, true)]) {
-            let fault_point = Crossing { sender, step, after, happening: Happening::ClientsLeave };
-            let run = play_so(
+            let fault_point = FaultInjection { sender, step, after, fault: FaultPointAction::ClientsLeave };
+            let run = run_scenario_with(
                 &fault_point_scenario(),
                 1,
                 RunOptions { fault_point: Some(fault_point), ..RunOptions::default() },
@@ -376,8 +384,8 @@
         servers: 32,
         ..Scenario::default()
     };
-    let (run, ms) = (play(&scenario, 1).unwrap(), 1_000);
-    assert!(run.is_clean(), "{:?}", run.broken);
+    let (run, ms) = (run_scenario(&scenario, 1).unwrap(), 1_000);
+    assert!(run.is_clean(), "{:?}", run.violations);
     let answered = |id: &str, from: u64, to: u64| {
         let calls = run.events.iter().filter_map(|e| match &e.kind {
             EventKind::Call { call, ids, .. } if ids.iter().any(|i| i == id) => Some(*call),
