--- a/crates/serve/nickelshed/tests/fleet.rs
+++ b/crates/serve/nickelshed/tests/fleet.rs
@@ -65,7 +65,7 @@
     let file = folder.join("fleet.toml.in");
     std::fs::write(&file, fleet).unwrap();
     let (file, out) = (file.to_str().unwrap(), folder.to_str().unwrap());
-    assert_eq!(nickelshed_ctl::call(["nickelshed-ctl", "new", "--bare", "--fleet", file, "--out", out]), 0);
+    assert_eq!(nickelshed_ctl::run(["nickelshed-ctl", "new", "--bare", "--fleet", file, "--out", out]), 0);
     (0..APPLICATIONS).map(|i| folder.join(format!("app-{i:02}.toml"))).collect()
 }
 
@@ -82,7 +82,7 @@
         Started(child.unwrap())
     };
     let mut started: Vec<Started> = files.iter().map(start).collect();
-    for (i, (sidecar, _)) in checked.files.iter().flatten().enumerate() {
+    for (i, (sidecar, _)) in checked.parsed.iter().flatten().enumerate() {
         let until = Instant::now() + BOUND;
         let log = || std::fs::read_to_string(files[i].with_extension("log")).unwrap_or_default();
         while !ask(sidecar.listen, b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -152,7 +152,7 @@
         assert!(found.is_some(), "{from} -> {to}: {:#?}", checked.findings);
         let path = file.to_str().unwrap();
         assert_eq!(
-            nickelshed_ctl::call([
+            nickelshed_ctl::run([
                 "nickelshed-ctl",
                 "check",
                 path,
--- a/crates/serve/nickelshed/tests/members.rs
+++ b/crates/serve/nickelshed/tests/members.rs
@@ -109,7 +109,7 @@
     (0..3).for_each(|n| fleet.until_shared(n, 3));
     let configs: Vec<_> = fleet.nodes.iter().map(|n| n.folder.join("sidecar.toml")).collect();
     let look = |of: usize| {
-        nickelshed_ctl::call(["nickelshed-ctl", "fleet", "members", "--json", configs[of].to_str().unwrap()])
+        nickelshed_ctl::run(["nickelshed-ctl", "fleet", "members", "--json", configs[of].to_str().unwrap()])
     };
     // Views that settle may differ for a moment, and the load of a machine may keep an answer back.
     fleet.nodes[0].until("all is well", || look(0) == 0);
--- a/crates/tools/nickelshed-ctl/src/doctor.rs
+++ b/crates/tools/nickelshed-ctl/src/doctor.rs
@@ -1,4 +1,5 @@
-//! What only the host can tell of a configuration: ports, folders, disk, descriptors, and who answers.
+//! Checks a configuration against the host: ports, folders, disk space, descriptors, memory, and whether the
+//! configured addresses accept connections.
 use nickelshed_config::{url, Code, Finding, Sidecar, Source};
 use rustix::process::{getrlimit, Resource};
 use std::fs;
@@ -7,167 +8,184 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How long an address has to take a connection.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// Addresses that are tried at once.
-const AT_ONCE: usize = 32;
+/// Time-out of a connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_CONCURRENT_CONNECTS: usize = 32;
 
-fn finding(code: Code, source: &Source, path: &[&str], what: String) -> Finding {
+fn finding(code: Code, source: &Source, path: &[&str], message: String) -> Finding {
     let steps: Vec<_> = path.iter().map(|p| (*p).into()).collect();
-    Finding::new(code, source.span(&steps), what, code.info().fix)
+    Finding::new(code, source.span(&steps), message, code.info().fix)
 }
 
-/// Everything on this host that stands in the way of a sidecar. `folder` is where its file lies.
+/// Returns a finding for each condition of this host that would prevent the sidecar from starting or working.
+/// Relative paths of the configuration start at `folder`, the folder of its file.
 pub fn examine(sidecar: &Sidecar, source: &Source, folder: &Path) -> Vec<Finding> {
-    let mut found = Vec::new();
+    let mut findings = Vec::new();
     if let Err(error) = TcpListener::bind(sidecar.listen) {
-        let what = format!("cannot listen at {}: {error}", sidecar.listen);
-        found.push(finding(Code::ListenAddressInUse, source, &["listen"], what));
+        let message = format!("cannot listen at {}: {error}", sidecar.listen);
+        findings.push(finding(Code::ListenAddressInUse, source, &["listen"], message));
     }
-    let state = folder.join(&sidecar.state);
-    if let Err(error) = try_folder(&state) {
-        let what = format!("the state folder {} can't be written: {error}", state.display());
-        found.push(finding(Code::FolderUnwritable, source, &["state"], what));
+    let state_folder = folder.join(&sidecar.state);
+    if let Err(error) = check_folder_writable(&state_folder) {
+        let message = format!("the state folder {} is not writable: {error}", state_folder.display());
+        findings.push(finding(Code::FolderUnwritable, source, &["state"], message));
     }
     if let Some(file) = &sidecar.notices.file {
         let path = folder.join(file);
-        if let Err(error) = try_file(&path) {
-            let what = format!("the notices' file {} can't be written: {error}", path.display());
-            found.push(finding(Code::FolderUnwritable, source, &["notices", "file"], what));
+        if let Err(error) = check_file_writable(&path) {
+            let message = format!("the notices file {} is not writable: {error}", path.display());
+            findings.push(finding(Code::FolderUnwritable, source, &["notices", "file"], message));
         }
     }
-    let files = fs::read_dir(&state).into_iter().flatten().flatten();
-    let room = Room {
-        disk: free_disk(&state),
-        held: files.filter_map(|f| Some(f.metadata().ok()?.len())).sum(),
-        descriptors: getrlimit(Resource::Nofile).current,
-        memory: free_memory(),
+    let files = fs::read_dir(&state_folder).into_iter().flatten().flatten();
+    let capacity = HostCapacity {
+        free_disk_bytes: free_disk_bytes(&state_folder),
+        state_folder_bytes: files.filter_map(|f| Some(f.metadata().ok()?.len())).sum(),
+        max_descriptors: getrlimit(Resource::Nofile).current,
+        available_memory_bytes: available_memory_bytes(),
     };
-    found.extend(short(sidecar, source, &room));
-    found.extend(unreachable(sidecar, source));
-    found
+    findings.extend(capacity_findings(sidecar, source, &capacity));
+    findings.extend(connection_findings(sidecar, source));
+    findings
 }
 
-/// What a host has, where that can be told.
-struct Room {
-    /// Bytes free where the state folder lies.
-    disk: Option<u64>,
-    /// Bytes that the folder's files take already.
-    held: u64,
-    /// Descriptors that a process may hold.
-    descriptors: Option<u64>,
-    /// Bytes of memory.
-    memory: Option<u64>,
+/// Resources of a host. `None` if the amount is unknown or unlimited.
+struct HostCapacity {
+    /// Free space of the file system with the state folder.
+    free_disk_bytes: Option<u64>,
+    /// Size of the files already in the state folder, which count towards the configured limit.
+    state_folder_bytes: u64,
+    /// Soft limit of open descriptors for a process.
+    max_descriptors: Option<u64>,
+    available_memory_bytes: Option<u64>,
 }
 
-/// What a sidecar may use and the host has not.
-fn short(sidecar: &Sidecar, source: &Source, room: &Room) -> Vec<Finding> {
-    let mut found = Vec::new();
-    let wanted = sidecar.limits.disk.0.saturating_sub(room.held);
-    if let Some(free) = room.disk.filter(|free| *free < wanted) {
-        let what = format!("the journal may take {wanted} bytes more, and {free} are free there");
-        found.push(finding(Code::LowDiskSpace, source, &["limits", "disk"], what));
+/// Returns a finding for each resource of which the sidecar may use more than the host has.
+fn capacity_findings(sidecar: &Sidecar, source: &Source, capacity: &HostCapacity) -> Vec<Finding> {
+    let mut findings = Vec::new();
+    let additional_bytes = sidecar.limits.disk.0.saturating_sub(capacity.state_folder_bytes);
+    if let Some(free) = capacity.free_disk_bytes.filter(|free| *free < additional_bytes) {
+        let message = format!(
+            "the journal may use {additional_bytes} more bytes, but only {free} are free on its disk"
+        );
+        findings.push(finding(Code::LowDiskSpace, source, &["limits", "disk"], message));
     }
     let sockets = sidecar.limits.sockets;
-    if let Some(limit) = room.descriptors.filter(|limit| *limit < u64::from(sockets)) {
-        let what = format!("a process may hold {limit} descriptors here, and {sockets} are configured");
-        found.push(finding(Code::LowDescriptorLimit, source, &["limits", "sockets"], what));
+    if let Some(limit) = capacity.max_descriptors.filter(|limit| *limit < u64::from(sockets)) {
+        let message =
+            format!("a process may open {limit} descriptors on this host, but `limits.sockets` is {sockets}");
+        findings.push(finding(Code::LowDescriptorLimit, source, &["limits", "sockets"], message));
     }
-    if let Some(free) = room.memory.filter(|free| *free < sidecar.limits.memory.0) {
-        let what =
-            format!("{free} bytes of memory are free, and the sidecar may use {}", sidecar.limits.memory);
-        found.push(finding(Code::LowMemory, source, &["limits", "memory"], what));
+    if let Some(free) = capacity.available_memory_bytes.filter(|free| *free < sidecar.limits.memory.0) {
+        let message = format!(
+            "only {free} bytes of memory are available, but the sidecar may use {}",
+            sidecar.limits.memory
+        );
+        findings.push(finding(Code::LowMemory, source, &["limits", "memory"], message));
     }
-    found
+    findings
 }
 
-/// The folder, or the nearest one above it that is there, takes a file.
-fn try_folder(folder: &Path) -> io::Result<()> {
-    let there = folder.ancestors().find(|f| f.exists()).unwrap_or(Path::new("."));
-    let there = if there.as_os_str().is_empty() { Path::new(".") } else { there };
-    let probe = there.join(format!(".nickelshed-doctor.{}", std::process::id()));
-    fs::OpenOptions::new().write(true).create_new(true).open(&probe)?;
-    fs::remove_file(probe)
+/// Creates and removes a test file in the folder or, if the folder does not exist, in its nearest existing
+/// ancestor. The folder itself is not created.
+fn check_folder_writable(folder: &Path) -> io::Result<()> {
+    let existing = folder.ancestors().find(|f| f.exists()).unwrap_or(Path::new("."));
+    let existing = if existing.as_os_str().is_empty() { Path::new(".") } else { existing };
+    let test_file = existing.join(format!(".nickelshed-doctor.{}", std::process::id()));
+    fs::OpenOptions::new().write(true).create_new(true).open(&test_file)?;
+    fs::remove_file(test_file)
 }
 
-fn try_file(path: &Path) -> io::Result<()> {
+fn check_file_writable(path: &Path) -> io::Result<()> {
     if path.exists() {
         fs::OpenOptions::new().append(true).open(path).map(|_| ())
     } else {
-        // It is not made by the sidecar, so it must be there.
+        // The sidecar does not create the folder of the notices file, so the folder must exist.
         let folder = path.parent().filter(|f| !f.as_os_str().is_empty()).unwrap_or(Path::new("."));
         fs::metadata(folder)?;
-        try_folder(folder)
+        check_folder_writable(folder)
     }
 }
 
-fn free_disk(folder: &Path) -> Option<u64> {
-    let there = folder.ancestors().find(|f| f.exists())?;
-    let there = if there.as_os_str().is_empty() { Path::new(".") } else { there };
-    let disk = rustix::fs::statvfs(there).ok()?;
-    Some(disk.f_bavail.saturating_mul(disk.f_frsize))
+fn free_disk_bytes(folder: &Path) -> Option<u64> {
+    let existing = folder.ancestors().find(|f| f.exists())?;
+    let existing = if existing.as_os_str().is_empty() { Path::new(".") } else { existing };
+    let file_system = rustix::fs::statvfs(existing).ok()?;
+    Some(file_system.f_bavail.saturating_mul(file_system.f_frsize))
 }
 
-fn free_memory() -> Option<u64> {
+fn available_memory_bytes() -> Option<u64> {
     let text = fs::read_to_string("/proc/meminfo").ok()?;
     let line = text.lines().find_map(|l| l.strip_prefix("MemAvailable:"))?;
     line.split_whitespace().next()?.parse::<u64>().ok()?.checked_mul(1024)
 }
 
-fn unreachable(sidecar: &Sidecar, source: &Source) -> Vec<Finding> {
-    let mut places: Vec<(String, SocketAddr, Vec<nickelshed_config::source::PathStep>)> = Vec::new();
+fn connection_findings(sidecar: &Sidecar, source: &Source) -> Vec<Finding> {
+    let mut targets: Vec<(String, SocketAddr, Vec<nickelshed_config::source::PathStep>)> = Vec::new();
     for (i, destination) in sidecar.destinations.iter().enumerate() {
         for (n, endpoint) in destination.endpoints.iter().enumerate() {
-            let what = format!("the endpoint of {}", destination.name);
+            let target_name = format!("the endpoint of {}", destination.name);
             let path = vec!["destination".into(), i.into(), "endpoints".into(), n.into()];
-            places.push((what, endpoint.endpoint().address, path));
+            targets.push((target_name, endpoint.endpoint().address, path));
         }
     }
     if let Some(discovery) = &sidecar.discovery {
-        places.push(("discovery".into(), discovery.address, vec!["discovery".into(), "address".into()]));
+        targets.push(("discovery".into(), discovery.address, vec!["discovery".into(), "address".into()]));
     }
     if let Some(Ok(url)) = sidecar.notices.http.as_deref().map(url::parse) {
-        places.push(("the receiver of notices".into(), url.address, vec!["notices".into(), "http".into()]));
+        targets.push(("the notice receiver".into(), url.address, vec!["notices".into(), "http".into()]));
     }
-    let mut found = Vec::new();
-    for some in places.chunks(AT_ONCE) {
-        let tried: Vec<_> = std::thread::scope(|scope| {
-            let dial = |at: SocketAddr| scope.spawn(move || TcpStream::connect_timeout(&at, PATIENCE).err());
-            let dials: Vec<_> = some.iter().map(|(_, at, _)| dial(*at)).collect();
-            dials.into_iter().map(|d| d.join().unwrap_or(None)).collect()
+    let mut findings = Vec::new();
+    for chunk in targets.chunks(MAX_CONCURRENT_CONNECTS) {
+        let errors: Vec<_> = std::thread::scope(|scope| {
+            let connect = |address: SocketAddr| {
+                scope.spawn(move || TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).err())
+            };
+            let threads: Vec<_> = chunk.iter().map(|(_, address, _)| connect(*address)).collect();
+            threads.into_iter().map(|thread| thread.join().unwrap_or(None)).collect()
         });
-        for ((what, at, path), error) in some.iter().zip(tried) {
+        for ((target_name, address, path), error) in chunk.iter().zip(errors) {
             let Some(error) = error else { continue };
-            let what = format!("{what} takes no connection at {at}: {error}");
-            found.push(Finding::new(
+            let message = format!("cannot connect to {target_name} at {address}: {error}");
+            findings.push(Finding::new(
                 Code::ConnectionFailed,
                 source.span(path),
-                what,
+                message,
                 Code::ConnectionFailed.info().fix,
             ));
         }
     }
-    found
+    findings
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    /// The example wants 3 MB of disk, 256 descriptors and 64 MB of memory.
+    /// The example file configures 3 MB of disk, 256 sockets and 64 MB of memory.
     #[test]
-    fn a_host_is_short_of_a_thing_by_one_and_not_by_none() {
+    fn a_resource_is_reported_if_the_host_has_one_unit_too_little_and_not_if_it_has_enough() {
         let example = include_bytes!("../../../../deploy/sidecar.toml");
         let (sidecar, source) = nickelshed_config::load(example).file.unwrap();
-        let codes = |disk, held, descriptors, memory| {
-            let room = Room { disk: Some(disk), held, descriptors: Some(descriptors), memory: Some(memory) };
-            short(&sidecar, &source, &room).iter().map(|f| f.code).collect::<Vec<_>>()
+        let codes = |free_disk_bytes, state_folder_bytes, max_descriptors, available_memory_bytes| {
+            let capacity = HostCapacity {
+                free_disk_bytes: Some(free_disk_bytes),
+                state_folder_bytes,
+                max_descriptors: Some(max_descriptors),
+                available_memory_bytes: Some(available_memory_bytes),
+            };
+            capacity_findings(&sidecar, &source, &capacity).iter().map(|f| f.code).collect::<Vec<_>>()
         };
         assert_eq!(codes(2_000_000, 1_000_000, 256, 64_000_000), []);
         assert_eq!(codes(1_999_999, 1_000_000, 256, 64_000_000), [Code::LowDiskSpace]);
         assert_eq!(codes(2_000_000, 1_000_000, 255, 64_000_000), [Code::LowDescriptorLimit]);
         assert_eq!(codes(2_000_000, 1_000_000, 256, 63_999_999), [Code::LowMemory]);
-        let unknown = Room { disk: None, held: 0, descriptors: None, memory: None };
-        assert_eq!(short(&sidecar, &source, &unknown), []);
+        let unknown = HostCapacity {
+            free_disk_bytes: None,
+            state_folder_bytes: 0,
+            max_descriptors: None,
+            available_memory_bytes: None,
+        };
+        assert_eq!(capacity_findings(&sidecar, &source, &unknown), []);
     }
 }
--- a/crates/tools/nickelshed-ctl/src/files.rs
+++ b/crates/tools/nickelshed-ctl/src/files.rs
@@ -1,4 +1,5 @@
-//! Files: read within a bound, found again whatever the way to them, and written whole or not at all.
+//! Reads files up to a size limit, resolves paths so that two paths to one file compare equal, and writes
+//! files atomically.
 use nickelshed_config::sidecar::MAX_FILE_BYTES;
 use nickelshed_config::{check, load_with_schema, together, Code, Finding, Sidecar, Source, TypeSchema};
 use std::ffi::OsString;
@@ -6,72 +7,74 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// A file as it was read.
-pub struct Text {
+/// The path of a file and its bytes, as read or as to be written.
+pub struct FileContent {
     pub path: PathBuf,
     pub bytes: Vec<u8>,
 }
 
-impl Text {
-    pub fn str(&self) -> &str {
+impl FileContent {
+    /// Returns the bytes as text; an empty text if they are not valid UTF-8.
+    pub fn as_str(&self) -> &str {
         std::str::from_utf8(&self.bytes).unwrap_or_default()
     }
 }
 
-/// No more than one byte past the most that is read at all: a path may lead to anything.
-pub fn read(path: &Path) -> (Text, Option<Finding>) {
+/// Reads at most one byte more than `MAX_FILE_BYTES`, enough to detect a file that is too large. The limit is
+/// needed because a path may name an endless device such as /dev/zero.
+pub fn read(path: &Path) -> (FileContent, Option<Finding>) {
     let mut bytes = Vec::new();
     let read = File::open(path).and_then(|f| f.take(MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes));
-    let failed = read.err().map(|e| {
-        let what = format!("cannot read {}: {e}", path.display());
-        Finding::new(Code::Unreadable, 0..0, what, Code::Unreadable.info().fix)
+    let read_error = read.err().map(|e| {
+        let message = format!("cannot read {}: {e}", path.display());
+        Finding::new(Code::Unreadable, 0..0, message, Code::Unreadable.info().fix)
     });
-    (Text { path: path.to_path_buf(), bytes }, failed)
+    (FileContent { path: path.to_path_buf(), bytes }, read_error)
 }
 
-/// Files that were read and checked, each by itself and all together.
-pub struct Checked {
-    shape: TypeSchema,
-    pub texts: Vec<Text>,
-    /// For each file, if its form is right.
-    pub files: Vec<Option<(Sidecar, Source)>>,
-    /// In the order of the files, and in each of the places.
+/// Configuration files with the findings of checking each file alone and all files for conflicts.
+pub struct CheckedFiles {
+    schema: TypeSchema,
+    pub contents: Vec<FileContent>,
+    /// One entry for each file; `None` if its syntax or types are invalid.
+    pub parsed: Vec<Option<(Sidecar, Source)>>,
+    /// After `check_conflicts` sorted by file, then by position in the file.
     pub findings: Vec<Finding>,
 }
 
-impl Default for Checked {
-    fn default() -> Checked {
-        Checked {
-            shape: TypeSchema::of::<Sidecar>(),
-            texts: Vec::new(),
-            files: Vec::new(),
+impl Default for CheckedFiles {
+    fn default() -> CheckedFiles {
+        CheckedFiles {
+            schema: TypeSchema::of::<Sidecar>(),
+            contents: Vec::new(),
+            parsed: Vec::new(),
             findings: Vec::new(),
         }
     }
 }
 
-impl Checked {
-    /// One file more, by itself.
-    pub fn add(&mut self, text: Text, failed: Option<Finding>) {
-        let number = self.texts.len();
-        let loaded = match failed {
+impl CheckedFiles {
+    /// Adds a file and checks it alone. A file with a `read_error` gets only that finding.
+    pub fn add(&mut self, content: FileContent, read_error: Option<Finding>) {
+        let file_id = self.contents.len();
+        let loaded = match read_error {
             Some(finding) => nickelshed_config::Loaded { file: None, findings: vec![finding] },
-            None => load_with_schema(&text.bytes, &self.shape),
+            None => load_with_schema(&content.bytes, &self.schema),
         };
-        self.findings.extend(loaded.findings.into_iter().map(|f| Finding { file: number, ..f }));
-        self.texts.push(text);
-        self.files.push(loaded.file);
+        self.findings.extend(loaded.findings.into_iter().map(|f| Finding { file: file_id, ..f }));
+        self.contents.push(content);
+        self.parsed.push(loaded.file);
     }
 
-    /// What is wrong between the files.
-    pub fn together(&mut self) {
-        let files = self.files.iter().zip(&self.texts).enumerate();
+    /// Checks all added files for conflicts between them, and sorts the findings.
+    pub fn check_conflicts(&mut self) {
+        let files = self.parsed.iter().zip(&self.contents).enumerate();
         let members: Vec<together::ConfigFile> = files
-            .filter_map(|(file, (loaded, text))| {
+            .filter_map(|(file, (loaded, content))| {
                 let (sidecar, source) = loaded.as_ref()?;
-                let folder = text.path.parent().unwrap_or(Path::new(""));
-                let state = real(&folder.join(&sidecar.state));
-                let notices = sidecar.notices.file.as_ref().map(|f| real(&folder.join(f)));
+                let folder = content.path.parent().unwrap_or(Path::new(""));
+                let state = resolve_path(&folder.join(&sidecar.state));
+                let notices = sidecar.notices.file.as_ref().map(|f| resolve_path(&folder.join(f)));
                 Some(together::ConfigFile { file, sidecar, source, state, notices })
             })
             .collect();
@@ -84,47 +87,52 @@
     }
 }
 
-/// Where a path leads, with links followed as far as it exists and the rest as it is written.
-pub fn real(path: &Path) -> PathBuf {
+/// Returns the absolute path with symbolic links resolved as far as it exists. The part that does not exist
+/// is only normalized.
+pub fn resolve_path(path: &Path) -> PathBuf {
     let path = std::path::absolute(path).unwrap_or_else(|_| path.to_path_buf());
-    let mut rest: Vec<OsString> = Vec::new();
-    let mut known = path.clone();
+    let mut missing: Vec<OsString> = Vec::new();
+    let mut existing = path.clone();
     loop {
-        if let Ok(found) = fs::canonicalize(&known) {
-            let all = rest.into_iter().rev().fold(found, |path, part| path.join(part));
-            return check::normalize_path(&all);
+        if let Ok(canonical) = fs::canonicalize(&existing) {
+            let full_path = missing.into_iter().rev().fold(canonical, |path, component| path.join(component));
+            return check::normalize_path(&full_path);
         }
-        match (known.file_name().map(OsString::from), known.pop()) {
-            (Some(name), true) => rest.push(name),
-            // It ends in `..` beyond what exists.
-            (None, true) => rest.push("..".into()),
+        match (existing.file_name().map(OsString::from), existing.pop()) {
+            (Some(name), true) => missing.push(name),
+            // `..` in the part of the path that does not exist.
+            (None, true) => missing.push("..".into()),
             (_, false) => return check::normalize_path(&path),
         }
     }
 }
 
-/// Writes a file whole: under another name first, which takes the place of the old one only once it is on the disk.
+/// Writes a file atomically: writes and syncs a temporary file in the same folder, then moves it into place.
+/// A crash or a full disk leaves no partly written file at `path`.
 ///
 /// # Errors
-/// With `AlreadyExists` if it is there and `over` is false. Whatever fails, a file that was there stays as it was.
-pub fn write(path: &Path, text: &str, over: bool) -> io::Result<()> {
+/// Returns `AlreadyExists` if the file exists and `overwrite` is false. On any error before the last sync of
+/// the folder, an existing file is unchanged.
+pub fn write(path: &Path, content: &str, overwrite: bool) -> io::Result<()> {
     let name = path.file_name().ok_or(io::ErrorKind::InvalidInput)?.to_string_lossy();
     let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
     fs::create_dir_all(folder)?;
-    let beside = folder.join(format!(".{name}.{}", std::process::id()));
-    let written = OpenOptions::new().write(true).create_new(true).open(&beside).and_then(|mut file| {
-        file.write_all(text.as_bytes())?;
-        file.sync_all()
-    });
-    let placed = written.and_then(|()| {
-        if over {
-            fs::rename(&beside, path)
+    let temporary = folder.join(format!(".{name}.{}", std::process::id()));
+    let write_result =
+        OpenOptions::new().write(true).create_new(true).open(&temporary).and_then(|mut file| {
+            file.write_all(content.as_bytes())?;
+            file.sync_all()
+        });
+    let place_result = write_result.and_then(|()| {
+        if overwrite {
+            fs::rename(&temporary, path)
         } else {
-            // Fails where there is a file, also one that came this moment.
-            fs::hard_link(&beside, path)
+            // Unlike a rename, this fails if the file exists, also if another process has created it
+            // meanwhile.
+            fs::hard_link(&temporary, path)
         }
     });
-    let _ = fs::remove_file(&beside);
-    placed?;
+    let _ = fs::remove_file(&temporary);
+    place_result?;
     File::open(folder)?.sync_all()
 }
--- a/crates/tools/nickelshed-ctl/src/lib.rs
+++ b/crates/tools/nickelshed-ctl/src/lib.rs
@@ -1,5 +1,5 @@
-//! The tool `nickelshed-ctl`: its arguments, and which part does what they ask. A library, so that tests of other
-//! packages can write and check files with it.
+//! The commands of `nickelshed-ctl` and their arguments. This is a library so that tests of other packages
+//! can create and check configuration files with it.
 mod doctor;
 mod files;
 mod members;
@@ -7,7 +7,7 @@
 mod report;
 
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
-pub use files::Checked;
+pub use files::CheckedFiles;
 use nickelshed_config::fleet::Fleet;
 use nickelshed_config::{diff, reference, write, Code, Finding, Level, Sidecar, TypeSchema};
 use std::ffi::OsString;
@@ -17,8 +17,8 @@
 
 /// Writes, checks and explains the configuration of sidecars.
 ///
-/// A sidecar is a nickelshed that stands beside one application and delivers its messages. It runs as
-/// `nickelshed --config FILE`; this tool makes that file and finds its mistakes before alerts stop.
+/// A sidecar is a nickelshed process that runs next to one application and delivers its messages. It runs as
+/// `nickelshed --config FILE`; this tool creates that file and reports its errors before they stop alerts.
 #[derive(Parser)]
 #[command(
     version,
@@ -28,8 +28,8 @@
   nickelshed-ctl doctor alarm.toml
   nickelshed --config alarm.toml
 
-Ends with 0 if all is well (warnings may have been told), with 1 if an error was found or a file would be laid out
-anew, with 2 if it was called wrongly or a file can't be written."
+Exit codes: 0 success, possibly with warnings; 1 an error was found, or a file is not formatted (fmt --check);
+2 invalid arguments, or a file cannot be written."
 )]
 struct Arguments {
     #[command(subcommand)]
@@ -38,66 +38,67 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Write a configuration for an application, or for each one of a fleet
+    /// Create a configuration for one application, or for each application of a fleet
     #[command(after_help = "Examples:
   nickelshed-ctl new alarm --class alert:3s:16s:keyed --destination gmina-lipno:7=127.0.0.1:7501,127.0.0.1:7502
   nickelshed-ctl new --fleet deploy/fleet.toml --out sidecars
 
-A file that is there is never written over without --force, and then whole or not at all.")]
+An existing file is only overwritten with --force, and then atomically.")]
     New(Box<new::New>),
-    /// Check configurations, each by itself and all together, without a look at the host
+    /// Check configurations, each alone and all for conflicts, without inspecting the host
     #[command(
-        after_help = "Give all files of a host at once: two that claim one port or folder are found only so."
+        after_help = "Pass all files of a host in one call: conflicts between files, as over a port, are only found then."
     )]
     Check {
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
-        /// End with 1 on warnings too
+        /// Exit with 1 on warnings too
         #[arg(long)]
         deny_warnings: bool,
     },
-    /// Tell what a code means, why it matters and how to mend it; without a code, list all
+    /// Explain what a code means, why it matters and how to fix it; without a code, list all codes
     Explain { code: Option<String> },
-    /// Say in words what the change from one configuration to another means
+    /// Describe the differences between two configurations and when each takes effect
     Diff { old: PathBuf, new: PathBuf },
-    /// Print the JSON Schema of a sidecar's file, for editors
+    /// Print the JSON Schema of a sidecar configuration, for editors
     Schema {
-        /// Of a fleet's file
+        /// Print the schema of a fleet file instead
         #[arg(long)]
         fleet: bool,
     },
-    /// Lay files out anew; comments, order and values stay
+    /// Format files; comments, order and values stay unchanged
     Fmt {
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
-        /// Change nothing, and end with 1 if a file would be changed
+        /// Change nothing, and exit with 1 if a file would be changed
         #[arg(long)]
         check: bool,
     },
-    /// Look at this host: port, folders, disk, descriptors, and whether endpoints answer
+    /// Check a configuration against this host: port, folders, disk, descriptors, memory, and whether
+    /// endpoints accept connections
     Doctor {
         #[arg(value_name = "FILE")]
         file: PathBuf,
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Look at the fleet that a file's sidecar is a member of
+    /// Inspect the fleet that the sidecar of a configuration belongs to
     #[command(subcommand)]
-    Fleet(Look),
-    /// Print the page that lists every key
+    Fleet(FleetCommand),
+    /// Print the reference page of all keys and codes
     Reference,
-    /// Print a script that completes this program's arguments in a shell
+    /// Print a completion script for a shell
     Completions { shell: clap_complete::Shell },
 }
 
 #[derive(Subcommand)]
-enum Look {
-    /// Who is there, since when, with which version and settings, by the view of one member
+enum FleetCommand {
+    /// List the members in the view of one member, with state, time in that state, version and settings
     #[command(
-        after_help = "Ends with 0 if all present members hold one view with nobody suspect or gone in it, with 1 if not, with 2 if it
-was called wrongly, with 3 if no member answers. It asks the file's own member first, then its seeds, and counts nowhere."
+        after_help = "Exit codes: 0 all present members have the same view without suspect or gone members; 1 otherwise; 2 invalid
+arguments; 3 no member answers. The tool asks the own member of the file first, then its seeds; it does not join the fleet."
     )]
     Members {
         #[arg(value_name = "FILE")]
@@ -105,13 +106,13 @@
         #[arg(long)]
         json: bool,
     },
-    /// Print the view each time it has changed
+    /// Print the view each time it changes
     Watch {
         #[arg(value_name = "FILE")]
         file: PathBuf,
         #[arg(long)]
         json: bool,
-        /// End after so many seconds [default: when it is told to]
+        /// Exit after this many seconds [default: run until interrupted]
         #[arg(long)]
         seconds: Option<u64>,
     },
@@ -123,43 +124,45 @@
     Json,
 }
 
-/// What a command has come to.
-enum Done {
-    Well,
-    Found,
+/// Result of a command, as an exit code.
+enum Outcome {
+    Success,
+    /// Exit code 1: an error was found, or a file is not formatted.
+    HasFindings,
+    /// Another exit code.
     Code(u8),
 }
 
-/// A reader that leaves early is no mistake.
+/// Prints to standard output. Ignores errors because the reader may have closed the pipe early.
 fn print(text: &str) {
     let mut out = std::io::stdout().lock();
     let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
 }
 
-fn tell(findings: &[Finding], texts: &[files::Text], format: Format) {
+fn print_findings(findings: &[Finding], contents: &[files::FileContent], format: Format) {
     match format {
-        Format::Text => print(&report::text(findings, texts)),
-        Format::Json => print(&format!("{:#}\n", report::json(findings, texts))),
+        Format::Text => print(&report::format_text(findings, contents)),
+        Format::Json => print(&format!("{:#}\n", report::format_json(findings, contents))),
     }
 }
 
-/// Reads files and checks them, each by itself and all together.
-pub fn check(paths: &[PathBuf]) -> Checked {
-    let mut checked = Checked::default();
+/// Reads files and checks them, each alone and all for conflicts.
+pub fn check(paths: &[PathBuf]) -> CheckedFiles {
+    let mut checked = CheckedFiles::default();
     for path in paths {
-        let (text, failed) = files::read(path);
-        checked.add(text, failed);
+        let (content, read_error) = files::read(path);
+        checked.add(content, read_error);
     }
-    checked.together();
+    checked.check_conflicts();
     checked
 }
 
-fn verdict(findings: &[Finding], deny_warnings: bool) -> Done {
+fn outcome_of(findings: &[Finding], deny_warnings: bool) -> Outcome {
     let worst = findings.iter().map(Finding::level).max();
     match worst {
-        Some(Level::Error) => Done::Found,
-        Some(Level::Warning) if deny_warnings => Done::Found,
-        _ => Done::Well,
+        Some(Level::Error) => Outcome::HasFindings,
+        Some(Level::Warning) if deny_warnings => Outcome::HasFindings,
+        _ => Outcome::Success,
     }
 }
 
@@ -175,128 +178,134 @@
         print(&Code::ALL.iter().map(line).collect::<String>());
         return Ok(());
     };
-    let known: Code =
-        code.parse().map_err(|()| format!("there is no code {code}; `nickelshed-ctl explain` lists them"))?;
-    let about = known.info();
+    let known: Code = code
+        .parse()
+        .map_err(|()| format!("unknown code {code}; `nickelshed-ctl explain` lists all codes"))?;
+    let info = known.info();
     let level = if known.level() == Level::Error {
-        "An error: a sidecar does not start with it, or would break a promise."
+        "An error: a sidecar with it does not start, or would violate a guarantee."
     } else {
         "A warning: `allow = [\"CODE\"]` in the file accepts it."
     };
-    let level = level.replace("CODE", about.code);
+    let level = level.replace("CODE", info.code);
     print(&format!(
-        "{known}: {}\n\n{level}\n\nWhy it matters: {}\n\nHow to mend it: {}\n",
-        about.title, about.why, about.fix
+        "{known}: {}\n\n{level}\n\nWhy it matters: {}\n\nHow to fix it: {}\n",
+        info.title, info.why, info.fix
     ));
     Ok(())
 }
 
-/// A configuration whose form is right; else its findings were told.
-fn sidecar(path: &Path) -> Option<Sidecar> {
+/// Reads a configuration. Prints its findings and returns `None` if its syntax or types are invalid.
+fn load_sidecar(path: &Path) -> Option<Sidecar> {
     let mut checked = check(std::slice::from_ref(&path.to_path_buf()));
-    let file = checked.files.pop().flatten();
+    let file = checked.parsed.pop().flatten();
     if file.is_none() {
-        tell(&checked.findings, &checked.texts, Format::Text);
+        print_findings(&checked.findings, &checked.contents, Format::Text);
     }
     file.map(|(sidecar, _)| sidecar)
 }
 
-fn difference(old: &Path, new: &Path) -> Done {
-    let (Some(old), Some(new)) = (sidecar(old), sidecar(new)) else { return Done::Found };
+fn print_diff(old: &Path, new: &Path) -> Outcome {
+    let (Some(old), Some(new)) = (load_sidecar(old), load_sidecar(new)) else { return Outcome::HasFindings };
     let changes = diff::diff(&old, &new);
     if changes.is_empty() {
-        print("Both mean the same.\n");
+        print("No differences.\n");
     }
-    for (when, title) in [
-        (diff::TakesEffect::OnReload, "On SIGHUP, at once:"),
-        (diff::TakesEffect::AfterRestart, "At the next start:"),
+    for (takes_effect, title) in [
+        (diff::TakesEffect::OnReload, "Immediately on reload (SIGHUP):"),
+        (diff::TakesEffect::AfterRestart, "After a restart:"),
     ] {
-        let words: Vec<&str> =
-            changes.iter().filter(|c| c.takes_effect == when).map(|c| c.description.as_str()).collect();
-        if !words.is_empty() {
-            print(&format!("{title}\n  {}\n", words.join("\n  ")));
+        let descriptions: Vec<&str> = changes
+            .iter()
+            .filter(|c| c.takes_effect == takes_effect)
+            .map(|c| c.description.as_str())
+            .collect();
+        if !descriptions.is_empty() {
+            print(&format!("{title}\n  {}\n", descriptions.join("\n  ")));
         }
     }
-    Done::Well
+    Outcome::Success
 }
 
-fn tidy(paths: &[PathBuf], only_check: bool) -> Result<Done, String> {
-    let mut done = Done::Well;
+fn format_files(paths: &[PathBuf], only_check: bool) -> Result<Outcome, String> {
+    let mut outcome = Outcome::Success;
     for path in paths {
-        let (text, failed) = files::read(path);
-        if let Some(finding) = failed {
+        let (content, read_error) = files::read(path);
+        if let Some(finding) = read_error {
             return Err(finding.message);
         }
-        let old = nickelshed_config::source::text(&text.bytes).map_err(|f| f.message)?;
-        let new = write::format_text(old).map_err(|e| format!("{}: {e}", path.display()))?;
-        if new == old {
+        let old_text = nickelshed_config::source::text(&content.bytes).map_err(|f| f.message)?;
+        let new_text = write::format_text(old_text).map_err(|e| format!("{}: {e}", path.display()))?;
+        if new_text == old_text {
             continue;
         }
-        done = Done::Found;
+        outcome = Outcome::HasFindings;
         if only_check {
-            print(&format!("{} would be laid out anew\n", path.display()));
+            print(&format!("{} would be formatted\n", path.display()));
         } else {
-            files::write(path, &new, true).map_err(|e| format!("cannot write {}: {e}", path.display()))?;
-            print(&format!("{} is laid out anew\n", path.display()));
+            files::write(path, &new_text, true)
+                .map_err(|e| format!("cannot write {}: {e}", path.display()))?;
+            print(&format!("{} was formatted\n", path.display()));
         }
     }
-    Ok(if only_check { done } else { Done::Well })
+    Ok(if only_check { outcome } else { Outcome::Success })
 }
 
-fn doctor(path: &Path, format: Format) -> Done {
+fn doctor(path: &Path, format: Format) -> Outcome {
     let mut checked = check(std::slice::from_ref(&path.to_path_buf()));
-    if let Some((sidecar, source)) = checked.files.first().and_then(Option::as_ref) {
+    if let Some((sidecar, source)) = checked.parsed.first().and_then(Option::as_ref) {
         let folder = path.parent().unwrap_or(Path::new(""));
         checked.findings.extend(doctor::examine(sidecar, source, folder));
     }
-    tell(&checked.findings, &checked.texts, format);
-    verdict(&checked.findings, false)
+    print_findings(&checked.findings, &checked.contents, format);
+    outcome_of(&checked.findings, false)
 }
 
-/// Looks at a fleet once, or again and again until the time is over.
-fn fleet(path: &Path, json: bool, again: Option<Duration>) -> Result<Done, String> {
-    let Some(sidecar) = sidecar(path) else { return Ok(Done::Found) };
+/// Prints the state of a fleet: once if `watch_for` is `None`, else on each change until that time has
+/// passed.
+fn fleet(path: &Path, json: bool, watch_for: Option<Duration>) -> Result<Outcome, String> {
+    let Some(sidecar) = load_sidecar(path) else { return Ok(Outcome::HasFindings) };
     let folder = path.parent().unwrap_or(Path::new(""));
-    let (start, mut before) = (Instant::now(), None);
+    let (start, mut last_printed) = (Instant::now(), None);
     loop {
-        let look = members::look(&sidecar, folder)?;
-        // How long each has been there is no change.
-        let told = (look.stand, look.members.iter().map(|m| m.status).collect::<Vec<_>>());
-        if before.as_ref() != Some(&told) {
-            before = Some(told);
-            print(&if json { format!("{}\n", look.json()) } else { look.text() });
+        let report = members::inspect_fleet(&sidecar, folder)?;
+        // `seconds_in_state` is left out of the comparison because it changes all the time.
+        let state = (report.health, report.members.iter().map(|member| member.status).collect::<Vec<_>>());
+        if last_printed.as_ref() != Some(&state) {
+            last_printed = Some(state);
+            print(&if json { format!("{}\n", report.json()) } else { report.text() });
         }
-        if again.is_none_or(|time| start.elapsed() >= time) {
-            return Ok(Done::Code(look.code()));
+        if watch_for.is_none_or(|duration| start.elapsed() >= duration) {
+            return Ok(Outcome::Code(report.exit_code()));
         }
         std::thread::sleep(Duration::from_secs(1));
     }
 }
 
-fn run(command: Command) -> Result<Done, String> {
+fn run_command(command: Command) -> Result<Outcome, String> {
     match command {
         Command::New(new) => match new.run()? {
             Ok(paths) => paths.iter().for_each(|p| print(&format!("{}\n", p.display()))),
             Err(checked) => {
-                tell(&checked.findings, &checked.texts, Format::Text);
-                return Ok(Done::Found);
+                print_findings(&checked.findings, &checked.contents, Format::Text);
+                return Ok(Outcome::HasFindings);
             }
         },
         Command::Check { files, format, deny_warnings } => {
             let checked = check(&files);
-            tell(&checked.findings, &checked.texts, format);
-            return Ok(verdict(&checked.findings, deny_warnings));
+            print_findings(&checked.findings, &checked.contents, format);
+            return Ok(outcome_of(&checked.findings, deny_warnings));
         }
         Command::Explain { code } => explain(code.as_deref())?,
-        Command::Diff { old, new } => return Ok(difference(&old, &new)),
+        Command::Diff { old, new } => return Ok(print_diff(&old, &new)),
         Command::Schema { fleet } => {
-            let shape = if fleet { TypeSchema::of::<Fleet>() } else { TypeSchema::of::<Sidecar>() };
-            print(&format!("{:#}\n", shape.json()));
+            let schema = if fleet { TypeSchema::of::<Fleet>() } else { TypeSchema::of::<Sidecar>() };
+            print(&format!("{:#}\n", schema.json()));
         }
-        Command::Fmt { files, check } => return tidy(&files, check),
+        Command::Fmt { files, check } => return format_files(&files, check),
         Command::Doctor { file, format } => return Ok(doctor(&file, format)),
-        Command::Fleet(Look::Members { file, json }) => return fleet(&file, json, None),
-        Command::Fleet(Look::Watch { file, json, seconds }) => {
+        Command::Fleet(FleetCommand::Members { file, json }) => return fleet(&file, json, None),
+        Command::Fleet(FleetCommand::Watch { file, json, seconds }) => {
             return fleet(&file, json, Some(seconds.map_or(Duration::MAX, Duration::from_secs)))
         }
         Command::Reference => print(&reference::page()),
@@ -307,22 +316,22 @@
             print(&String::from_utf8_lossy(&script));
         }
     }
-    Ok(Done::Well)
+    Ok(Outcome::Success)
 }
 
-/// Does what the arguments ask, the program's name first among them. What the process ends with.
-pub fn call<A: Into<OsString> + Clone>(arguments: impl IntoIterator<Item = A>) -> u8 {
+/// Runs the command in `arguments`, whose first item is the program name. Returns the exit code.
+pub fn run<A: Into<OsString> + Clone>(arguments: impl IntoIterator<Item = A>) -> u8 {
     let command = match Arguments::try_parse_from(arguments) {
         Ok(arguments) => arguments.command,
-        Err(told) => {
-            let _ = told.print();
-            return told.exit_code() as u8;
+        Err(error) => {
+            let _ = error.print();
+            return error.exit_code() as u8;
         }
     };
-    match run(command) {
-        Ok(Done::Well) => 0,
-        Ok(Done::Found) => 1,
-        Ok(Done::Code(code)) => code,
+    match run_command(command) {
+        Ok(Outcome::Success) => 0,
+        Ok(Outcome::HasFindings) => 1,
+        Ok(Outcome::Code(code)) => code,
         Err(error) => {
             eprintln!("nickelshed-ctl: {error}");
             2
--- a/crates/tools/nickelshed-ctl/src/members.rs
+++ b/crates/tools/nickelshed-ctl/src/members.rs
@@ -1,4 +1,5 @@
-//! Who is in a fleet, as its members see it: asked as an observer that counts nowhere.
+//! Queries the members of a fleet for their membership view. The tool takes part as an observer, which no
+//! member adds to its own view.
 use nickelshed_config::Sidecar;
 use nickelshed_fleet::{Authenticator, Observer, ReportedMember, State};
 use serde_json::{json, Value};
@@ -6,152 +7,165 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// A member that says nothing for so long is not reached.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// From one ask of a member to the next; a large view is told in several.
-const AGAIN: Duration = Duration::from_millis(250);
+/// A member that sends nothing for this time counts as unreachable, or its view as incomplete.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval of the requests to one member. A large view takes several requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How a fleet stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
-    /// All that are present hold the same view, and nobody in it is suspect or gone.
-    Well,
-    NotSettled,
-    /// No member answers.
-    NotReachable,
+pub enum FleetHealth {
+    /// All present members have the same view, without suspect or failed members.
+    Healthy,
+    NotConverged,
+    /// No member answered.
+    Unreachable,
 }
 
-/// What was found out.
-pub struct Look {
-    pub stand: Stand,
-    pub asked: Option<SocketAddr>,
+/// The state of a fleet as reported by the first member that answered.
+pub struct FleetReport {
+    pub health: FleetHealth,
+    /// Address of the member that answered.
+    pub queried: Option<SocketAddr>,
     pub members: Vec<ReportedMember>,
-    /// Present members that hold another view, or did not answer.
-    pub differ: Vec<String>,
+    /// Names of present members with a different view, or without an answer.
+    pub differing: Vec<String>,
 }
 
-/// Reads the key, and makes the seal of the file's fleet.
+/// Reads the key of the configured fleet, and returns the authenticator for its datagrams.
 ///
 /// # Errors
-/// If the file has no `[fleet]`, or its key can't be read.
-fn seal(sidecar: &Sidecar, folder: &Path) -> Result<Authenticator, String> {
+/// If the file has no `[fleet]`, or its key file cannot be read.
+fn authenticator(sidecar: &Sidecar, folder: &Path) -> Result<Authenticator, String> {
     let fleet =
-        sidecar.fleet.as_ref().ok_or("the file has no [fleet], so its sidecar is no member of one")?;
+        sidecar.fleet.as_ref().ok_or("the file has no [fleet], so its sidecar is not a member of a fleet")?;
     let key = match &fleet.key_file {
         None => Vec::new(),
         Some(file) => {
             let path = folder.join(file);
             std::fs::read(&path)
-                .map_err(|e| format!("cannot read the fleet's key {}: {e}", path.display()))?
+                .map_err(|e| format!("cannot read the key file of the fleet {}: {e}", path.display()))?
         }
     };
     Ok(Authenticator::new(&fleet.name, &key))
 }
 
-/// Asks one member for its view until all of it is told, or nothing more comes.
-fn view(seal: &Authenticator, at: SocketAddr, whole: bool) -> Result<Option<Observer>, String> {
-    let any = if at.is_ipv4() { IpAddr::from([0; 4]) } else { IpAddr::from([0u16; 8]) };
-    let local = SocketAddr::new(any, 0);
-    let socket = UdpSocket::bind(local).map_err(|e| format!("cannot open a socket: {e}"))?;
+/// Requests the view of one member until it is complete or nothing more is received. Without `full`, returns
+/// as soon as the digest of the view is known. Returns `None` if no digest was received.
+fn fetch_view(
+    authenticator: &Authenticator,
+    member_address: SocketAddr,
+    full: bool,
+) -> Result<Option<Observer>, String> {
+    let unspecified = if member_address.is_ipv4() { IpAddr::from([0; 4]) } else { IpAddr::from([0u16; 8]) };
+    let local_address = SocketAddr::new(unspecified, 0);
+    let socket = UdpSocket::bind(local_address).map_err(|e| format!("cannot open a socket: {e}"))?;
     socket.set_read_timeout(Some(Duration::from_millis(50))).map_err(|e| e.to_string())?;
-    let mut observer = Observer::new(seal.clone(), u64::from(std::process::id()));
-    let (mut heard, mut asked) = (Instant::now(), None::<Instant>);
+    let mut observer = Observer::new(authenticator.clone(), u64::from(std::process::id()));
+    let (mut last_received_at, mut last_request_at) = (Instant::now(), None::<Instant>);
     let mut buffer = [0; nickelshed_fleet::MAX_DATAGRAM_BYTES + 1];
-    while heard.elapsed() < PATIENCE {
-        if asked.is_none_or(|a| a.elapsed() > AGAIN) {
-            asked = Some(Instant::now());
+    while last_received_at.elapsed() < RECEIVE_TIMEOUT {
+        if last_request_at.is_none_or(|sent_at| sent_at.elapsed() > REQUEST_INTERVAL) {
+            last_request_at = Some(Instant::now());
             for bytes in observer.requests() {
-                let _ = socket.send_to(&bytes, at);
+                let _ = socket.send_to(&bytes, member_address);
             }
         }
         let Ok((length, _)) = socket.recv_from(&mut buffer) else { continue };
-        let Ok(back) = observer.receive(&buffer[..length]) else { continue };
-        heard = Instant::now();
-        back.iter().for_each(|bytes| _ = socket.send_to(bytes, at));
-        if observer.is_complete() || !whole && observer.view_digest().is_some() {
+        let Ok(replies) = observer.receive(&buffer[..length]) else { continue };
+        last_received_at = Instant::now();
+        replies.iter().for_each(|bytes| _ = socket.send_to(bytes, member_address));
+        if observer.is_complete() || !full && observer.view_digest().is_some() {
             return Ok(Some(observer));
         }
     }
     Ok(observer.view_digest().is_some().then_some(observer))
 }
 
-/// Looks at the fleet of a sidecar's file: its own member first, then the seeds.
+/// Reports the state of the fleet that a sidecar belongs to. Queries the own member of the configuration
+/// first, then the seeds, until one answers; then compares the view digests of all present members.
 ///
 /// # Errors
-/// What keeps it from looking at all.
-pub fn look(sidecar: &Sidecar, folder: &Path) -> Result<Look, String> {
-    let seal = seal(sidecar, folder)?;
+/// If the configuration has no usable `[fleet]`, or no socket can be opened.
+pub fn inspect_fleet(sidecar: &Sidecar, folder: &Path) -> Result<FleetReport, String> {
+    let authenticator = authenticator(sidecar, folder)?;
     let fleet = sidecar.fleet.as_ref().ok_or("the file has no [fleet]")?;
-    for &at in [fleet.listen].iter().chain(&fleet.seeds) {
-        let Some(observer) = view(&seal, at, true)? else { continue };
+    for &member_address in [fleet.listen].iter().chain(&fleet.seeds) {
+        let Some(observer) = fetch_view(&authenticator, member_address, true)? else { continue };
         let members = observer.members();
-        let mut differ = Vec::new();
-        for member in members.iter().filter(|m| m.status.state.is_present()) {
-            let theirs = view(&seal, member.info.address, false)?.and_then(|o| o.view_digest());
-            if theirs != observer.view_digest() {
-                differ.push(member.info.name.clone());
+        let mut differing = Vec::new();
+        for member in members.iter().filter(|member| member.status.state.is_present()) {
+            let their_digest =
+                fetch_view(&authenticator, member.info.address, false)?.and_then(|o| o.view_digest());
+            if their_digest != observer.view_digest() {
+                differing.push(member.info.name.clone());
             }
         }
-        let doubted = members.iter().any(|m| matches!(m.status.state, State::Suspect | State::Failed));
-        let settled = observer.is_complete() && differ.is_empty() && !doubted;
-        let stand = if settled { Stand::Well } else { Stand::NotSettled };
-        return Ok(Look { stand, asked: Some(at), members, differ });
+        let has_suspect_or_failed =
+            members.iter().any(|member| matches!(member.status.state, State::Suspect | State::Failed));
+        let is_converged = observer.is_complete() && differing.is_empty() && !has_suspect_or_failed;
+        let health = if is_converged { FleetHealth::Healthy } else { FleetHealth::NotConverged };
+        return Ok(FleetReport { health, queried: Some(member_address), members, differing });
     }
-    Ok(Look { stand: Stand::NotReachable, asked: None, members: Vec::new(), differ: Vec::new() })
+    Ok(FleetReport {
+        health: FleetHealth::Unreachable,
+        queried: None,
+        members: Vec::new(),
+        differing: Vec::new(),
+    })
 }
 
-impl Look {
-    fn words(&self) -> &'static str {
-        match self.stand {
-            Stand::Well => "all well",
-            Stand::NotSettled => "not settled",
-            Stand::NotReachable => "not reachable",
+impl FleetReport {
+    fn health_text(&self) -> &'static str {
+        match self.health {
+            FleetHealth::Healthy => "all well",
+            FleetHealth::NotConverged => "not settled",
+            FleetHealth::Unreachable => "not reachable",
         }
     }
 
     #[must_use]
     pub fn text(&self) -> String {
-        let mut out = match self.asked {
-            Some(at) => format!("asked {at}: {}\n", self.words()),
-            None => format!("{}: no member answered\n", self.words()),
+        let mut out = match self.queried {
+            Some(at) => format!("asked {at}: {}\n", self.health_text()),
+            None => format!("{}: no member answered\n", self.health_text()),
         };
-        for m in &self.members {
-            let [major, minor, patch] = m.info.version;
+        for member in &self.members {
+            let [major, minor, patch] = member.info.version;
             out += &format!(
                 "  {:<32}  {:<8}  for {:>5} s  {:<21}  {:<16}  {major}.{minor}.{patch}  settings {:08x}  start {}\n",
-                m.info.name,
-                m.status.state.as_str(),
-                m.seconds_in_state,
-                m.info.address.to_string(),
-                m.info.site,
-                m.info.settings,
-                m.status.incarnation.start_number
+                member.info.name,
+                member.status.state.as_str(),
+                member.seconds_in_state,
+                member.info.address.to_string(),
+                member.info.site,
+                member.info.settings,
+                member.status.incarnation.start_number
             );
         }
-        if !self.differ.is_empty() {
-            out += &format!("  hold another view, or did not answer: {}\n", self.differ.join(", "));
+        if !self.differing.is_empty() {
+            out += &format!("  have a different view, or did not answer: {}\n", self.differing.join(", "));
         }
         out
     }
 
     #[must_use]
     pub fn json(&self) -> Value {
-        let member = |m: &ReportedMember| {
-            json!({"name": m.info.name, "state": m.status.state.as_str(), "seconds": m.seconds_in_state,
-                "address": m.info.address.to_string(), "site": m.info.site, "version": m.info.version,
-                "settings": format!("{:08x}", m.info.settings), "start": m.status.incarnation.start_number})
+        let member = |member: &ReportedMember| {
+            json!({"name": member.info.name, "state": member.status.state.as_str(), "seconds": member.seconds_in_state,
+                "address": member.info.address.to_string(), "site": member.info.site, "version": member.info.version,
+                "settings": format!("{:08x}", member.info.settings), "start": member.status.incarnation.start_number})
         };
-        json!({"stand": self.words(), "asked": self.asked.map(|a| a.to_string()), "differ": self.differ,
+        json!({"stand": self.health_text(), "asked": self.queried.map(|a| a.to_string()), "differ": self.differing,
             "members": self.members.iter().map(member).collect::<Vec<_>>()})
     }
 
-    /// What the process ends with.
+    /// Returns the exit code of `fleet members` and `fleet watch`.
     #[must_use]
-    pub fn code(&self) -> u8 {
-        match self.stand {
-            Stand::Well => 0,
-            Stand::NotSettled => 1,
-            Stand::NotReachable => 3,
+    pub fn exit_code(&self) -> u8 {
+        match self.health {
+            FleetHealth::Healthy => 0,
+            FleetHealth::NotConverged => 1,
+            FleetHealth::Unreachable => 3,
         }
     }
 }
--- a/crates/tools/nickelshed-ctl/src/new.rs
+++ b/crates/tools/nickelshed-ctl/src/new.rs
@@ -1,5 +1,5 @@
-//! New configurations: one from flags, or those of a fleet's applications.
-use crate::files::{self, Checked, Text};
+//! Creates configurations: a single one from flags, or one for each application of a fleet file.
+use crate::files::{self, CheckedFiles, FileContent};
 use clap::Args;
 use nickelshed_config::fleet::{self, Fleet};
 use nickelshed_config::sidecar::*;
@@ -8,72 +8,73 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 
-/// Where a port is looked for unless it is given.
-const PORTS: std::ops::RangeInclusive<u16> = 7400..=7999;
+/// Ports to choose from if `--listen` is not given.
+const PORT_RANGE: std::ops::RangeInclusive<u16> = 7400..=7999;
 
 #[derive(Args)]
 pub struct New {
-    /// The application that gets a sidecar; with --fleet only this one of the fleet's
+    /// Application to create a sidecar configuration for; with --fleet, only this application of the fleet
     #[arg(required_unless_present = "fleet")]
     application: Option<String>,
-    /// Take everything from this file, for all its applications
+    /// Create the configurations of all applications in this fleet file
     #[arg(long, value_name = "FILE", conflicts_with_all = ["listen", "state", "class", "destination", "discovery", "notices_file", "notices_http", "loopback_only"])]
     fleet: Option<PathBuf>,
-    /// The folder that files are written to; each is named for its application
+    /// Folder to write to; each file is named after its application
     #[arg(long, value_name = "FOLDER", default_value = ".")]
     out: PathBuf,
-    /// Write over files that are there
+    /// Overwrite existing files
     #[arg(long)]
     force: bool,
-    /// Leave out what each key means
+    /// Omit the comments that describe each key
     #[arg(long)]
     bare: bool,
-    /// IP address and port; else a port of 127.0.0.1 that is free and in no other file of the folder
+    /// IP address and port to listen on [default: a port of 127.0.0.1 that is free and not used by another
+    /// file in the folder]
     #[arg(long, value_name = "ADDRESS")]
     listen: Option<SocketAddr>,
-    /// The folder for what was taken on [default: state/APPLICATION]
+    /// Folder for the journal of accepted messages [default: state/APPLICATION]
     #[arg(long, value_name = "FOLDER")]
     state: Option<PathBuf>,
-    /// A class: NAME:WANTED:ABANDONED:EFFECT, as in alert:3s:16s:keyed; keyed ones may add :WINDOW
+    /// A class, NAME:WANTED:ABANDONED:EFFECT, for example alert:3s:16s:keyed; keyed classes may add :WINDOW
     #[arg(long, value_name = "CLASS", value_parser = class)]
     class: Vec<Class>,
-    /// A destination: NAME:NUMBER=ADDRESS,ADDRESS as in gmina-lipno:7=127.0.0.1:7501
+    /// A destination, NAME:NUMBER=ADDRESS,ADDRESS, for example gmina-lipno:7=127.0.0.1:7501
     #[arg(long, value_name = "DESTINATION", value_parser = destination)]
     destination: Vec<Destination>,
-    /// The agent that tells the endpoints, in place of destinations
+    /// Address of the discovery agent that lists the endpoints, instead of destinations
     #[arg(long, value_name = "ADDRESS")]
     discovery: Option<SocketAddr>,
-    /// The file that tells of messages that were not delivered [default: APPLICATION.notices.jsonl]
+    /// File for notices of messages that were not delivered [default: APPLICATION.notices.jsonl]
     #[arg(long, value_name = "FILE")]
     notices_file: Option<PathBuf>,
-    /// Where it is posted, beside the file if that is given
+    /// URL that notices are posted to, in addition to the file if that is given
     #[arg(long, value_name = "URL")]
     notices_http: Option<String>,
-    /// All addresses must be loopback ones
+    /// Allow only loopback addresses
     #[arg(long)]
     loopback_only: bool,
 }
 
 fn class(text: &str) -> Result<Class, String> {
-    let parts: Vec<&str> = text.split(':').collect();
-    let [name, wanted, abandoned, effect, rest @ ..] = parts.as_slice() else {
-        return Err("write NAME:WANTED:ABANDONED:EFFECT, as in alert:3s:16s:keyed".into());
+    let fields: Vec<&str> = text.split(':').collect();
+    let [name, wanted_within, abandoned_text, effect, optional @ ..] = fields.as_slice() else {
+        return Err("expected NAME:WANTED:ABANDONED:EFFECT, for example alert:3s:16s:keyed".into());
     };
     let effect = match *effect {
         "safe" => Effect::Safe,
         "keyed" => Effect::Keyed,
         "unsafe" => Effect::Unsafe,
-        other => return Err(format!("`{other}` is none of safe, keyed, unsafe")),
+        other => return Err(format!("effect `{other}` must be one of safe, keyed, unsafe")),
     };
-    let abandoned_after: Period = abandoned.parse()?;
-    let window = match rest {
+    let abandoned_after: Period = abandoned_text.parse()?;
+    let window = match optional {
         [] => (effect == Effect::Keyed).then_some(abandoned_after),
         [window] => Some(window.parse()?),
-        _ => return Err("there is more behind the window".into()),
+        _ => return Err("unexpected text after the window".into()),
     };
     Ok(Class {
         name: name.to_string(),
-        wanted_within: wanted.parse()?,
+        wanted_within: wanted_within.parse()?,
         abandoned_after,
         effect,
         repeat_window: window,
@@ -86,12 +87,15 @@
 }
 
 fn destination(text: &str) -> Result<Destination, String> {
-    let form = || "write NAME:NUMBER=ADDRESS,ADDRESS, as in gmina-lipno:7=127.0.0.1:7501".to_string();
-    let (head, endpoints) = text.split_once('=').ok_or_else(form)?;
-    let (name, number) = head.split_once(':').ok_or_else(form)?;
-    let number = number.parse().map_err(|_| format!("`{number}` is no number"))?;
-    let address = |a: &str| {
-        a.parse().map(EndpointForm::Address).map_err(|_| format!("`{a}` is no IP address with a port"))
+    let usage =
+        || "expected NAME:NUMBER=ADDRESS,ADDRESS, for example gmina-lipno:7=127.0.0.1:7501".to_string();
+    let (head, endpoints) = text.split_once('=').ok_or_else(usage)?;
+    let (name, number) = head.split_once(':').ok_or_else(usage)?;
+    let number = number.parse().map_err(|_| format!("`{number}` is not a number"))?;
+    let address = |text: &str| {
+        text.parse()
+            .map(EndpointForm::Address)
+            .map_err(|_| format!("`{text}` is not an IP address with a port"))
     };
     let endpoints = endpoints.split(',').map(address).collect::<Result<_, _>>()?;
     Ok(Destination { name: name.to_string(), number, kind: None, rate: None, endpoints })
@@ -101,8 +105,8 @@
     TcpListener::bind((ip, port)).is_ok()
 }
 
-/// Ports that other configurations in a folder claim.
-fn claimed(folder: &Path) -> Vec<u16> {
+/// Returns the listen ports of all valid configurations in a folder.
+fn configured_ports(folder: &Path) -> Vec<u16> {
     let files = std::fs::read_dir(folder).into_iter().flatten().flatten().map(|f| f.path());
     let files = files.filter(|p| p.extension().is_some_and(|e| e == "toml"));
     let sidecar = |path: PathBuf| nickelshed_config::load(&files::read(&path).0.bytes).file;
@@ -110,25 +114,25 @@
 }
 
 impl New {
-    fn one(&self, application: &str) -> Result<Sidecar, String> {
+    fn sidecar_from_flags(&self, application: &str) -> Result<Sidecar, String> {
         if self.destination.is_empty() && self.discovery.is_none() {
-            return Err("give a --destination, or --discovery; see `nickelshed-ctl new --help`".into());
+            return Err("--destination or --discovery is required; see `nickelshed-ctl new --help`".into());
         }
-        let local = IpAddr::V4(Ipv4Addr::LOCALHOST);
+        let loopback = IpAddr::V4(Ipv4Addr::LOCALHOST);
         let listen = match self.listen {
             Some(listen) => listen,
             None => {
-                let claimed = claimed(&self.out);
-                let mut ports = PORTS.filter(|p| !claimed.contains(p) && is_free(local, *p));
+                let ports_in_use = configured_ports(&self.out);
+                let mut ports = PORT_RANGE.filter(|p| !ports_in_use.contains(p) && is_free(loopback, *p));
                 SocketAddr::new(
-                    local,
-                    ports.next().ok_or("no port from 7400 to 7999 is free; give --listen")?,
+                    loopback,
+                    ports.next().ok_or("no port from 7400 to 7999 is free; set --listen")?,
                 )
             }
         };
-        let usual = || class("alert:3s:16s:keyed").into_iter().collect();
-        let file = self.notices_file.clone();
-        let file = file
+        let default_classes = || class("alert:3s:16s:keyed").into_iter().collect();
+        let notices_file = self.notices_file.clone();
+        let notices_file = notices_file
             .or_else(|| self.notices_http.is_none().then(|| format!("{application}.notices.jsonl").into()));
         Ok(Sidecar {
             application: application.to_string(),
@@ -141,14 +145,14 @@
             allow: Vec::new(),
             limits: Limits::default(),
             journal: Journal::default(),
-            notices: Notices { http: self.notices_http.clone(), file },
+            notices: Notices { http: self.notices_http.clone(), file: notices_file },
             discovery: self.discovery.map(|address| Discovery { address }),
             fleet: None,
             rules: Rules::default(),
             connections: Connections::default(),
             traffic: Traffic::default(),
             prices: Prices::default(),
-            classes: if self.class.is_empty() { usual() } else { self.class.clone() },
+            classes: if self.class.is_empty() { default_classes() } else { self.class.clone() },
             tenants: Vec::new(),
             kinds: Vec::new(),
             zones: Vec::new(),
@@ -156,65 +160,69 @@
         })
     }
 
-    fn several(&self, path: &Path) -> Result<Result<Vec<Sidecar>, Checked>, String> {
-        let failed = |text: Text, findings: Vec<Finding>| {
-            let mut checked = Checked::default();
-            (checked.texts, checked.findings) = (vec![text], findings);
+    fn sidecars_from_fleet_file(&self, path: &Path) -> Result<Result<Vec<Sidecar>, CheckedFiles>, String> {
+        let failure = |content: FileContent, findings: Vec<Finding>| {
+            let mut checked = CheckedFiles::default();
+            (checked.contents, checked.findings) = (vec![content], findings);
             checked
         };
-        let (text, error) = files::read(path);
+        let (content, error) = files::read(path);
         if let Some(finding) = error {
-            return Ok(Err(failed(text, vec![finding])));
+            return Ok(Err(failure(content, vec![finding])));
         }
-        let read = match source::text(&text.bytes) {
-            Ok(words) => source::read::<Fleet>(words),
-            Err(finding) => return Ok(Err(failed(text, vec![*finding]))),
+        let read = match source::text(&content.bytes) {
+            Ok(content) => source::read::<Fleet>(content),
+            Err(finding) => return Ok(Err(failure(content, vec![*finding]))),
         };
-        let (Some(fleet), Some(place), true) = (&read.value, &read.source, read.findings.is_empty()) else {
-            return Ok(Err(failed(text, read.findings)));
+        let (Some(fleet), Some(source), true) = (&read.value, &read.source, read.findings.is_empty()) else {
+            return Ok(Err(failure(content, read.findings)));
         };
-        let made = match fleet::sidecars(fleet, place, |port| is_free(fleet.listen_at, port)) {
-            Ok(made) => made,
-            Err(findings) => return Ok(Err(failed(text, findings))),
+        let sidecars = match fleet::sidecars(fleet, source, |port| is_free(fleet.listen_at, port)) {
+            Ok(sidecars) => sidecars,
+            Err(findings) => return Ok(Err(failure(content, findings))),
         };
         match &self.application {
-            None => Ok(Ok(made)),
-            Some(name) => match made.into_iter().find(|s| s.application == *name) {
-                Some(one) => Ok(Ok(vec![one])),
+            None => Ok(Ok(sidecars)),
+            Some(name) => match sidecars.into_iter().find(|s| s.application == *name) {
+                Some(sidecar) => Ok(Ok(vec![sidecar])),
                 None => Err(format!("{} has no application `{name}`", path.display())),
             },
         }
     }
 
-    /// Writes the files, all of them or, if one would be wrong or is there, none. Their paths, or what is wrong.
+    /// Writes the files and returns their paths. Writes none of them if one would have errors, or exists and
+    /// `--force` is not given. The inner `Err` holds the findings.
     ///
     /// # Errors
-    /// If the flags don't say enough, or a file can't be written.
-    pub fn run(&self) -> Result<Result<Vec<PathBuf>, Checked>, String> {
-        let made = match (&self.fleet, &self.application) {
-            (Some(fleet), _) => match self.several(fleet)? {
-                Ok(made) => made,
+    /// If flags are missing, a file exists without `--force`, or a file cannot be written.
+    pub fn run(&self) -> Result<Result<Vec<PathBuf>, CheckedFiles>, String> {
+        let sidecars = match (&self.fleet, &self.application) {
+            (Some(fleet), _) => match self.sidecars_from_fleet_file(fleet)? {
+                Ok(sidecars) => sidecars,
                 Err(checked) => return Ok(Err(checked)),
             },
-            (None, Some(application)) => vec![self.one(application)?],
-            (None, None) => return Err("name an application, or give --fleet".into()),
+            (None, Some(application)) => vec![self.sidecar_from_flags(application)?],
+            (None, None) => return Err("an application name or --fleet is required".into()),
         };
-        let mut checked = Checked::default();
-        for sidecar in &made {
+        let mut checked = CheckedFiles::default();
+        for sidecar in &sidecars {
             let bytes = write::to_toml(sidecar, !self.bare)?.into_bytes();
-            checked.add(Text { path: self.out.join(format!("{}.toml", sidecar.application)), bytes }, None);
+            checked.add(
+                FileContent { path: self.out.join(format!("{}.toml", sidecar.application)), bytes },
+                None,
+            );
         }
-        checked.together();
+        checked.check_conflicts();
         if checked.errors() > 0 {
             return Ok(Err(checked));
         }
-        if let Some(there) = checked.texts.iter().find(|t| !self.force && t.path.exists()) {
-            return Err(format!("{} is there already; --force writes over it", there.path.display()));
+        if let Some(existing) = checked.contents.iter().find(|t| !self.force && t.path.exists()) {
+            return Err(format!("{} already exists; use --force to overwrite it", existing.path.display()));
         }
-        for text in &checked.texts {
-            let written = files::write(&text.path, text.str(), self.force);
-            written.map_err(|e| format!("cannot write {}: {e}", text.path.display()))?;
+        for content in &checked.contents {
+            let result = files::write(&content.path, content.as_str(), self.force);
+            result.map_err(|e| format!("cannot write {}: {e}", content.path.display()))?;
         }
-        Ok(Ok(checked.texts.into_iter().map(|t| t.path).collect()))
+        Ok(Ok(checked.contents.into_iter().map(|t| t.path).collect()))
     }
 }
--- a/crates/tools/nickelshed-ctl/tests/ctl.rs
+++ b/crates/tools/nickelshed-ctl/tests/ctl.rs
@@ -1,4 +1,4 @@
-//! The tool as it is called.
+//! Runs the program `nickelshed-ctl` and checks its exit codes and output.
 use std::fs;
 use std::net::TcpListener;
 use std::os::unix::fs::symlink;
@@ -8,14 +8,14 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nickelshed-ctl");
 const EXAMPLE: &str = include_str!("../../../../deploy/sidecar.toml");
 
-struct Scratch(PathBuf);
+struct TestFolder(PathBuf);
 
-impl Scratch {
-    fn new(name: &str) -> Scratch {
-        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
-        let _ = fs::remove_dir_all(&folder);
-        fs::create_dir_all(&folder).unwrap();
-        Scratch(folder)
+impl TestFolder {
+    fn new(name: &str) -> TestFolder {
+        let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
+        let _ = fs::remove_dir_all(&path);
+        fs::create_dir_all(&path).unwrap();
+        TestFolder(path)
     }
 
     fn write(&self, name: &str, text: &str) {
@@ -26,13 +26,13 @@
         fs::read_to_string(self.0.join(name)).unwrap()
     }
 
-    /// What the tool says in this folder, and what it ends with.
-    fn call(&self, arguments: &[&str]) -> (i32, String) {
-        said(Command::new(PROGRAM).args(arguments).current_dir(&self.0).output().unwrap())
+    /// Runs the tool in this folder. Returns its exit code and output.
+    fn run(&self, arguments: &[&str]) -> (i32, String) {
+        exit_code_and_output(Command::new(PROGRAM).args(arguments).current_dir(&self.0).output().unwrap())
     }
 }
 
-impl Drop for Scratch {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         if !std::thread::panicking() {
             let _ = fs::remove_dir_all(&self.0);
@@ -40,7 +40,7 @@
     }
 }
 
-fn said(output: Output) -> (i32, String) {
+fn exit_code_and_output(output: Output) -> (i32, String) {
     let text = [output.stdout, output.stderr].concat();
     (output.status.code().unwrap_or(-1), String::from_utf8(text).unwrap())
 }
@@ -50,20 +50,20 @@
 }
 
 #[test]
-fn two_members_of_one_name_or_at_one_address_are_found_between_files() {
-    let scratch = Scratch::new("members");
+fn two_members_with_the_same_name_or_address_are_reported_across_files() {
+    let folder = TestFolder::new("members");
     let member = |application: &str, port: u16, listen: u16, name: &str| {
         let fleet = format!("[fleet]\nname = \"alarm\"\nmember = \"{name}\"\nlisten = \"127.0.0.1:{listen}\"\n\n[connections]");
         let text = EXAMPLE.replace("prognozy-wschod", application).replace("7400", &port.to_string());
         text.replace("target/sidecar", &format!("target/{application}")).replace("[connections]", &fleet)
     };
-    scratch.write("a.toml", &member("a", 7400, 7450, "one"));
-    scratch.write("b.toml", &member("b", 7401, 7450, "two"));
-    scratch.write("c.toml", &member("c", 7402, 7452, "one"));
-    let (code, text) = scratch.call(&["check", "a.toml", "b.toml"]);
+    folder.write("a.toml", &member("a", 7400, 7450, "one"));
+    folder.write("b.toml", &member("b", 7401, 7450, "two"));
+    folder.write("c.toml", &member("c", 7402, 7452, "one"));
+    let (code, text) = folder.run(&["check", "a.toml", "b.toml"]);
     assert_eq!(code, 1, "{text}");
     assert!(text.contains("NS806") && text.contains("both receive datagrams at 127.0.0.1:7450"), "{text}");
-    let (code, text) = scratch.call(&["check", "a.toml", "c.toml"]);
+    let (code, text) = folder.run(&["check", "a.toml", "c.toml"]);
     assert_eq!(code, 1, "{text}");
     assert!(
         text.contains("NS805") && text.contains("two members named `one` in the fleet `alarm`"),
@@ -71,15 +71,15 @@
     );
 }
 
-/// The two that the users name: their whole text is what an operator goes by.
+/// Compares the whole output of two errors that users have named, because operators act on that text.
 #[test]
-fn a_port_claimed_twice_and_a_deadline_past_the_abandonment_are_told_plainly() {
-    let scratch = Scratch::new("plainly");
+fn a_port_conflict_and_a_deadline_after_abandonment_are_reported_in_full() {
+    let folder = TestFolder::new("full-output");
     let second =
         EXAMPLE.replace("prognozy-wschod", "prognozy-zachod").replace("target/sidecar", "target/zachod");
-    scratch.write("wschod.toml", EXAMPLE);
-    scratch.write("zachod.toml", &second);
-    let (code, text) = scratch.call(&["check", "wschod.toml", "zachod.toml"]);
+    folder.write("wschod.toml", EXAMPLE);
+    folder.write("zachod.toml", &second);
+    let (code, text) = folder.run(&["check", "wschod.toml", "zachod.toml"]);
     let expected = r#"error[NS801]: applications `prognozy-wschod` and `prognozy-zachod` both use port 7400 on one host: 127.0.0.1:7400 and 127.0.0.1:7400
  --> zachod.toml:4:10
   |
@@ -99,8 +99,8 @@
     assert_eq!((code, text.as_str()), (1, expected));
 
     let late = EXAMPLE.replace("abandoned_after = \"16s\"", "abandoned_after = \"20s\"");
-    scratch.write("late.toml", &late);
-    let (code, text) = scratch.call(&["check", "late.toml"]);
+    folder.write("late.toml", &late);
+    let (code, text) = folder.run(&["check", "late.toml"]);
     let expected = r#"error[NS201]: class `alert-prognozy` is abandoned after 20s, later than 16s, after which nobody waits for a message any more
   --> late.toml:46:19
    |
@@ -116,14 +116,14 @@
 }
 
 #[test]
-fn ports_clash_over_all_addresses_and_only_on_one_machine() {
-    let scratch = Scratch::new("ports");
+fn ports_conflict_with_unspecified_addresses_and_only_on_the_same_host() {
+    let folder = TestFolder::new("ports");
     let file = |name: &str, listen: &str, host: &str| {
         let text = EXAMPLE.replace("prognozy-wschod", name).replace("target/sidecar", name);
         let text = text
             .replace("127.0.0.1:7400", listen)
             .replace("allow = [\"NS203\"]", "allow = [\"NS203\", \"NS603\"]");
-        scratch.write(&format!("{name}.toml"), &text.replace("loopback_only = true", host));
+        folder.write(&format!("{name}.toml"), &text.replace("loopback_only = true", host));
     };
     let rows = [
         ("127.0.0.1:7400", "", "0.0.0.0:7400", "", true),
@@ -134,61 +134,65 @@
         ("127.0.0.1:7400", "", "127.0.0.1:7401", "", false),
         ("127.0.0.1:7400", "host = \"a\"", "127.0.0.1:7400", "host = \"b\"", false),
         ("127.0.0.1:7400", "host = \"a\"", "0.0.0.0:7400", "host = \"a\"", true),
-        // One that names no machine may run on any.
+        // A file without `host` may be used on any machine.
         ("127.0.0.1:7400", "", "127.0.0.1:7400", "host = \"b\"", true),
         ("127.0.0.1:7400", "host = \"a\"", "127.0.0.1:7400", "", true),
     ];
-    for (one, host, two, other, clash) in rows {
-        file("one", one, host);
-        file("two", two, other);
-        let (code, text) = scratch.call(&["check", "one.toml", "two.toml"]);
-        assert_eq!((code, text.contains("NS801")), (i32::from(clash), clash), "{one} {two}: {text}");
+    for (first_listen, first_host, second_listen, second_host, conflicts) in rows {
+        file("one", first_listen, first_host);
+        file("two", second_listen, second_host);
+        let (code, text) = folder.run(&["check", "one.toml", "two.toml"]);
+        assert_eq!(
+            (code, text.contains("NS801")),
+            (i32::from(conflicts), conflicts),
+            "{first_listen} {second_listen}: {text}"
+        );
     }
 }
 
 #[test]
-fn one_name_twice_on_a_host_is_a_warning_that_can_be_accepted() {
-    let scratch = Scratch::new("names");
+fn a_duplicate_name_on_a_host_is_a_warning_that_can_be_allowed() {
+    let folder = TestFolder::new("names");
     let second = EXAMPLE.replace("7400", "7401").replace("target/sidecar", "target/other");
-    scratch.write("one.toml", EXAMPLE);
-    scratch.write("two.toml", &second);
-    let (code, text) = scratch.call(&["check", "one.toml", "two.toml"]);
+    folder.write("one.toml", EXAMPLE);
+    folder.write("two.toml", &second);
+    let (code, text) = folder.run(&["check", "one.toml", "two.toml"]);
     assert!(code == 0 && text.contains("warning[NS803]"), "{text}");
-    scratch.write("two.toml", &second.replace("[\"NS203\"]", "[\"NS203\", \"NS803\"]"));
-    assert_eq!(scratch.call(&["check", "--deny-warnings", "one.toml", "two.toml"]).0, 0);
+    folder.write("two.toml", &second.replace("[\"NS203\"]", "[\"NS203\", \"NS803\"]"));
+    assert_eq!(folder.run(&["check", "--deny-warnings", "one.toml", "two.toml"]).0, 0);
 }
 
 #[test]
-fn one_state_folder_is_found_through_dots_and_links() {
-    let scratch = Scratch::new("folders");
-    fs::create_dir_all(scratch.0.join("real/deep")).unwrap();
-    symlink("real/deep", scratch.0.join("link")).unwrap();
+fn a_shared_state_folder_is_detected_through_dots_and_symbolic_links() {
+    let folder = TestFolder::new("folders");
+    fs::create_dir_all(folder.0.join("real/deep")).unwrap();
+    symlink("real/deep", folder.0.join("link")).unwrap();
     let file = |name: &str, port: u16, state: &str| {
         let text = EXAMPLE.replace("prognozy-wschod", name).replace("7400", &port.to_string());
         let text = text.replace("../target/sidecar/notices.jsonl", &format!("{name}.jsonl"));
-        scratch.write(&format!("{name}.toml"), &text.replace("../target/sidecar/state", state));
+        folder.write(&format!("{name}.toml"), &text.replace("../target/sidecar/state", state));
     };
     file("one", 7400, "real/deep/new/state");
-    for (state, clash) in [
+    for (state, conflicts) in [
         ("real/deep/new/state", true),
         ("link/new/state", true),
         ("real/deep/../deep/./new/state/", true),
         ("link/new/gone/../state", true),
-        // Through the link the way up leads elsewhere.
+        // `..` after a symbolic link is the parent of the link target.
         ("link/../real/deep/new/state", false),
         ("real/deep/new/state2", false),
     ] {
         file("two", 7401, state);
-        let (code, text) = scratch.call(&["check", "one.toml", "two.toml"]);
-        assert_eq!((code, text.contains("NS802")), (i32::from(clash), clash), "{state}: {text}");
+        let (code, text) = folder.run(&["check", "one.toml", "two.toml"]);
+        assert_eq!((code, text.contains("NS802")), (i32::from(conflicts), conflicts), "{state}: {text}");
     }
 }
 
 #[test]
-fn a_program_reads_the_findings_as_json() {
-    let scratch = Scratch::new("json");
-    scratch.write("a.toml", &EXAMPLE.replace("slots", "slotz").replace("allow = [\"NS203\"]", ""));
-    let (code, text) = scratch.call(&["check", "--format", "json", "a.toml", "none.toml"]);
+fn findings_are_printed_as_json() {
+    let folder = TestFolder::new("json");
+    folder.write("a.toml", &EXAMPLE.replace("slots", "slotz").replace("allow = [\"NS203\"]", ""));
+    let (code, text) = folder.run(&["check", "--format", "json", "a.toml", "none.toml"]);
     let value: serde_json::Value = serde_json::from_str(&text).unwrap();
     assert_eq!(
         (code, &value["errors"], &value["warnings"], &value["files"]),
@@ -197,31 +201,31 @@
     let slotz = &value["findings"][0];
     assert_eq!((&slotz["code"], &slotz["line"], &slotz["column"]), (&"NS101".into(), &17.into(), &1.into()));
     assert_eq!(value["findings"][2]["code"], "NS001");
-    // A warning alone is none, unless that is asked for.
-    scratch.write("b.toml", &EXAMPLE.replace("allow = [\"NS203\"]", ""));
-    assert_eq!(scratch.call(&["check", "b.toml"]).0, 0);
-    assert_eq!(scratch.call(&["check", "--deny-warnings", "b.toml"]).0, 1);
-    assert_eq!(scratch.call(&["check"]).0, 2);
+    // Warnings alone give exit code 0, or 1 with --deny-warnings.
+    folder.write("b.toml", &EXAMPLE.replace("allow = [\"NS203\"]", ""));
+    assert_eq!(folder.run(&["check", "b.toml"]).0, 0);
+    assert_eq!(folder.run(&["check", "--deny-warnings", "b.toml"]).0, 1);
+    assert_eq!(folder.run(&["check"]).0, 2);
 }
 
 #[test]
-fn every_code_is_explained() {
-    let scratch = Scratch::new("explain");
-    let (code, all) = scratch.call(&["explain"]);
+fn every_code_has_an_explanation() {
+    let folder = TestFolder::new("explain");
+    let (code, code_list) = folder.run(&["explain"]);
     assert_eq!(code, 0);
-    for line in all.lines() {
-        let name = line.split(' ').next().unwrap();
-        let (code, text) = scratch.call(&["explain", &name.to_lowercase()]);
-        assert!(code == 0 && text.starts_with(name) && text.contains("How to mend it: "), "{text}");
+    for line in code_list.lines() {
+        let code_name = line.split(' ').next().unwrap();
+        let (code, text) = folder.run(&["explain", &code_name.to_lowercase()]);
+        assert!(code == 0 && text.starts_with(code_name) && text.contains("How to fix it: "), "{text}");
     }
-    assert!(all.lines().count() > 40);
-    assert_eq!(scratch.call(&["explain", "NS000"]).0, 2);
+    assert!(code_list.lines().count() > 40);
+    assert_eq!(folder.run(&["explain", "NS000"]).0, 2);
 }
 
 #[test]
-fn a_change_is_told_in_words() {
-    let scratch = Scratch::new("diff");
-    scratch.write("a.toml", EXAMPLE);
+fn diff_describes_each_change() {
+    let folder = TestFolder::new("diff");
+    folder.write("a.toml", EXAMPLE);
     let new = EXAMPLE
         .replacen("abandoned_after = \"16s\"", "abandoned_after = \"12s\"", 1)
         .replace("share = \"40%\"", "share = \"30%\"")
@@ -229,74 +233,74 @@
         .replace("{ address = \"127.0.0.1:7503\" }", "{ address = \"127.0.0.1:7503\", draining = true }")
         .replace("slots = 16", "slots = 20")
         + "[[destination]]\nname = \"gmina-nowa\"\nnumber = 9\nendpoints = [\"127.0.0.1:7509\"]\n";
-    scratch.write("b.toml", &new);
-    let (code, text) = scratch.call(&["diff", "a.toml", "b.toml"]);
-    let expected = "On SIGHUP, at once:
+    folder.write("b.toml", &new);
+    let (code, text) = folder.run(&["diff", "a.toml", "b.toml"]);
+    let expected = "Immediately on reload (SIGHUP):
   the destination gmina-nowa is new, with the number 9
   the endpoint 127.0.0.1:7503 of siec-wschod drains: it gets no new calls
   gmina-nowa gets the endpoint 127.0.0.1:7509
   siec-wschod loses the endpoint 127.0.0.1:7502: it gets no new calls
-At the next start:
+After a restart:
   alert-prognozy is abandoned at 12 s, was 16 s
   at most 20 calls are in flight at once, was 16
   drogi has a share of 30%, was 40%
 ";
     assert_eq!((code, text.as_str()), (0, expected));
-    assert_eq!(scratch.call(&["diff", "a.toml", "a.toml"]), (0, "Both mean the same.\n".into()));
+    assert_eq!(folder.run(&["diff", "a.toml", "a.toml"]), (0, "No differences.\n".into()));
 }
 
 #[test]
-fn a_new_file_checks_clean_and_is_never_written_over_unasked() {
-    let scratch = Scratch::new("new");
+fn a_new_file_passes_the_check_and_is_not_overwritten_without_force() {
+    let folder = TestFolder::new("new");
     let new = ["new", "alarm", "--destination", "gmina:7=127.0.0.1:7501,127.0.0.1:7502", "--loopback-only"];
-    assert_eq!(scratch.call(&new).0, 0);
-    let first = scratch.read("alarm.toml");
+    assert_eq!(folder.run(&new).0, 0);
+    let first = folder.read("alarm.toml");
     assert!(first.contains("# Time after which a message expires and is abandoned."), "{first}");
-    assert_eq!(scratch.call(&["check", "--deny-warnings", "alarm.toml"]).0, 0);
-    assert_eq!(scratch.call(&["fmt", "--check", "alarm.toml"]).0, 0);
-    let (code, text) = scratch.call(&new);
+    assert_eq!(folder.run(&["check", "--deny-warnings", "alarm.toml"]).0, 0);
+    assert_eq!(folder.run(&["fmt", "--check", "alarm.toml"]).0, 0);
+    let (code, text) = folder.run(&new);
     assert!(code == 2 && text.contains("--force"), "{text}");
-    assert_eq!(scratch.read("alarm.toml"), first);
-    // A second application gets a port of its own, whether or not the first one runs.
+    assert_eq!(folder.read("alarm.toml"), first);
+    // A second application gets a different port, also while the first one is not running.
     let mut second = new;
     second[1] = "zapas";
-    assert_eq!(scratch.call(&second).0, 0);
-    assert_eq!(scratch.call(&["check", "--deny-warnings", "alarm.toml", "zapas.toml"]).0, 0);
-    assert_eq!(scratch.call(&[&new[..], &["--force", "--class", "inna:1s:4s:safe"]].concat()).0, 0);
-    assert!(scratch.read("alarm.toml").contains("inna"));
-    // What would not check is not written.
+    assert_eq!(folder.run(&second).0, 0);
+    assert_eq!(folder.run(&["check", "--deny-warnings", "alarm.toml", "zapas.toml"]).0, 0);
+    assert_eq!(folder.run(&[&new[..], &["--force", "--class", "inna:1s:4s:safe"]].concat()).0, 0);
+    assert!(folder.read("alarm.toml").contains("inna"));
+    // A configuration with errors is not written.
     let (code, text) =
-        scratch.call(&["new", "zly", "--class", "a:5s:4s:safe", "--destination", "g:1=127.0.0.1:1"]);
-    assert!(code == 1 && text.contains("NS202") && !scratch.0.join("zly.toml").exists(), "{text}");
-    assert_eq!(scratch.call(&["new", "nic"]).0, 2);
-    assert_eq!(fs::read_dir(&scratch.0).unwrap().count(), 2, "nothing else is left behind");
+        folder.run(&["new", "zly", "--class", "a:5s:4s:safe", "--destination", "g:1=127.0.0.1:1"]);
+    assert!(code == 1 && text.contains("NS202") && !folder.0.join("zly.toml").exists(), "{text}");
+    assert_eq!(folder.run(&["new", "nic"]).0, 2);
+    assert_eq!(fs::read_dir(&folder.0).unwrap().count(), 2, "no other file is left in the folder");
 }
 
-/// The size of files is limited below what is to be written: as on a disk that is full.
+/// Simulates a full disk by a file size limit below the size of the written file.
 #[test]
-fn a_write_that_is_cut_short_leaves_the_old_file_whole() {
-    let scratch = Scratch::new("cut");
-    scratch.write("alarm.toml", "the old one");
-    scratch.write(
+fn an_interrupted_write_leaves_the_old_file_unchanged() {
+    let folder = TestFolder::new("cut");
+    folder.write("alarm.toml", "the old one");
+    folder.write(
         "messy.toml",
         &format!("a=1\n{}", "# ............................................................\n".repeat(40)),
     );
-    let messy = scratch.read("messy.toml");
+    let messy = folder.read("messy.toml");
     for command in ["new alarm --force --destination gmina:7=127.0.0.1:7501", "fmt messy.toml"] {
-        // With the signal ignored the write fails; with it the process is killed in the middle of it.
+        // With SIGXFSZ ignored the write fails; otherwise the signal kills the process during the write.
         for ignored in ["trap '' XFSZ;", ""] {
             let script = format!("{ignored} ulimit -f 1; exec {PROGRAM} {command}");
-            let output = Command::new("sh").args(["-c", &script]).current_dir(&scratch.0).output().unwrap();
+            let output = Command::new("sh").args(["-c", &script]).current_dir(&folder.0).output().unwrap();
             assert!(!output.status.success());
-            assert_eq!(scratch.read("alarm.toml"), "the old one");
-            assert_eq!(scratch.read("messy.toml"), messy);
+            assert_eq!(folder.read("alarm.toml"), "the old one");
+            assert_eq!(folder.read("messy.toml"), messy);
         }
     }
 }
 
 #[test]
-fn a_fleet_with_a_mistake_writes_nothing() {
-    let scratch = Scratch::new("fleet");
+fn a_fleet_file_with_an_error_writes_no_files() {
+    let folder = TestFolder::new("fleet");
     let fleet = fs::read_to_string(repository("deploy/fleet.toml")).unwrap();
     let rows = [
         (
@@ -310,44 +314,44 @@
         ("name = \"prognozy-drogi\"", "name = \"prognozy-wschod\"", "NS802"),
         ("[[application]]", "[[aplication]]", "Did you mean `application`?"),
     ];
-    for (from, to, told) in rows {
+    for (from, to, expected) in rows {
         assert!(fleet.contains(from));
-        scratch.write("fleet.toml", &fleet.replace(from, to));
-        let (code, text) = scratch.call(&["new", "--fleet", "fleet.toml", "--out", "out"]);
-        assert!(code == 1 && text.contains(told), "{to}: {text}");
-        assert!(!scratch.0.join("out").exists());
+        folder.write("fleet.toml", &fleet.replace(from, to));
+        let (code, text) = folder.run(&["new", "--fleet", "fleet.toml", "--out", "out"]);
+        assert!(code == 1 && text.contains(expected), "{to}: {text}");
+        assert!(!folder.0.join("out").exists());
     }
-    scratch.write("fleet.toml", &fleet);
-    assert_eq!(scratch.call(&["new", "--fleet", "fleet.toml", "--out", "out"]).0, 0);
+    folder.write("fleet.toml", &fleet);
+    assert_eq!(folder.run(&["new", "--fleet", "fleet.toml", "--out", "out"]).0, 0);
     assert_eq!(
-        scratch.call(&["check", "--deny-warnings", "out/prognozy-wschod.toml", "out/prognozy-drogi.toml"]).0,
+        folder.run(&["check", "--deny-warnings", "out/prognozy-wschod.toml", "out/prognozy-drogi.toml"]).0,
         0
     );
-    assert_eq!(scratch.call(&["new", "prognozy-drogi", "--fleet", "fleet.toml", "--out", "one"]).0, 0);
-    assert_eq!(fs::read_dir(scratch.0.join("one")).unwrap().count(), 1);
+    assert_eq!(folder.run(&["new", "prognozy-drogi", "--fleet", "fleet.toml", "--out", "one"]).0, 0);
+    assert_eq!(fs::read_dir(folder.0.join("one")).unwrap().count(), 1);
 }
 
 #[test]
-fn laying_out_keeps_meaning_and_comments_and_is_done_once() {
-    let scratch = Scratch::new("fmt");
+fn formatting_keeps_values_and_comments_and_is_idempotent() {
+    let folder = TestFolder::new("fmt");
     let messy = EXAMPLE
         .replace(" = ", "   =")
         .replace("\n\n", "\n\n\n")
         .replace("[limits]", "[limits]   # what it may use");
-    scratch.write("a.toml", EXAMPLE);
-    scratch.write("b.toml", &messy);
-    assert_eq!(scratch.call(&["fmt", "--check", "b.toml"]).0, 1);
-    assert_eq!(scratch.read("b.toml"), messy);
-    assert_eq!(scratch.call(&["fmt", "b.toml"]).0, 0);
-    assert_eq!(scratch.read("b.toml"), EXAMPLE.replace("[limits]", "[limits] # what it may use"));
-    assert_eq!(scratch.call(&["fmt", "--check", "b.toml"]).0, 0);
-    assert_eq!(scratch.call(&["diff", "a.toml", "b.toml"]).1, "Both mean the same.\n");
+    folder.write("a.toml", EXAMPLE);
+    folder.write("b.toml", &messy);
+    assert_eq!(folder.run(&["fmt", "--check", "b.toml"]).0, 1);
+    assert_eq!(folder.read("b.toml"), messy);
+    assert_eq!(folder.run(&["fmt", "b.toml"]).0, 0);
+    assert_eq!(folder.read("b.toml"), EXAMPLE.replace("[limits]", "[limits] # what it may use"));
+    assert_eq!(folder.run(&["fmt", "--check", "b.toml"]).0, 0);
+    assert_eq!(folder.run(&["diff", "a.toml", "b.toml"]).1, "No differences.\n");
 }
 
 #[test]
-fn the_doctor_tells_what_only_the_host_knows() {
-    let scratch = Scratch::new("doctor");
-    let (own, endpoint) =
+fn doctor_reports_problems_of_the_host() {
+    let folder = TestFolder::new("doctor");
+    let (occupied, endpoint) =
         (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
     let file = |listen: &str, state: &str, sockets: &str| {
         let endpoint = endpoint.local_addr().unwrap();
@@ -357,37 +361,39 @@
              [[destination]]\nname = \"d\"\nnumber = 1\nendpoints = [\"{endpoint}\"]\n"
         )
     };
-    let free = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
-    scratch.write("good.toml", &file(&free, "state", "128"));
-    let (code, text) = scratch.call(&["doctor", "good.toml"]);
+    let free_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    folder.write("good.toml", &file(&free_address, "state", "128"));
+    let (code, text) = folder.run(&["doctor", "good.toml"]);
     assert!(code == 0 && text.contains("0 errors, 0 warnings"), "{text}");
-    assert!(!scratch.0.join("state").exists(), "looking changes nothing");
-    scratch
-        .write("taken.toml", &file(&own.local_addr().unwrap().to_string(), "good.toml/state", "1000000000"));
-    let (code, text) = scratch.call(&["doctor", "taken.toml"]);
+    assert!(!folder.0.join("state").exists(), "the check creates no folder");
+    folder.write(
+        "taken.toml",
+        &file(&occupied.local_addr().unwrap().to_string(), "good.toml/state", "1000000000"),
+    );
+    let (code, text) = folder.run(&["doctor", "taken.toml"]);
     assert!(code == 1, "{text}");
-    for told in ["NS951", "NS952", "NS954"] {
-        assert!(text.contains(told), "{told}: {text}");
+    for code_name in ["NS951", "NS952", "NS954"] {
+        assert!(text.contains(code_name), "{code_name}: {text}");
     }
     drop(endpoint);
-    let (code, text) = scratch.call(&["doctor", "good.toml"]);
+    let (code, text) = folder.run(&["doctor", "good.toml"]);
     assert!(
-        code == 0 && text.contains("NS955") && text.contains("the endpoint of d takes no connection"),
+        code == 0 && text.contains("NS955") && text.contains("cannot connect to the endpoint of d at"),
         "{text}"
     );
 }
 
 #[test]
-fn odd_files_are_answered_by_the_tool_too() {
-    let scratch = Scratch::new("odd");
-    fs::write(scratch.0.join("binary.toml"), [0xff, 0xfe, 0]).unwrap();
-    scratch.write("empty.toml", "");
-    scratch.write("long.toml", &format!("a = \"{}\"\nb", "ż".repeat(100_000)));
-    scratch.write("deep.toml", &"[".repeat(100_000));
-    let big = fs::File::create(scratch.0.join("big.toml")).unwrap();
+fn malformed_files_are_reported_with_bounded_output() {
+    let folder = TestFolder::new("odd");
+    fs::write(folder.0.join("binary.toml"), [0xff, 0xfe, 0]).unwrap();
+    folder.write("empty.toml", "");
+    folder.write("long.toml", &format!("a = \"{}\"\nb", "ż".repeat(100_000)));
+    folder.write("deep.toml", &"[".repeat(100_000));
+    let big = fs::File::create(folder.0.join("big.toml")).unwrap();
     big.set_len(100 << 20).unwrap();
-    fs::create_dir(scratch.0.join("folder.toml")).unwrap();
-    for (name, told) in [
+    fs::create_dir(folder.0.join("folder.toml")).unwrap();
+    for (name, expected) in [
         ("binary.toml", "NS002"),
         ("empty.toml", "NS103"),
         ("long.toml", "NS004"),
@@ -396,28 +402,28 @@
         ("folder.toml", "NS001"),
         ("/dev/zero", "NS003"),
     ] {
-        let (code, text) = scratch.call(&["check", name]);
-        assert!(code == 1 && text.contains(told), "{name}: {text}");
-        assert!(text.len() < 20_000, "{name}: {} bytes are told", text.len());
+        let (code, text) = folder.run(&["check", name]);
+        assert!(code == 1 && text.contains(expected), "{name}: {text}");
+        assert!(text.len() < 20_000, "{name}: {} bytes of output", text.len());
     }
 }
 
 #[test]
-fn the_pages_made_from_the_types_are_current() {
-    let scratch = Scratch::new("pages");
-    let (code, page) = scratch.call(&["reference"]);
+fn generated_pages_are_current() {
+    let folder = TestFolder::new("pages");
+    let (code, page) = folder.run(&["reference"]);
     assert_eq!(code, 0);
-    let kept = fs::read_to_string(repository("docs/operations/sidecar-reference.md")).unwrap();
-    assert!(page == kept, "run `nickelshed-ctl reference > docs/operations/sidecar-reference.md`");
+    let committed_page = fs::read_to_string(repository("docs/operations/sidecar-reference.md")).unwrap();
+    assert!(page == committed_page, "run `nickelshed-ctl reference > docs/operations/sidecar-reference.md`");
     for arguments in
         [&["schema"][..], &["schema", "--fleet"], &["completions", "bash"], &["--help"], &["new", "--help"]]
     {
-        let (code, text) = scratch.call(arguments);
+        let (code, text) = folder.run(arguments);
         assert!(code == 0 && text.len() > 500, "{arguments:?}: {text}");
     }
-    let schema: serde_json::Value = serde_json::from_str(&scratch.call(&["schema"]).1).unwrap();
+    let schema: serde_json::Value = serde_json::from_str(&folder.run(&["schema"]).1).unwrap();
     assert_eq!(schema["properties"]["class"]["type"], "array");
     for file in ["deploy/sidecar.toml", "deploy/fleet.toml", "deploy/operator.toml"] {
-        assert_eq!(scratch.call(&["fmt", "--check", repository(file).to_str().unwrap()]).0, 0, "{file}");
+        assert_eq!(folder.run(&["fmt", "--check", repository(file).to_str().unwrap()]).0, 0, "{file}");
     }
 }
