--- a/crates/tools/nickelshed-ctl/src/lib.rs
+++ b/crates/tools/nickelshed-ctl/src/lib.rs
@@ -47,7 +47,7 @@
     New(Box<new::New>),
     /// Check configurations, each alone and all for conflicts, without inspecting the host
     #[command(
-        after_help = "Pass all files of a host in one call: conflicts between files, as over a port, are only found then."
+        after_help = "Pass all files of a host in one call: only then are conflicts between them found."
     )]
     Check {
         #[arg(required = true, value_name = "FILE")]
@@ -97,8 +97,9 @@
 enum FleetCommand {
     /// List the members in the view of one member, with state, time in that state, version and settings
     #[command(
-        after_help = "Exit codes: 0 all present members have the same view without suspect or gone members; 1 otherwise; 2 invalid
-arguments; 3 no member answers. The tool asks the own member of the file first, then its seeds; it does not join the fleet."
+        after_help = "Exit codes: 0 all present members have the same view without suspect or gone members; 1 otherwise;
+2 invalid arguments; 3 no member answers. The tool asks the own member of the file first, then its seeds.
+It does not join the fleet."
     )]
     Members {
         #[arg(value_name = "FILE")]
--- a/crates/tools/nickelshed-ctl/src/members.rs
+++ b/crates/tools/nickelshed-ctl/src/members.rs
@@ -150,13 +150,13 @@
 
     #[must_use]
     pub fn json(&self) -> Value {
-        let member = |member: &ReportedMember| {
-            json!({"name": member.info.name, "state": member.status.state.as_str(), "seconds": member.seconds_in_state,
-                "address": member.info.address.to_string(), "site": member.info.site, "version": member.info.version,
-                "settings": format!("{:08x}", member.info.settings), "start": member.status.incarnation.start_number})
+        let member_json = |m: &ReportedMember| {
+            json!({"name": m.info.name, "state": m.status.state.as_str(), "seconds": m.seconds_in_state,
+                "address": m.info.address.to_string(), "site": m.info.site, "version": m.info.version,
+                "settings": format!("{:08x}", m.info.settings), "start": m.status.incarnation.start_number})
         };
-        json!({"stand": self.health_text(), "asked": self.queried.map(|a| a.to_string()), "differ": self.differing,
-            "members": self.members.iter().map(member).collect::<Vec<_>>()})
+        json!({"stand": self.health_text(), "asked": self.queried.map(|a| a.to_string()),
+            "differ": self.differing, "members": self.members.iter().map(member_json).collect::<Vec<_>>()})
     }
 
     /// Returns the exit code of `fleet members` and `fleet watch`.
--- a/crates/tools/nickelshed-ctl/src/report.rs
+++ b/crates/tools/nickelshed-ctl/src/report.rs
@@ -102,7 +102,8 @@
         let content = &contents[file];
         let (line, column) = position(content.as_str(), span.start);
         let (end_line, end_column) = position(content.as_str(), span.end);
-        json!({"file": content.path, "line": line, "column": column, "end_line": end_line, "end_column": end_column})
+        json!({"file": content.path, "line": line, "column": column,
+            "end_line": end_line, "end_column": end_column})
     };
     let finding_json = |f: &Finding| {
         let related = f.related.iter().map(|r| {
--- a/crates/tools/nickelshed-quickstart/src/main.rs
+++ b/crates/tools/nickelshed-quickstart/src/main.rs
@@ -1,5 +1,5 @@
-//! The first two minutes: the example's sidecar beside stand-ins of its customer systems, a few alerts handed in, and
-//! what became of each.
+//! A short demonstration: runs the sidecar of the example configuration with fake customer systems, submits a
+//! few alerts and prints the outcome of each.
 use clap::Parser;
 use nickelshed::ConfigSource;
 use nickelshed_config::sidecar::EndpointForm;
@@ -17,132 +17,135 @@
 use std::time::{Duration, Instant};
 
 const EXAMPLE: &str = include_str!("../../../../deploy/sidecar.toml");
-/// How long the sidecar may take to start, and an alert to come to its end.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time-out for the start of the sidecar, and for the outcome of one alert.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Starts the sidecar of deploy/sidecar.toml beside stand-ins of its customer systems, hands in a few alerts and
-/// prints what became of each. The sidecar then runs on, to be tried with curl, until Ctrl-C.
+/// Starts the sidecar of deploy/sidecar.toml with fake customer systems, submits a few alerts and prints the
+/// outcome of each. The sidecar then keeps running until Ctrl-C, so that you can try it with curl.
 #[derive(Parser)]
 struct Arguments {
-    /// Where state, notices and log are kept
+    /// Folder for state, notices and log; it is deleted first
     #[arg(long, value_name = "FOLDER", default_value = "target/quickstart")]
     folder: PathBuf,
-    /// End once the alerts have come to their ends
+    /// Exit after the outcome of the last alert
     #[arg(long)]
     once: bool,
-    /// Be the sidecar of this file: this program starts itself so
+    /// Run only the sidecar with this configuration; the demonstration starts itself with this flag
     #[arg(long, value_name = "FILE", hide = true)]
     sidecar: Option<PathBuf>,
 }
 
-type Failed = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
-/// Ended with this program.
-struct Running(Child);
+/// Kills the process when dropped.
+struct SidecarProcess(Child);
 
-impl Drop for Running {
+impl Drop for SidecarProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// At the address that the example names, or, if that is taken here, at any.
-fn listener(wanted: SocketAddr) -> std::io::Result<TcpListener> {
-    match TcpListener::bind(wanted) {
-        Err(error) if error.kind() == ErrorKind::AddrInUse => TcpListener::bind((wanted.ip(), 0)),
+/// Listens at the preferred address or, if it is in use, at a free port of the same IP address.
+fn listener(preferred: SocketAddr) -> std::io::Result<TcpListener> {
+    match TcpListener::bind(preferred) {
+        Err(error) if error.kind() == ErrorKind::AddrInUse => TcpListener::bind((preferred.ip(), 0)),
         other => other,
     }
 }
 
-fn say(line: &str) {
+fn print_line(line: &str) {
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "{line}").and_then(|()| out.flush());
 }
 
-/// What the stand-ins together have seen: for each alert its tries, and whether one was taken.
+/// Shared by the fake servers: the number of attempts of each alert, and whether one of them was executed.
 #[derive(Clone, Default)]
-struct Seen(Arc<Mutex<HashMap<String, (usize, bool)>>>);
-
-impl Seen {
-    /// One try more. How many there are now.
-    fn note(&self, id: &str, taken: bool) -> usize {
-        let mut seen = self.0.lock().unwrap_or_else(|e| e.into_inner());
-        let (tries, was_taken) = seen.entry(id.to_string()).or_default();
-        (*tries, *was_taken) = (*tries + 1, *was_taken || taken);
-        *tries
+struct AttemptLog(Arc<Mutex<HashMap<String, (usize, bool)>>>);
+
+impl AttemptLog {
+    /// Records one attempt. Returns the number of attempts so far.
+    fn record(&self, id: &str, executed: bool) -> usize {
+        let mut attempts_by_id = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let (attempts, was_executed) = attempts_by_id.entry(id.to_string()).or_default();
+        (*attempts, *was_executed) = (*attempts + 1, *was_executed || executed);
+        *attempts
     }
 
-    fn of(&self, id: &str) -> (usize, bool) {
-        self.0.lock().unwrap_or_else(|e| e.into_inner()).get(id).copied().unwrap_or_default()
+    fn get(&self, id: &str) -> (usize, bool) {
+        self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).get(id).copied().unwrap_or_default()
     }
 }
 
-/// An endpoint of a customer system. Number 2 fails the first try of each alert, number 3 takes nothing.
-fn stand_in(name: &str, number: u64, listener: TcpListener, seen: Seen) -> Peer {
+/// Starts a fake endpoint of a customer system. Destination 2 answers 500 to the first attempt of each alert,
+/// destination 3 answers 503 to every attempt.
+fn fake_server(name: &str, number: u64, listener: TcpListener, attempt_log: AttemptLog) -> Peer {
     let name = name.to_string();
     Peer::on(listener, move |request: &Request| -> Reply {
         let id = request.id();
-        let fails = number == 2 && seen.of(id).0 == 0;
-        seen.note(id, !fails && number != 3);
+        let fails_first_attempt = number == 2 && attempt_log.get(id).0 == 0;
+        attempt_log.record(id, !fails_first_attempt && number != 3);
         match number {
-            _ if fails => {
-                say(&format!("  {name:16} got {id}, and answers 500: it may have run"));
+            _ if fails_first_attempt => {
+                print_line(&format!("  {name:16} received {id}, answers 500: it may have been executed"));
                 answer("500 Internal Server Error", "", "")
             }
             3 => {
-                say(&format!("  {name:16} got {id}, and answers 503: it is shut"));
+                print_line(&format!("  {name:16} received {id}, answers 503: not executed"));
                 answer("503 Service Unavailable", "", "")
             }
             _ => {
                 let body = String::from_utf8_lossy(&request.body);
-                say(&format!("  {name:16} got {id}, and takes it: {body}"));
+                print_line(&format!("  {name:16} received {id}, executes it: {body}"));
                 ok()
             }
         }
     })
 }
 
-/// The example with addresses that are free here, and stand-ins at those of its customer systems.
-fn set_up(folder: &Path, seen: &Seen) -> Result<(Sidecar, PathBuf, Vec<Peer>), Failed> {
-    let mut sidecar = load(EXAMPLE.as_bytes()).into_valid().map_err(|_| "the example is not sound")?;
-    let mut peers = Vec::new();
+/// Writes the example configuration with free addresses, and starts fake servers at the addresses of its
+/// endpoints.
+fn set_up(folder: &Path, attempt_log: &AttemptLog) -> Result<(Sidecar, PathBuf, Vec<Peer>), BoxError> {
+    let mut sidecar =
+        load(EXAMPLE.as_bytes()).into_valid().map_err(|_| "the example configuration is invalid")?;
+    let mut servers = Vec::new();
     for destination in &mut sidecar.destinations {
         for endpoint in &mut destination.endpoints {
             let listener = listener(endpoint.endpoint().address)?;
             *endpoint = EndpointForm::Address(listener.local_addr()?);
-            peers.push(stand_in(&destination.name, destination.number, listener, seen.clone()));
+            servers.push(fake_server(&destination.name, destination.number, listener, attempt_log.clone()));
         }
     }
-    // Given back at once: the sidecar takes it.
+    // The listener is closed at once so that the sidecar can use the port.
     sidecar.listen = listener(sidecar.listen)?.local_addr()?;
     sidecar.state = "state".into();
     sidecar.notices.file = Some("notices.jsonl".into());
     fs::create_dir_all(folder)?;
-    let file = folder.join("sidecar.toml");
-    fs::write(&file, write::to_toml(&sidecar, true)?)?;
-    Ok((sidecar, file, peers))
+    let config_file = folder.join("sidecar.toml");
+    fs::write(&config_file, write::to_toml(&sidecar, true)?)?;
+    Ok((sidecar, config_file, servers))
 }
 
-fn start(file: &Path, folder: &Path, listen: SocketAddr) -> Result<Running, Failed> {
+fn start(config_file: &Path, folder: &Path, listen: SocketAddr) -> Result<SidecarProcess, BoxError> {
     let log = folder.join("sidecar.log");
     let child = Command::new(std::env::current_exe()?)
         .arg("--sidecar")
-        .arg(file)
+        .arg(config_file)
         .stdin(Stdio::null())
         .stderr(File::create(&log)?)
         .spawn()?;
-    let mut running = Running(child);
-    let until = Instant::now() + PATIENCE;
+    let mut sidecar_process = SidecarProcess(child);
+    let deadline = Instant::now() + TIMEOUT;
     while !ask(listen, b"GET /healthz HTTP/1.1\r\nHost: sidecar\r\n\r\n")
-        .is_some_and(|a| a.first.contains(" 200"))
+        .is_some_and(|response| response.first.contains(" 200"))
     {
-        if running.0.try_wait()?.is_some() || Instant::now() > until {
+        if sidecar_process.0.try_wait()?.is_some() || Instant::now() > deadline {
             return Err(format!("the sidecar did not start; see {}", log.display()).into());
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    Ok(running)
+    Ok(sidecar_process)
 }
 
 struct Alert {
@@ -153,47 +156,52 @@
     body: &'static str,
 }
 
-fn hand_in(listen: SocketAddr, alert: &Alert) -> Result<(), Failed> {
+fn submit(listen: SocketAddr, alert: &Alert) -> Result<(), BoxError> {
     let Alert { id, tenant, number, expires_ms, body } = alert;
-    let bytes = format!(
+    let request = format!(
         "POST /alert-prognozy HTTP/1.1\r\nHost: sidecar\r\nX-Trace-Id: {id}\r\nX-Customer: {tenant}\r\n\
          X-Expires-In-Ms: {expires_ms}\r\nX-Consignee: dest={number}\r\nIdempotency-Key: {id}\r\n\
          Content-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    let answer = ask(listen, bytes.as_bytes()).ok_or("the sidecar does not answer")?;
-    let status = answer.first.split_once(' ').map_or("", |(_, status)| status);
-    say(&format!("{id}: handed in for {number}, answered {status}"));
+    let response = ask(listen, request.as_bytes()).ok_or("the sidecar does not answer")?;
+    let status = response.first.split_once(' ').map_or("", |(_, status)| status);
+    print_line(&format!("{id}: submitted for destination {number}, answered {status}"));
     Ok(())
 }
 
-/// What became of an alert: its customer system has taken it, or a notice says how it ended.
-fn end_of(alert: &Alert, seen: &Seen, notices: &Path) -> Option<String> {
-    let (tries, taken) = seen.of(&alert.id);
-    let plural = if tries == 1 { "try" } else { "tries" };
-    if taken {
-        return Some(format!("delivered after {tries} {plural}"));
+/// Returns the outcome of an alert: executed by its customer system, or as given in a notice. `None` while it
+/// is open.
+fn outcome_of(alert: &Alert, attempt_log: &AttemptLog, notices: &Path) -> Option<String> {
+    let (attempts, executed) = attempt_log.get(&alert.id);
+    let plural = if attempts == 1 { "try" } else { "tries" };
+    if executed {
+        return Some(format!("delivered after {attempts} {plural}"));
     }
-    let text = fs::read_to_string(notices).unwrap_or_default();
-    let mut lines = text.lines().filter_map(|l| serde_json::from_str::<Value>(l).ok());
-    let notice = lines.find(|n| n["message"] == alert.id.as_str())?;
-    Some(format!("{} after {tries} {plural}, as {} says", notice["outcome"].as_str()?, notices.display()))
+    let notices_text = fs::read_to_string(notices).unwrap_or_default();
+    let mut notice_values = notices_text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
+    let notice = notice_values.find(|value| value["message"] == alert.id.as_str())?;
+    Some(format!(
+        "{} after {attempts} {plural}, according to {}",
+        notice["outcome"].as_str()?,
+        notices.display()
+    ))
 }
 
-fn show(arguments: &Arguments) -> Result<(), Failed> {
+fn run_demonstration(arguments: &Arguments) -> Result<(), BoxError> {
     let folder = &arguments.folder;
     let _ = fs::remove_dir_all(folder);
-    let seen = Seen::default();
-    let (sidecar, file, _peers) = set_up(folder, &seen)?;
-    let mut running = start(&file, folder, sidecar.listen)?;
+    let attempt_log = AttemptLog::default();
+    let (sidecar, config_file, _servers) = set_up(folder, &attempt_log)?;
+    let mut sidecar_process = start(&config_file, folder, sidecar.listen)?;
     let listen = sidecar.listen;
-    say(&format!(
-        "The sidecar of `{}` listens at {listen}; its file is {}.\n",
+    print_line(&format!(
+        "The sidecar of `{}` listens at {listen}; its configuration is {}.\n",
         sidecar.application,
-        file.display()
+        config_file.display()
     ));
-    let alert = |n: u32, tenant, number, expires_ms, body| Alert {
-        id: format!("alert-{n}"),
+    let alert = |sequence_number: u32, tenant, number, expires_ms, body| Alert {
+        id: format!("alert-{sequence_number}"),
         tenant,
         number,
         expires_ms,
@@ -206,32 +214,32 @@
     ];
     let notices = folder.join("notices.jsonl");
     for alert in &alerts {
-        hand_in(listen, alert)?;
-        let until = Instant::now() + PATIENCE;
-        let end = loop {
-            if let Some(end) = end_of(alert, &seen, &notices) {
-                break end;
+        submit(listen, alert)?;
+        let deadline = Instant::now() + TIMEOUT;
+        let outcome = loop {
+            if let Some(outcome) = outcome_of(alert, &attempt_log, &notices) {
+                break outcome;
             }
-            if Instant::now() > until {
-                return Err(format!("{} has come to no end; see {}", alert.id, folder.display()).into());
+            if Instant::now() > deadline {
+                return Err(format!("{} has no outcome; see {}", alert.id, folder.display()).into());
             }
             std::thread::sleep(Duration::from_millis(10));
         };
-        say(&format!("{}: {end}\n", alert.id));
+        print_line(&format!("{}: {outcome}\n", alert.id));
     }
     if arguments.once {
         return Ok(());
     }
-    say(&format!(
-        "The sidecar runs on until Ctrl-C. Hand in one yourself:\n\n  curl -i http://{listen}/alert-prognozy -H 'X-Trace-Id: mine-1' \
+    print_line(&format!(
+        "The sidecar runs until Ctrl-C. Submit an alert yourself:\n\n  curl -i http://{listen}/alert-prognozy -H 'X-Trace-Id: mine-1' \
          -H 'X-Customer: rolnictwo' \\\n    -H 'X-Expires-In-Ms: 16000' -H 'X-Consignee: dest=1' -H 'Idempotency-Key: mine-1' -d 'hail'\n"
     ));
-    let ended = running.0.wait()?;
-    Err(format!("the sidecar has ended: {ended}; see {}", folder.join("sidecar.log").display()).into())
+    let exit_status = sidecar_process.0.wait()?;
+    Err(format!("the sidecar has exited: {exit_status}; see {}", folder.join("sidecar.log").display()).into())
 }
 
-/// The sidecar itself, as `nickelshed --config FILE` would be.
-fn be_sidecar(file: &Path) -> Result<(), Failed> {
+/// Runs the sidecar like `nickelshed --config FILE`.
+fn run_sidecar(file: &Path) -> Result<(), BoxError> {
     tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).init();
     nickelshed::run(&ConfigSource::Sidecar(file.to_path_buf()), Folder::new).map_err(|error| {
         tracing::error!("{error}");
@@ -241,11 +249,11 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let done = match &arguments.sidecar {
-        Some(file) => be_sidecar(file),
-        None => show(&arguments),
+    let result = match &arguments.sidecar {
+        Some(file) => run_sidecar(file),
+        None => run_demonstration(&arguments),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("nickelshed-quickstart: {error}");
--- a/crates/tools/nickelshed-simhost/src/host.rs
+++ b/crates/tools/nickelshed-simhost/src/host.rs
@@ -1,4 +1,5 @@
-//! Wire lines to `api` events for each sender, and its actions back to lines.
+//! Translates lines of the simulator protocol to policy events for each sender, and the actions of the policy
+//! to lines.
 use nickelshed_policy::api::*;
 use nickelshed_policy::rules::Sender;
 use nickelshed_settings::{self as settings, DeploymentContext};
@@ -12,36 +13,43 @@
     entry: Entry,
 }
 
-struct Held {
-    name: String,
-    out: u32,
-    over: bool,
+struct OpenMessage {
+    /// The name of the message on the wire (`Ref`).
+    reference: String,
+    /// Attempts in flight.
+    in_flight: u32,
+    /// The message has ended by an action, a withdrawal or an attempt. It is kept until no attempt is in
+    /// flight.
+    finished: bool,
 }
 
 struct Instance {
     sender: Sender,
-    around: DeploymentContext,
+    deployment: DeploymentContext,
     events: Vec<Event>,
     endpoints: HashMap<String, EndpointId>,
     endpoint_names: Vec<String>,
-    ids: HashMap<String, MsgId>,
-    held: HashMap<MsgId, Held>,
+    ids_by_reference: HashMap<String, MsgId>,
+    open_messages: HashMap<MsgId, OpenMessage>,
     next_id: MsgId,
-    woken: bool,
+    /// Whether the current batch has events for this sender, or has launched it.
+    has_events: bool,
 }
 
 #[derive(Default)]
 pub struct Host {
+    /// Time of the current batch; `None` between batches.
     now: Option<Ns>,
-    current: Option<u64>,
+    current_sender: Option<u64>,
     instances: BTreeMap<u64, Instance>,
     tables: HashMap<u64, Rc<Vec<WireEntry>>>,
-    /// A table whose entries are still coming: its number, how many are missing, and those read.
-    filling: Option<(u64, u64, Vec<WireEntry>)>,
+    /// A table whose entries are not all read: its slot, the number of missing entries, and the entries read
+    /// so far.
+    pending_table: Option<(u64, u64, Vec<WireEntry>)>,
     actions: Vec<Action>,
 }
 
-/// The named parts of one line.
+/// The verb of a line and its tab-separated `name=value` fields.
 struct Fields<'a> {
     verb: &'a str,
     text: &'a str,
@@ -49,15 +57,15 @@
 
 impl<'a> Fields<'a> {
     fn find(&self, name: &str) -> Option<&'a str> {
-        let mut rest = self.text;
-        while !rest.is_empty() {
-            let (part, after) = rest.split_once('\t').unwrap_or((rest, ""));
-            if let Some((key, value)) = part.split_once('=') {
+        let mut unread = self.text;
+        while !unread.is_empty() {
+            let (field, remaining) = unread.split_once('\t').unwrap_or((unread, ""));
+            if let Some((key, value)) = field.split_once('=') {
                 if key == name {
                     return Some(value);
                 }
             }
-            rest = after;
+            unread = remaining;
         }
         None
     }
@@ -85,88 +93,89 @@
 }
 
 impl Host {
-    /// Takes one line; true when it closed a batch and `reply` holds the answer.
-    pub fn line(&mut self, line: &str, reply: &mut String) -> Result<bool, String> {
+    /// Handles one line. Returns true if it ends a batch; `reply` then holds the answer.
+    pub fn handle_line(&mut self, line: &str, reply: &mut String) -> Result<bool, String> {
         if line.is_empty() {
             return Ok(false);
         }
         let (verb, text) = line.split_once('\t').unwrap_or((line, ""));
-        let f = Fields { verb, text };
-        if let Some((slot, missing, mut entries)) = self.filling.take() {
+        let fields = Fields { verb, text };
+        if let Some((slot, missing, mut entries)) = self.pending_table.take() {
             if verb != "ENTRY" {
                 return Err(format!("{}: {missing} ENTRY lines of the TABLE are missing", shorten(verb)));
             }
-            entries.push(read_entry(&f)?);
+            entries.push(read_entry(&fields)?);
             if missing > 1 {
-                self.filling = Some((slot, missing - 1, entries));
+                self.pending_table = Some((slot, missing - 1, entries));
             } else {
                 self.tables.insert(slot, Rc::new(entries));
             }
             return Ok(false);
         }
         if verb == "MARK" {
-            self.now = Some(f.parse::<Ns>("WallNs")?);
-            self.current = None;
+            self.now = Some(fields.parse::<Ns>("WallNs")?);
+            self.current_sender = None;
             return Ok(false);
         }
         let Some(now) = self.now else {
-            return Err(format!("{} outside a batch: no MARK came", shorten(verb)));
+            return Err(format!("{} outside a batch: no MARK line before it", shorten(verb)));
         };
         match verb {
             "FLUSH" => {
-                self.answer(now, reply);
+                self.write_actions(now, reply);
                 self.now = None;
                 return Ok(true);
             }
-            "INSTANCE" => self.current = Some(f.parse("Sender")?),
+            "INSTANCE" => self.current_sender = Some(fields.parse("Sender")?),
             "TABLE" => {
-                let (slot, lines) = (f.parse::<u64>("Slot")?, f.parse::<u64>("Lines")?);
+                let (slot, lines) = (fields.parse::<u64>("Slot")?, fields.parse::<u64>("Lines")?);
                 if lines == 0 {
                     self.tables.insert(slot, Rc::default());
                 } else {
-                    self.filling = Some((slot, lines, Vec::new()));
+                    self.pending_table = Some((slot, lines, Vec::new()));
                 }
             }
             "LAUNCH" => {
-                let number = self.current.ok_or("LAUNCH without an INSTANCE line")?;
-                let seed = f.parse::<u64>("Prng")?;
-                let conf =
+                let sender_number = self.current_sender.ok_or("LAUNCH without an INSTANCE line")?;
+                let seed = fields.parse::<u64>("Prng")?;
+                let configuration =
                     text.find("Conf=").map(|at| &text[at + 5..]).ok_or("LAUNCH field Conf is missing")?;
-                let conf =
-                    serde_json::from_str(conf).map_err(|e| format!("LAUNCH field Conf: not JSON: {e}"))?;
-                let (settings, around) =
-                    settings::read(&conf).map_err(|e| format!("LAUNCH field Conf: {e}"))?;
+                let configuration = serde_json::from_str(configuration)
+                    .map_err(|e| format!("LAUNCH field Conf: not JSON: {e}"))?;
+                let (settings, deployment) =
+                    settings::read(&configuration).map_err(|e| format!("LAUNCH field Conf: {e}"))?;
                 let sender = Sender::new(settings, seed);
-                self.instances.insert(number, Instance::new(sender, around));
+                self.instances.insert(sender_number, Instance::new(sender, deployment));
             }
             "CRASH_NOW" => {
-                let number = self.current.ok_or("CRASH_NOW without an INSTANCE line")?;
-                self.instances.remove(&number);
+                let sender_number = self.current_sender.ok_or("CRASH_NOW without an INSTANCE line")?;
+                self.instances.remove(&sender_number);
             }
             "ANNOUNCE" | "WORK_ITEM" | "ELAPSED" | "EXPIRED" | "ECHO" | "FROM_PEER" | "ATTEMPT_END"
             | "HEADERS" => {
-                let number = self.current.ok_or_else(|| format!("{verb} without an INSTANCE line"))?;
-                let known = self.instances.get_mut(&number);
-                let instance =
-                    known.ok_or_else(|| format!("{verb} for Sender {number}, which was not launched"))?;
-                instance.event(&f, &self.tables)?;
-                instance.woken = true;
+                let sender_number =
+                    self.current_sender.ok_or_else(|| format!("{verb} without an INSTANCE line"))?;
+                let instance = self.instances.get_mut(&sender_number);
+                let instance = instance
+                    .ok_or_else(|| format!("{verb} for Sender {sender_number}, which was not launched"))?;
+                instance.read_event(&fields, &self.tables)?;
+                instance.has_events = true;
             }
             _ => return Err(format!("unknown message {}", shorten(verb))),
         }
         Ok(false)
     }
 
-    fn answer(&mut self, now: Ns, reply: &mut String) {
-        for (number, instance) in &mut self.instances {
-            if !std::mem::take(&mut instance.woken) {
+    fn write_actions(&mut self, now: Ns, reply: &mut String) {
+        for (sender_number, instance) in &mut self.instances {
+            if !std::mem::take(&mut instance.has_events) {
                 continue;
             }
             let events = std::mem::take(&mut instance.events);
             self.actions.clear();
             instance.sender.handle(now, &events, &mut self.actions);
             if !self.actions.is_empty() {
-                let _ = writeln!(reply, "AT\tSender={number}");
+                let _ = writeln!(reply, "AT\tSender={sender_number}");
                 for action in &self.actions {
                     instance.write(*action, reply);
                 }
@@ -177,88 +186,104 @@
 }
 
 impl Instance {
-    fn new(sender: Sender, around: DeploymentContext) -> Instance {
+    fn new(sender: Sender, deployment: DeploymentContext) -> Instance {
         Instance {
             sender,
-            around,
+            deployment,
             events: Vec::new(),
             endpoints: HashMap::new(),
             endpoint_names: Vec::new(),
-            ids: HashMap::new(),
-            held: HashMap::new(),
+            ids_by_reference: HashMap::new(),
+            open_messages: HashMap::new(),
             next_id: 0,
-            woken: true,
+            has_events: true,
         }
     }
 
-    fn event(&mut self, f: &Fields, tables: &HashMap<u64, Rc<Vec<WireEntry>>>) -> Result<(), String> {
-        match f.verb {
+    fn read_event(
+        &mut self,
+        fields: &Fields,
+        tables: &HashMap<u64, Rc<Vec<WireEntry>>>,
+    ) -> Result<(), String> {
+        match fields.verb {
             "ANNOUNCE" => {
-                let whole = match f.text("Scope")? {
+                let is_full = match fields.text("Scope")? {
                     "Partial" => false,
                     "Complete" | "Persisted" => true,
                     "Error" => return Ok(()),
                     other => return Err(format!("ANNOUNCE field Scope is malformed: {}", shorten(other))),
                 };
-                let slot: u64 = f.parse("Slot")?;
+                let slot: u64 = fields.parse("Slot")?;
                 let table = tables.get(&slot).ok_or(format!("ANNOUNCE field Slot names no TABLE: {slot}"))?;
                 let entries =
                     table.iter().map(|e| Entry { endpoint: self.endpoint(&e.name), ..e.entry }).collect();
-                self.events.push(Event::List { full: whole, entries });
+                self.events.push(Event::List { full: is_full, entries });
             }
             "WORK_ITEM" => {
-                let name = f.text("Ref")?;
+                let reference = fields.text("Ref")?;
                 let message = Message {
                     id: self.next_id,
-                    class: f.parse("Cls")?,
-                    dest: f.parse("ToExchange")?,
-                    time_left: f.parse("TimeLeftNs")?,
-                    expected_work: f.parse_or("CostNs", 0)?,
-                    key: if f.find("PartitionKey").is_some() { Some(f.parse("PartitionKey")?) } else { None },
-                    tenant: f.parse_or("UserGroup", 0)?,
+                    class: fields.parse("Cls")?,
+                    dest: fields.parse("ToExchange")?,
+                    time_left: fields.parse("TimeLeftNs")?,
+                    expected_work: fields.parse_or("CostNs", 0)?,
+                    key: if fields.find("PartitionKey").is_some() {
+                        Some(fields.parse("PartitionKey")?)
+                    } else {
+                        None
+                    },
+                    tenant: fields.parse_or("UserGroup", 0)?,
                 };
                 self.next_id += 1;
-                self.ids.insert(name.to_string(), message.id);
-                self.held.insert(message.id, Held { name: name.to_string(), out: 0, over: false });
+                self.ids_by_reference.insert(reference.to_string(), message.id);
+                self.open_messages.insert(
+                    message.id,
+                    OpenMessage { reference: reference.to_string(), in_flight: 0, finished: false },
+                );
                 self.events.push(Event::Message(message));
             }
             "ELAPSED" => self.events.push(Event::Timer),
             "EXPIRED" => {
-                if let Some(&id) = self.ids.get(f.text("Ref")?) {
+                if let Some(&id) = self.ids_by_reference.get(fields.text("Ref")?) {
                     self.events.push(Event::Withdrawn { id });
-                    self.end(id);
+                    self.finish(id);
                 }
             }
             "ECHO" => {
-                let endpoint = self.endpoint(f.text("Endpoint")?);
-                let (outcome, report) = (read_outcome(f)?, self.report(f)?);
+                let endpoint = self.endpoint(fields.text("Endpoint")?);
+                let (outcome, report) = (read_outcome(fields)?, self.report(fields)?);
                 self.events.push(Event::Probed { endpoint, outcome, report });
             }
             "ATTEMPT_END" => {
-                let Some(&id) = self.ids.get(f.text("Ref")?) else {
+                let Some(&id) = self.ids_by_reference.get(fields.text("Ref")?) else {
                     return Ok(());
                 };
-                let wait: Ns = f.parse_or("WaitMs", 0)?;
-                let outcome = read_outcome(f)?;
+                let retry_after_ms: Ns = fields.parse_or("WaitMs", 0)?;
+                let outcome = read_outcome(fields)?;
                 let end = AttemptEnd {
                     id,
-                    attempt: f.parse("Shot")?,
-                    endpoint: self.endpoint(f.text("Endpoint")?),
+                    attempt: fields.parse("Shot")?,
+                    endpoint: self.endpoint(fields.text("Endpoint")?),
                     outcome,
-                    took: f.parse("WaitTimeNs")?,
-                    finished: f.parse_or::<u8>("DoneFlag", 0)? != 0,
-                    retry_after: if outcome == Outcome::TurnedAway { wait.saturating_mul(MS) } else { 0 },
-                    report: self.report(f)?,
+                    took: fields.parse("WaitTimeNs")?,
+                    finished: fields.parse_or::<u8>("DoneFlag", 0)? != 0,
+                    retry_after: if outcome == Outcome::TurnedAway {
+                        retry_after_ms.saturating_mul(MS)
+                    } else {
+                        0
+                    },
+                    report: self.report(fields)?,
                     reused_connection: false,
                 };
                 self.events.push(Event::AttemptEnd(end));
-                if let Some(held) = self.held.get_mut(&id) {
-                    held.out = held.out.saturating_sub(1);
-                    held.over |= end.finished;
+                if let Some(message) = self.open_messages.get_mut(&id) {
+                    message.in_flight = message.in_flight.saturating_sub(1);
+                    message.finished |= end.finished;
                 }
-                self.forget(id);
+                self.remove_if_done(id);
             }
-            // Notes of other senders are not used, and no class is streamed.
+            // The policy uses no messages of other senders (`FROM_PEER`), and no class uses streaming
+            // (`HEADERS`).
             _ => {}
         }
         Ok(())
@@ -274,76 +299,89 @@
         id
     }
 
-    fn report(&self, f: &Fields) -> Result<Option<Report>, String> {
-        let Some(text) = f.find("Metrics") else {
+    fn report(&self, fields: &Fields) -> Result<Option<Report>, String> {
+        let Some(text) = fields.find("Metrics") else {
             return Ok(None);
         };
-        let mut row = Vec::new();
-        for part in text.split(',').filter(|p| !p.is_empty()) {
-            let value = part.trim().parse::<f64>();
-            row.push(value.map_err(|_| format!("{} field Metrics is malformed: {}", f.verb, shorten(text)))?);
+        let mut values = Vec::new();
+        for item in text.split(',').filter(|p| !p.is_empty()) {
+            let value = item.trim().parse::<f64>();
+            values.push(
+                value
+                    .map_err(|_| format!("{} field Metrics is malformed: {}", fields.verb, shorten(text)))?,
+            );
         }
-        let at = |column: Option<usize>| column.and_then(|c| row.get(c)).copied();
-        Ok(match (at(self.around.x0_column), at(self.around.x1_column)) {
+        let value_at = |column: Option<usize>| column.and_then(|index| values.get(index)).copied();
+        Ok(match (value_at(self.deployment.x0_column), value_at(self.deployment.x1_column)) {
             (None, None) => None,
-            (left, limit) => Some(Report { remaining: left.unwrap_or(0.0), limit: limit.unwrap_or(0.0) }),
+            (remaining, limit) => {
+                Some(Report { remaining: remaining.unwrap_or(0.0), limit: limit.unwrap_or(0.0) })
+            }
         })
     }
 
-    fn end(&mut self, id: MsgId) {
-        if let Some(held) = self.held.get_mut(&id) {
-            held.over = true;
+    fn finish(&mut self, id: MsgId) {
+        if let Some(message) = self.open_messages.get_mut(&id) {
+            message.finished = true;
         }
-        self.forget(id);
+        self.remove_if_done(id);
     }
 
-    /// Drops the name of a message that has ended and has no attempt out.
-    fn forget(&mut self, id: MsgId) {
-        if self.held.get(&id).is_some_and(|h| h.over && h.out == 0) {
-            if let Some(held) = self.held.remove(&id) {
-                self.ids.remove(&held.name);
+    /// Removes a finished message that has no attempt in flight.
+    fn remove_if_done(&mut self, id: MsgId) {
+        if self.open_messages.get(&id).is_some_and(|message| message.finished && message.in_flight == 0) {
+            if let Some(message) = self.open_messages.remove(&id) {
+                self.ids_by_reference.remove(&message.reference);
             }
         }
     }
 
     fn write(&mut self, action: Action, reply: &mut String) {
-        let name = |id: MsgId| self.held.get(&id).map(|h| h.name.as_str());
-        let place = |id: EndpointId| self.endpoint_names[id as usize].as_str();
-        // Writing to a String cannot fail; a message without a name is over, and nothing is owed for it.
+        let reference_of = |id: MsgId| self.open_messages.get(&id).map(|message| message.reference.as_str());
+        let endpoint_name = |id: EndpointId| self.endpoint_names[id as usize].as_str();
+        // Writing to a String cannot fail. A message that is no longer open needs no line.
         let _ = match action {
-            Action::Send { id, endpoint, timeout: limit, .. } => {
-                let Some(n) = name(id) else { return };
-                let _ = writeln!(reply, "DELIVER\tRef={n}\tEndpoint={}\tLimitNs={limit}", place(endpoint));
-                if let Some(held) = self.held.get_mut(&id) {
-                    held.out += 1;
+            Action::Send { id, endpoint, timeout: timeout_ns, .. } => {
+                let Some(reference) = reference_of(id) else { return };
+                let _ = writeln!(
+                    reply,
+                    "DELIVER\tRef={reference}\tEndpoint={}\tLimitNs={timeout_ns}",
+                    endpoint_name(endpoint)
+                );
+                if let Some(message) = self.open_messages.get_mut(&id) {
+                    message.in_flight += 1;
                 }
                 Ok(())
             }
             Action::Refuse { id, backoff } => {
-                let Some(n) = name(id) else { return };
-                let done = writeln!(reply, "PUSH_BACK\tRef={n}\tBackoffNs={backoff}");
-                self.end(id);
-                done
+                let Some(reference) = reference_of(id) else { return };
+                let result = writeln!(reply, "PUSH_BACK\tRef={reference}\tBackoffNs={backoff}");
+                self.finish(id);
+                result
             }
             Action::Fail { id } => {
-                let Some(n) = name(id) else { return };
-                let done = writeln!(reply, "LOSE\tRef={n}");
-                self.end(id);
-                done
+                let Some(reference) = reference_of(id) else { return };
+                let result = writeln!(reply, "LOSE\tRef={reference}");
+                self.finish(id);
+                result
             }
             Action::Cancel { id, attempt } => {
-                let Some(n) = name(id) else { return };
-                writeln!(reply, "RETRACT\tRef={n}\tShot={attempt}")
+                let Some(reference) = reference_of(id) else { return };
+                writeln!(reply, "RETRACT\tRef={reference}\tShot={attempt}")
+            }
+            Action::Probe { endpoint } => {
+                writeln!(reply, "HEALTH_CHECK\tEndpoint={}", endpoint_name(endpoint))
+            }
+            Action::CloseIdle { endpoint } => {
+                writeln!(reply, "DROP_CONNS\tEndpoint={}", endpoint_name(endpoint))
             }
-            Action::Probe { endpoint } => writeln!(reply, "HEALTH_CHECK\tEndpoint={}", place(endpoint)),
-            Action::CloseIdle { endpoint } => writeln!(reply, "DROP_CONNS\tEndpoint={}", place(endpoint)),
             Action::Timer { at } => writeln!(reply, "TIMER\tMomentNs={at}\tKeyBack=0"),
         };
     }
 }
 
-fn read_entry(f: &Fields) -> Result<WireEntry, String> {
-    let condition = match f.text("Condition")? {
+fn read_entry(fields: &Fields) -> Result<WireEntry, String> {
+    let condition = match fields.text("Condition")? {
         "ready" => Condition::Ready,
         "draining" => Condition::Draining,
         "gone" => Condition::Gone,
@@ -351,17 +389,17 @@
     };
     let entry = Entry {
         endpoint: 0,
-        dest: f.parse_or("BelongsTo", 0)?,
-        kind: f.parse_or("Shape", 0)?,
-        zone: f.parse_or("FailureDomain", 0)?,
+        dest: fields.parse_or("BelongsTo", 0)?,
+        kind: fields.parse_or("Shape", 0)?,
+        zone: fields.parse_or("FailureDomain", 0)?,
         condition,
-        rate_hint: f.parse_or("PowerHint", 0.0)?,
+        rate_hint: fields.parse_or("PowerHint", 0.0)?,
     };
-    Ok(WireEntry { name: f.text("Endpoint")?.to_string(), entry })
+    Ok(WireEntry { name: fields.text("Endpoint")?.to_string(), entry })
 }
 
-fn read_outcome(f: &Fields) -> Result<Outcome, String> {
-    Ok(match f.text("Reason")? {
+fn read_outcome(fields: &Fields) -> Result<Outcome, String> {
+    Ok(match fields.text("Reason")? {
         "served" => Outcome::Served,
         "server_error" => Outcome::ServerError,
         "turned_away" => Outcome::TurnedAway,
@@ -370,6 +408,6 @@
         "connection_lost" => Outcome::ConnectionLost,
         "called_off" => Outcome::CalledOff,
         "not_sent" => Outcome::NotSent,
-        other => return Err(format!("{} field Reason is malformed: {}", f.verb, shorten(other))),
+        other => return Err(format!("{} field Reason is malformed: {}", fields.verb, shorten(other))),
     })
 }
--- a/crates/tools/nickelshed-simhost/src/main.rs
+++ b/crates/tools/nickelshed-simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! The adapter: the simulator's wire on standard input and output, many senders in one process.
+//! Runs the policy of many senders in one process for a simulator, which writes events to standard input and
+//! reads actions from standard output.
 mod host;
 
 use std::io::{BufRead, Write};
@@ -9,35 +10,35 @@
     let mut host = host::Host::default();
     let mut reply = String::new();
     let mut line = Vec::new();
-    let mut number = 0u64;
+    let mut line_number = 0u64;
     loop {
         line.clear();
         match input.read_until(b'\n', &mut line) {
             Ok(0) => return,
             Ok(_) => {}
-            Err(e) => stop(&format!("line {}: cannot read: {e}", number + 1)),
+            Err(error) => exit_with_error(&format!("line {}: cannot read: {error}", line_number + 1)),
         }
-        number += 1;
+        line_number += 1;
         let text = match std::str::from_utf8(&line) {
             Ok(text) => text.trim_end_matches(['\n', '\r']),
-            Err(_) => stop(&format!("line {number}: not UTF-8 text")),
+            Err(_) => exit_with_error(&format!("line {line_number}: not UTF-8 text")),
         };
-        match host.line(text, &mut reply) {
+        match host.handle_line(text, &mut reply) {
             Ok(false) => {}
             Ok(true) => {
-                let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
-                if sent.is_err() {
+                let write_result = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+                if write_result.is_err() {
                     return;
                 }
                 reply.clear();
             }
-            Err(e) => stop(&format!("line {number}: {e}")),
+            Err(error) => exit_with_error(&format!("line {line_number}: {error}")),
         }
     }
 }
 
-/// A wire that cannot be understood is no ground to decide on: say why, once, and end.
-fn stop(message: &str) -> ! {
+/// Prints one message and exits with code 2. The policy must not decide on input that cannot be parsed.
+fn exit_with_error(message: &str) -> ! {
     eprintln!("nickelshed-simhost: {message}");
     std::process::exit(2)
 }
