--- a/bench/journal-compare/src/main.rs
+++ b/bench/journal-compare/src/main.rs
@@ -1,9 +1,10 @@
-//! The journal beside SQLite (WAL, bundled), raft-engine and redb doing the same work, side by side in one run:
-//! rounds of eight messages of 1 KiB taken on, and of the eight from a hundred rounds before ended.
+//! Compares the journal with SQLite (WAL, bundled), raft-engine and redb under the same load in one run. Each
+//! commit accepts eight messages of 1 KiB and finishes the eight that were accepted a hundred commits before.
 //!
-//! `cargo run --release` in this folder. Durabilities: `process`, what a commit leaves to the system's cache, and
-//! `machine`, a sync for each round. redb has no commit that outlasts the process without a sync: its `process` row
-//! is a commit that may be lost (Durability::None), so weaker than the others'.
+//! Run it with `cargo run --release` in this folder. With durability `process` a commit leaves its data in
+//! the page cache; with `machine` each commit is synced. redb has no commit that survives the process without
+//! a sync, so its `process` row uses commits that may be lost (Durability::None), a weaker guarantee than that
+//! of the others.
 use bytes::Bytes;
 use nickelshed_budget::Budget;
 use nickelshed_journal as nj;
@@ -14,19 +15,20 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const EACH: u64 = 8;
-const HELD: u64 = 100;
-const BODY: usize = 1_024;
+const MESSAGES_PER_COMMIT: u64 = 8;
+const COMMITS_UNTIL_FINISHED: u64 = 100;
+const BODY_BYTES: usize = 1_024;
 
 trait Store {
-    fn round(&mut self, taken: std::ops::Range<u64>, ended: std::ops::Range<u64>);
-    /// Reads all that lives into memory: how many.
+    /// Commits the acceptance and the end of messages, given by ranges of ids, in one write.
+    fn commit(&mut self, accepted: std::ops::Range<u64>, finished: std::ops::Range<u64>);
+    /// Reads all open messages into memory. Returns their number.
     fn load(path: &Path) -> usize
     where
         Self: Sized;
 }
 
-/// Bodies that no store can make smaller: 64 of them, of which a round's are all different.
+/// Returns 64 pseudo-random bodies that no store can compress. The bodies of one commit are all different.
 fn bodies() -> &'static [Vec<u8>; 64] {
     static BODIES: std::sync::OnceLock<[Vec<u8>; 64]> = std::sync::OnceLock::new();
     BODIES.get_or_init(|| {
@@ -37,7 +39,7 @@
             state ^= state << 17;
             (state >> 24) as u8
         };
-        std::array::from_fn(|_| (0..BODY).map(|_| next()).collect())
+        std::array::from_fn(|_| (0..BODY_BYTES).map(|_| next()).collect())
     })
 }
 
@@ -45,7 +47,7 @@
     &bodies()[id as usize % 64]
 }
 
-/// The same message in each store.
+/// The message as stored in every store but the journal.
 #[derive(serde::Serialize, serde::Deserialize)]
 struct Message {
     id: u64,
@@ -87,8 +89,8 @@
 }
 
 impl Store for Journal {
-    fn round(&mut self, taken: std::ops::Range<u64>, ended: std::ops::Range<u64>) {
-        let take = |id| {
+    fn commit(&mut self, accepted: std::ops::Range<u64>, finished: std::ops::Range<u64>) {
+        let accepted_record = |id| {
             nj::Record::Accepted(Rc::new(nj::AcceptedMessage {
                 id,
                 class: "alert-prognozy".into(),
@@ -102,7 +104,8 @@
                 memory_share: None,
             }))
         };
-        let records: Vec<_> = taken.map(take).chain(ended.map(nj::Record::Finished)).collect();
+        let records: Vec<_> =
+            accepted.map(accepted_record).chain(finished.map(nj::Record::Finished)).collect();
         self.0.append(&records, 1).unwrap();
         while let Some(sync) = self.0.start_sync() {
             self.0.finish_sync(sync.run(), 1);
@@ -117,30 +120,30 @@
 
 struct Sqlite(Connection);
 
-fn open_sqlite(path: &Path, machine: bool) -> Sqlite {
+fn open_sqlite(path: &Path, sync_commits: bool) -> Sqlite {
     let db = Connection::open(path.join("db")).unwrap();
     db.pragma_update(None, "journal_mode", "WAL").unwrap();
-    db.pragma_update(None, "synchronous", if machine { "FULL" } else { "NORMAL" }).unwrap();
+    db.pragma_update(None, "synchronous", if sync_commits { "FULL" } else { "NORMAL" }).unwrap();
     db.execute("CREATE TABLE IF NOT EXISTS held (id INTEGER PRIMARY KEY, body BLOB)", []).unwrap();
     Sqlite(db)
 }
 
 impl Store for Sqlite {
-    fn round(&mut self, taken: std::ops::Range<u64>, ended: std::ops::Range<u64>) {
-        let round = self.0.transaction().unwrap();
+    fn commit(&mut self, accepted: std::ops::Range<u64>, finished: std::ops::Range<u64>) {
+        let transaction = self.0.transaction().unwrap();
         {
-            let mut insert = round.prepare_cached("INSERT INTO held VALUES (?, ?)").unwrap();
-            taken.for_each(|id| _ = insert.execute((id as i64, &encoded(id))).unwrap());
-            let mut delete = round.prepare_cached("DELETE FROM held WHERE id = ?").unwrap();
-            ended.for_each(|id| _ = delete.execute([id as i64]).unwrap());
+            let mut insert = transaction.prepare_cached("INSERT INTO held VALUES (?, ?)").unwrap();
+            accepted.for_each(|id| _ = insert.execute((id as i64, &encoded(id))).unwrap());
+            let mut delete = transaction.prepare_cached("DELETE FROM held WHERE id = ?").unwrap();
+            finished.for_each(|id| _ = delete.execute([id as i64]).unwrap());
         }
-        round.commit().unwrap();
+        transaction.commit().unwrap();
     }
 
     fn load(path: &Path) -> usize {
         let db = open_sqlite(path, false).0;
-        let mut all = db.prepare("SELECT id, body FROM held").unwrap();
-        let rows = all
+        let mut select = db.prepare("SELECT id, body FROM held").unwrap();
+        let rows = select
             .query_map([], |row| Ok((row.get::<_, i64>(0)?, decoded(row.get_ref(1)?.as_blob()?))))
             .unwrap();
         rows.map(Result::unwrap).collect::<std::collections::HashMap<_, _>>().len()
@@ -149,116 +152,132 @@
 
 struct Redb(Database, bool);
 
-const HELD_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("held");
+const MESSAGES_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("held");
 
 impl Store for Redb {
-    fn round(&mut self, taken: std::ops::Range<u64>, ended: std::ops::Range<u64>) {
-        let mut round = self.0.begin_write().unwrap();
-        round.set_durability(if self.1 { redb::Durability::Immediate } else { redb::Durability::None });
+    fn commit(&mut self, accepted: std::ops::Range<u64>, finished: std::ops::Range<u64>) {
+        let mut transaction = self.0.begin_write().unwrap();
+        transaction.set_durability(if self.1 { redb::Durability::Immediate } else { redb::Durability::None });
         {
-            let mut table = round.open_table(HELD_TABLE).unwrap();
-            taken.for_each(|id| _ = table.insert(id, encoded(id).as_slice()).unwrap());
-            ended.for_each(|id| _ = table.remove(id).unwrap());
+            let mut table = transaction.open_table(MESSAGES_TABLE).unwrap();
+            accepted.for_each(|id| _ = table.insert(id, encoded(id).as_slice()).unwrap());
+            finished.for_each(|id| _ = table.remove(id).unwrap());
         }
-        round.commit().unwrap();
+        transaction.commit().unwrap();
     }
 
     fn load(path: &Path) -> usize {
         let db = Database::create(path.join("db")).unwrap();
-        let read = db.begin_read().unwrap();
-        let table = read.open_table(HELD_TABLE).unwrap();
-        let rows =
-            table.iter().unwrap().map(|row| row.map(|(k, v)| (k.value(), decoded(v.value()))).unwrap());
+        let read_transaction = db.begin_read().unwrap();
+        let table = read_transaction.open_table(MESSAGES_TABLE).unwrap();
+        let rows = table
+            .iter()
+            .unwrap()
+            .map(|row| row.map(|(id, message)| (id.value(), decoded(message.value()))).unwrap());
         rows.collect::<std::collections::HashMap<_, _>>().len()
     }
 }
 
 struct Raft(Engine, bool);
 
-fn open_raft(path: &Path, machine: bool) -> Raft {
+fn open_raft(path: &Path, sync_commits: bool) -> Raft {
     let config = Config {
         dir: path.join("raft").to_string_lossy().into_owned(),
         target_file_size: ReadableSize::mb(4),
         purge_threshold: ReadableSize::mb(16),
         ..Config::default()
     };
-    Raft(Engine::open(config).unwrap(), machine)
+    Raft(Engine::open(config).unwrap(), sync_commits)
 }
 
 impl Store for Raft {
-    fn round(&mut self, taken: std::ops::Range<u64>, ended: std::ops::Range<u64>) {
+    fn commit(&mut self, accepted: std::ops::Range<u64>, finished: std::ops::Range<u64>) {
         let mut batch = LogBatch::default();
-        taken.for_each(|id| batch.put(1, id.to_be_bytes().to_vec(), encoded(id)).unwrap());
-        ended.for_each(|id| batch.delete(1, id.to_be_bytes().to_vec()));
+        accepted.for_each(|id| batch.put(1, id.to_be_bytes().to_vec(), encoded(id)).unwrap());
+        finished.for_each(|id| batch.delete(1, id.to_be_bytes().to_vec()));
         self.0.write(&mut batch, self.1).unwrap();
-        // Its owner has to call this now and then, as it has no thread of its own.
+        // raft-engine has no background thread for this, so its user must call it regularly.
         self.0.purge_expired_files().unwrap();
     }
 
     fn load(path: &Path) -> usize {
         let engine = open_raft(path, false).0;
-        let mut all = std::collections::HashMap::new();
+        let mut messages = std::collections::HashMap::new();
         engine
             .scan_raw_messages(1, None, None, false, |key, value| {
-                all.insert(key.to_vec(), decoded(value));
+                messages.insert(key.to_vec(), decoded(value));
                 true
             })
             .unwrap();
-        all.len()
+        messages.len()
     }
 }
 
-fn scratch(name: &str) -> PathBuf {
+fn empty_folder(name: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("target/scratch").join(name);
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
     path
 }
 
-/// Records a second, taken on and ended counted alike.
-fn append(store: &mut dyn Store, time: Duration) -> f64 {
-    let (began, mut round) = (Instant::now(), 0);
-    while began.elapsed() < time {
-        let ended = round.max(HELD) - HELD;
-        let ended = if round >= HELD { ended * EACH..(ended + 1) * EACH } else { 0..0 };
-        store.round(round * EACH..(round + 1) * EACH, ended);
-        round += 1;
+/// Returns the records written per second; accepted and finished messages count as one record each.
+fn append(store: &mut dyn Store, duration: Duration) -> f64 {
+    let (started_at, mut commits) = (Instant::now(), 0);
+    while started_at.elapsed() < duration {
+        let finished = commits.max(COMMITS_UNTIL_FINISHED) - COMMITS_UNTIL_FINISHED;
+        let finished = if commits >= COMMITS_UNTIL_FINISHED {
+            finished * MESSAGES_PER_COMMIT..(finished + 1) * MESSAGES_PER_COMMIT
+        } else {
+            0..0
+        };
+        store.commit(commits * MESSAGES_PER_COMMIT..(commits + 1) * MESSAGES_PER_COMMIT, finished);
+        commits += 1;
     }
-    (round * EACH * 2) as f64 / began.elapsed().as_secs_f64()
+    (commits * MESSAGES_PER_COMMIT * 2) as f64 / started_at.elapsed().as_secs_f64()
 }
 
-fn recovery<S: Store>(name: &str, open: impl Fn(&Path) -> S) {
-    let path = scratch(name);
+fn measure_recovery<S: Store>(name: &str, open: impl Fn(&Path) -> S) {
+    let path = empty_folder(name);
     let mut store = open(&path);
-    let rounds = 100_000_000 / (EACH * BODY as u64);
-    (0..rounds).for_each(|r| store.round(r * EACH..(r + 1) * EACH, 0..0));
+    let commits = 100_000_000 / (MESSAGES_PER_COMMIT * BODY_BYTES as u64);
+    (0..commits).for_each(|commit| {
+        store.commit(commit * MESSAGES_PER_COMMIT..(commit + 1) * MESSAGES_PER_COMMIT, 0..0)
+    });
     drop(store);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let count = S::load(&path);
-    println!("{name:<12} {:>8.0} ms, {count} messages", began.elapsed().as_secs_f64() * 1e3);
-    assert_eq!(count as u64, rounds * EACH);
+    println!("{name:<12} {:>8.0} ms, {count} messages", started_at.elapsed().as_secs_f64() * 1e3);
+    assert_eq!(count as u64, commits * MESSAGES_PER_COMMIT);
 }
 
 fn main() {
-    let time = Duration::from_secs(4);
-    for machine in [false, true] {
-        println!("records a second, durability {}", if machine { "machine" } else { "process" });
-        let durability = if machine { nj::Durability::Machine } else { nj::Durability::Process };
+    let duration = Duration::from_secs(4);
+    for sync_commits in [false, true] {
+        println!("records per second, durability {}", if sync_commits { "machine" } else { "process" });
+        let durability = if sync_commits { nj::Durability::Machine } else { nj::Durability::Process };
         println!(
             "{:<12} {:>10.0}",
             "journal",
-            append(&mut open_journal(&scratch("journal"), durability), time)
+            append(&mut open_journal(&empty_folder("journal"), durability), duration)
+        );
+        println!(
+            "{:<12} {:>10.0}",
+            "raft-engine",
+            append(&mut open_raft(&empty_folder("raft"), sync_commits), duration)
+        );
+        println!(
+            "{:<12} {:>10.0}",
+            "SQLite",
+            append(&mut open_sqlite(&empty_folder("sqlite"), sync_commits), duration)
         );
-        println!("{:<12} {:>10.0}", "raft-engine", append(&mut open_raft(&scratch("raft"), machine), time));
-        println!("{:<12} {:>10.0}", "SQLite", append(&mut open_sqlite(&scratch("sqlite"), machine), time));
-        let redb = Database::create(scratch("redb").join("db")).unwrap();
-        println!("{:<12} {:>10.0}", "redb", append(&mut Redb(redb, machine), time));
+        let redb = Database::create(empty_folder("redb").join("db")).unwrap();
+        println!("{:<12} {:>10.0}", "redb", append(&mut Redb(redb, sync_commits), duration));
     }
-    println!("read back 100 MB that lives, files in the system's cache");
-    recovery("journal", |p| open_journal(p, nj::Durability::Process));
-    recovery("raft-engine", |p| open_raft(p, false));
-    recovery("SQLite", |p| open_sqlite(p, false));
-    // Its last commit must be one that lasts.
-    recovery("redb", |p| Redb(Database::create(p.join("db")).unwrap(), true));
+    println!("recovery of 100 MB of open messages, files in the page cache");
+    measure_recovery("journal", |path| open_journal(path, nj::Durability::Process));
+    measure_recovery("raft-engine", |path| open_raft(path, false));
+    measure_recovery("SQLite", |path| open_sqlite(path, false));
+    // Uses synced commits: with Durability::None the last commits may be lost, and the count would not match.
+    measure_recovery("redb", |path| Redb(Database::create(path.join("db")).unwrap(), true));
     let _ = std::fs::remove_dir_all(Path::new(env!("CARGO_MANIFEST_DIR")).join("target/scratch"));
 }
--- a/crates/tools/nickelshed-simhost/src/host.rs
+++ b/crates/tools/nickelshed-simhost/src/host.rs
@@ -37,7 +37,7 @@
 }
 
 #[derive(Default)]
-pub struct Host {
+pub struct Adapter {
     /// Time of the current batch; `None` between batches.
     now: Option<Ns>,
     current_sender: Option<u64>,
@@ -92,7 +92,7 @@
     text.chars().take(40).collect()
 }
 
-impl Host {
+impl Adapter {
     /// Handles one line. Returns true if it ends a batch; `reply` then holds the answer.
     pub fn handle_line(&mut self, line: &str, reply: &mut String) -> Result<bool, String> {
         if line.is_empty() {
--- a/crates/tools/nickelshed-simhost/src/main.rs
+++ b/crates/tools/nickelshed-simhost/src/main.rs
@@ -7,7 +7,7 @@
 fn main() {
     let mut input = std::io::stdin().lock();
     let mut output = std::io::BufWriter::new(std::io::stdout().lock());
-    let mut host = host::Host::default();
+    let mut adapter = host::Adapter::default();
     let mut reply = String::new();
     let mut line = Vec::new();
     let mut line_number = 0u64;
@@ -23,7 +23,7 @@
             Ok(text) => text.trim_end_matches(['\n', '\r']),
             Err(_) => exit_with_error(&format!("line {line_number}: not UTF-8 text")),
         };
-        match host.handle_line(text, &mut reply) {
+        match adapter.handle_line(text, &mut reply) {
             Ok(false) => {}
             Ok(true) => {
                 let write_result = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
