--- a/crates/tools/nickelshed-ctl/src/files.rs
+++ b/crates/tools/nickelshed-ctl/src/files.rs
@@ -69,7 +69,7 @@
     /// Checks all added files for conflicts between them, and sorts the findings.
     pub fn check_conflicts(&mut self) {
         let files = self.parsed.iter().zip(&self.contents).enumerate();
-        let members: Vec<together::ConfigFile> = files
+        let config_files: Vec<together::ConfigFile> = files
             .filter_map(|(file, (loaded, content))| {
                 let (sidecar, source) = loaded.as_ref()?;
                 let folder = content.path.parent().unwrap_or(Path::new(""));
@@ -78,11 +78,11 @@
                 Some(together::ConfigFile { file, sidecar, source, state, notices })
             })
             .collect();
-        self.findings.extend(together::check(&members));
+        self.findings.extend(together::check(&config_files));
         self.findings.sort_by_key(|f| (f.file, f.span.start));
     }
 
-    pub fn errors(&self) -> usize {
+    pub fn error_count(&self) -> usize {
         self.findings.iter().filter(|f| f.is_error()).count()
     }
 }
--- a/crates/tools/nickelshed-ctl/src/lib.rs
+++ b/crates/tools/nickelshed-ctl/src/lib.rs
@@ -267,7 +267,7 @@
 fn fleet(path: &Path, json: bool, watch_for: Option<Duration>) -> Result<Outcome, String> {
     let Some(sidecar) = load_sidecar(path) else { return Ok(Outcome::HasFindings) };
     let folder = path.parent().unwrap_or(Path::new(""));
-    let (start, mut last_printed) = (Instant::now(), None);
+    let (started_at, mut last_printed) = (Instant::now(), None);
     loop {
         let report = members::inspect_fleet(&sidecar, folder)?;
         // `seconds_in_state` is left out of the comparison because it changes all the time.
@@ -276,7 +276,7 @@
             last_printed = Some(state);
             print(&if json { format!("{}\n", report.json()) } else { report.text() });
         }
-        if watch_for.is_none_or(|duration| start.elapsed() >= duration) {
+        if watch_for.is_none_or(|duration| started_at.elapsed() >= duration) {
             return Ok(Outcome::Code(report.exit_code()));
         }
         std::thread::sleep(Duration::from_secs(1));
--- a/crates/tools/nickelshed-ctl/src/new.rs
+++ b/crates/tools/nickelshed-ctl/src/new.rs
@@ -36,10 +36,10 @@
     #[arg(long, value_name = "FOLDER")]
     state: Option<PathBuf>,
     /// A class, NAME:WANTED:ABANDONED:EFFECT, for example alert:3s:16s:keyed; keyed classes may add :WINDOW
-    #[arg(long, value_name = "CLASS", value_parser = class)]
+    #[arg(long, value_name = "CLASS", value_parser = parse_class)]
     class: Vec<Class>,
     /// A destination, NAME:NUMBER=ADDRESS,ADDRESS, for example gmina-lipno:7=127.0.0.1:7501
-    #[arg(long, value_name = "DESTINATION", value_parser = destination)]
+    #[arg(long, value_name = "DESTINATION", value_parser = parse_destination)]
     destination: Vec<Destination>,
     /// Address of the discovery agent that lists the endpoints, instead of destinations
     #[arg(long, value_name = "ADDRESS")]
@@ -55,7 +55,7 @@
     loopback_only: bool,
 }
 
-fn class(text: &str) -> Result<Class, String> {
+fn parse_class(text: &str) -> Result<Class, String> {
     let fields: Vec<&str> = text.split(':').collect();
     let [name, wanted_within, abandoned_text, effect, optional @ ..] = fields.as_slice() else {
         return Err("expected NAME:WANTED:ABANDONED:EFFECT, for example alert:3s:16s:keyed".into());
@@ -86,7 +86,7 @@
     })
 }
 
-fn destination(text: &str) -> Result<Destination, String> {
+fn parse_destination(text: &str) -> Result<Destination, String> {
     let usage =
         || "expected NAME:NUMBER=ADDRESS,ADDRESS, for example gmina-lipno:7=127.0.0.1:7501".to_string();
     let (head, endpoints) = text.split_once('=').ok_or_else(usage)?;
@@ -130,7 +130,7 @@
                 )
             }
         };
-        let default_classes = || class("alert:3s:16s:keyed").into_iter().collect();
+        let default_classes = || parse_class("alert:3s:16s:keyed").into_iter().collect();
         let notices_file = self.notices_file.clone();
         let notices_file = notices_file
             .or_else(|| self.notices_http.is_none().then(|| format!("{application}.notices.jsonl").into()));
@@ -213,7 +213,7 @@
             );
         }
         checked.check_conflicts();
-        if checked.errors() > 0 {
+        if checked.error_count() > 0 {
             return Ok(Err(checked));
         }
         if let Some(existing) = checked.contents.iter().find(|t| !self.force && t.path.exists()) {
--- a/crates/tools/nickelshed-ctl/tests/ctl.rs
+++ b/crates/tools/nickelshed-ctl/tests/ctl.rs
@@ -367,10 +367,10 @@
     assert!(code == 0 && text.contains("0 errors, 0 warnings"), "{text}");
     assert!(!folder.0.join("state").exists(), "the check creates no folder");
     folder.write(
-        "taken.toml",
+        "occupied.toml",
         &file(&occupied.local_addr().unwrap().to_string(), "good.toml/state", "1000000000"),
     );
-    let (code, text) = folder.run(&["doctor", "taken.toml"]);
+    let (code, text) = folder.run(&["doctor", "occupied.toml"]);
     assert!(code == 1, "{text}");
     for code_name in ["NS951", "NS952", "NS954"] {
         assert!(text.contains(code_name), "{code_name}: {text}");
--- a/crates/tools/nickelshed-quickstart/src/main.rs
+++ b/crates/tools/nickelshed-quickstart/src/main.rs
@@ -127,7 +127,7 @@
     Ok((sidecar, config_file, servers))
 }
 
-fn start(config_file: &Path, folder: &Path, listen: SocketAddr) -> Result<SidecarProcess, BoxError> {
+fn start_sidecar(config_file: &Path, folder: &Path, listen: SocketAddr) -> Result<SidecarProcess, BoxError> {
     let log = folder.join("sidecar.log");
     let child = Command::new(std::env::current_exe()?)
         .arg("--sidecar")
@@ -193,7 +193,7 @@
     let _ = fs::remove_dir_all(folder);
     let attempt_log = AttemptLog::default();
     let (sidecar, config_file, _servers) = set_up(folder, &attempt_log)?;
-    let mut sidecar_process = start(&config_file, folder, sidecar.listen)?;
+    let mut sidecar_process = start_sidecar(&config_file, folder, sidecar.listen)?;
     let listen = sidecar.listen;
     print_line(&format!(
         "The sidecar of `{}` listens at {listen}; its configuration is {}.\n",
--- a/crates/tools/nickelshed-simhost/src/host.rs
+++ b/crates/tools/nickelshed-simhost/src/host.rs
@@ -23,7 +23,7 @@
     finished: bool,
 }
 
-struct Instance {
+struct SenderInstance {
     sender: Sender,
     deployment: DeploymentContext,
     events: Vec<Event>,
@@ -41,7 +41,7 @@
     /// Time of the current batch; `None` between batches.
     now: Option<Ns>,
     current_sender: Option<u64>,
-    instances: BTreeMap<u64, Instance>,
+    instances: BTreeMap<u64, SenderInstance>,
     tables: HashMap<u64, Rc<Vec<WireEntry>>>,
     /// A table whose entries are not all read: its slot, the number of missing entries, and the entries read
     /// so far.
@@ -145,7 +145,7 @@
                 let (settings, deployment) =
                     settings::read(&configuration).map_err(|e| format!("LAUNCH field Conf: {e}"))?;
                 let sender = Sender::new(settings, seed);
-                self.instances.insert(sender_number, Instance::new(sender, deployment));
+                self.instances.insert(sender_number, SenderInstance::new(sender, deployment));
             }
             "CRASH_NOW" => {
                 let sender_number = self.current_sender.ok_or("CRASH_NOW without an INSTANCE line")?;
@@ -185,9 +185,9 @@
     }
 }
 
-impl Instance {
-    fn new(sender: Sender, deployment: DeploymentContext) -> Instance {
-        Instance {
+impl SenderInstance {
+    fn new(sender: Sender, deployment: DeploymentContext) -> SenderInstance {
+        SenderInstance {
             sender,
             deployment,
             events: Vec::new(),
@@ -246,7 +246,7 @@
             "EXPIRED" => {
                 if let Some(&id) = self.ids_by_reference.get(fields.text("Ref")?) {
                     self.events.push(Event::Withdrawn { id });
-                    self.finish(id);
+                    self.mark_finished(id);
                 }
             }
             "ECHO" => {
@@ -320,7 +320,7 @@
         })
     }
 
-    fn finish(&mut self, id: MsgId) {
+    fn mark_finished(&mut self, id: MsgId) {
         if let Some(message) = self.open_messages.get_mut(&id) {
             message.finished = true;
         }
@@ -356,13 +356,13 @@
             Action::Refuse { id, backoff } => {
                 let Some(reference) = reference_of(id) else { return };
                 let result = writeln!(reply, "PUSH_BACK\tRef={reference}\tBackoffNs={backoff}");
-                self.finish(id);
+                self.mark_finished(id);
                 result
             }
             Action::Fail { id } => {
                 let Some(reference) = reference_of(id) else { return };
                 let result = writeln!(reply, "LOSE\tRef={reference}");
-                self.finish(id);
+                self.mark_finished(id);
                 result
             }
             Action::Cancel { id, attempt } => {
