--- a/crates/tools/nickelshed-simhost/src/main.rs
+++ b/crates/tools/nickelshed-simhost/src/main.rs
@@ -1,13 +1,13 @@
 //! Runs the policy of many senders in one process for a simulator, which writes events to standard input and
 //! reads actions from standard output.
-mod host;
+mod adapter;
 
 use std::io::{BufRead, Write};
 
 fn main() {
     let mut input = std::io::stdin().lock();
     let mut output = std::io::BufWriter::new(std::io::stdout().lock());
-    let mut adapter = host::Adapter::default();
+    let mut adapter = adapter::Adapter::default();
     let mut reply = String::new();
     let mut line = Vec::new();
     let mut line_number = 0u64;
