--- a/crates/serve/nickelshed/tests/members.rs
+++ b/crates/serve/nickelshed/tests/members.rs
@@ -120,7 +120,7 @@
     (0..3).for_each(|n| fleet.wait_until_sender_count(n, 3));
     let configs: Vec<_> = fleet.senders.iter().map(|sender| sender.folder.join("sidecar.toml")).collect();
     let exit_code = |number: usize| {
-        nickelshed_ctl::call([
+        nickelshed_ctl::run([
             "nickelshed-ctl",
             "fleet",
             "members",
