--- a/crates/decide/nickelshed-policy/src/recovery.rs
+++ b/crates/decide/nickelshed-policy/src/recovery.rs
@@ -1,36 +1,42 @@
 //! Outage and slow start of a route.
 //!
-//! Invariant: in any window of `Settings::overload_window` after a recovery, the calls of all n senders that
-//! saw the outage stay, but for chance, within N + 2 x sqrt(N) + 2; N is `overload_multiple` x the current
-//! capacity of the route x the window. No sender sees another's calls: each keeps to N / n at a random phase.
+//! Invariant: in any window of `Settings::overload_window` after a recovery, the number of calls from all n
+//! senders that saw the outage stays within N + 2 x sqrt(N) + 2, except by chance. N is the overload multiple
+//! times the current capacity of the route, in calls a second, times the window in seconds. No sender sees
+//! the calls of another, so each keeps to N / n by itself, beginning at a random time.
 
 use crate::api::*;
 use crate::state::Route;
 
-/// Consecutive failures, or moving average of failures, that make a route suspect.
+/// A route becomes suspect after this many consecutive failures, or above this moving average of failures.
 pub const SUSPECT_FAILURES: u32 = 3;
 const SUSPECT_FAILURE_RATIO: f64 = 0.6;
-/// Moving average of failures that restarts the slow start of a route.
+/// Moving average of failures above which a route in slow start begins it anew.
 const RESTART_FAILURE_RATIO: f64 = 0.5;
-/// Fraction of N that the senders use on average: their sum stays four standard deviations below the bound.
+/// Fraction of N that the senders use on average. The sum of their calls then stays four standard deviations
+/// below the bound.
 const MARGIN: f64 = 0.7;
-/// An isolated failure is checked by one call at a random time within this fraction of the window.
+/// A failure that may be an isolated one is checked by one call, at a random time within this fraction of the
+/// overload window.
 const RECHECK_FRACTION: f64 = 0.25;
 /// A retry-after of at least this length is due to an outage and not to a rate limit.
 pub const OUTAGE_WAIT: Ns = 1_500 * MS;
-/// Up to this many may all call at one moment: N + 2 x sqrt(N) + 2 allows that where N is at least a half.
+/// Up to this many senders may all call at the same moment: N + 2 x sqrt(N) + 2 allows that many calls where
+/// N is at least a half.
 const SMALL_FLEET_MAX: usize = 4;
 /// The shortest interval between probes, and the longest one in a small fleet.
 const PROBE_INTERVAL_MIN: Ns = 500 * MS;
 const SMALL_FLEET_PROBE_INTERVAL_MAX: Ns = 3 * SECOND;
 
+/// A sign that a route may be unavailable.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FailureSignal {
-    /// False for a call that was already counted when it became overdue.
+    /// False for the end of a call that was already counted when it became overdue.
     pub is_new: bool,
-    /// A call or probe failed or was rejected: this sender is now one of those that saw the outage.
+    /// A call or probe failed or was rejected, and is not just overdue: this sender is now one of those that
+    /// saw the outage.
     pub explicit: bool,
-    /// When the route becomes available, if its rejection announced that.
+    /// When the route becomes available, if the rejection announced that (retry-after).
     pub ends_at: Option<Ns>,
     /// One call may soon check whether the failure was an isolated one.
     pub recheck: bool,
@@ -41,13 +47,15 @@
     cfg.sender_count.max(1) as f64
 }
 
-/// Returns the longest interval between probes, at which the whole fleet sends about one probe in a window.
+/// Returns the longest interval between probes. With it the whole fleet sends about one probe in an overload
+/// window.
 fn probe_interval_max(cfg: &Settings) -> Ns {
     let others = cfg.sender_count.max(1) as Ns - 1;
     cfg.overload_window.saturating_mul(others).max(SMALL_FLEET_PROBE_INTERVAL_MAX)
 }
 
-/// Returns whether there are so many senders that together they overload a route even if each sends little.
+/// Returns whether there are so many senders that they can overload a route together even if each sends
+/// little.
 fn large_fleet(cfg: &Settings) -> bool {
     cfg.sender_count > SMALL_FLEET_MAX
 }
@@ -80,14 +88,17 @@
         (MARGIN * cfg.overload_multiple * capacity * self.fair_share(cfg, now)).max(0.15 / sender_count(cfg))
     }
 
-    /// Returns the time to the next probe, on average that of slow start; `draw` is random in [0, 1).
+    /// Returns the time from one probe to the next: random, on average the interval between calls in slow
+    /// start, and within the bounds above. `draw` is a random draw in [0, 1), here and below.
     pub fn probe_interval(&self, cfg: &Settings, now: Ns, draw: f64) -> Ns {
         let interval = (2e9 * draw / self.slow_start_rate(cfg, now)) as Ns;
         interval.clamp(PROBE_INTERVAL_MIN, probe_interval_max(cfg))
     }
 
-    /// Returns the consecutive failures that begin slow start: half of those that this sender would see in an
-    /// outage as long as the window at `arrivals` a second. Hundreds that see one each are the whole load.
+    /// Returns the number of consecutive failures that begins slow start. In a large fleet it is half of
+    /// those that this sender would see in an outage as long as the overload window, with `arrivals` messages
+    /// a second: hundreds of senders that see only one failure each carry the whole load of the route
+    /// together.
     pub fn slow_start_failures(&self, cfg: &Settings, now: Ns, arrivals: f64) -> u32 {
         if !large_fleet(cfg) {
             return SUSPECT_FAILURES;
@@ -96,8 +107,9 @@
         ((expected / 2.0) as u32).clamp(1, SUSPECT_FAILURES)
     }
 
-    /// Records a failure signal. Enough of them make the route suspect: it gets only single, spaced probes.
-    /// An outage with an explicit signal starts slow start, until the route has served and warmed up.
+    /// Records a failure signal. Enough of them make the route suspect: it then gets only single probes,
+    /// spaced by `probe_interval`. An explicit signal of an outage also begins slow start, which lasts until
+    /// the route has served again and warmed up. `arrivals`: messages a second for the destination.
     pub fn on_failure(&mut self, cfg: &Settings, now: Ns, signal: FailureSignal, arrivals: f64, draw: f64) {
         if signal.is_new {
             self.failures += 1;
@@ -107,10 +119,11 @@
         if suspect {
             (self.suspect, self.last_failure) = (true, self.last_failure.max(now));
         }
-        // A sender that knows when an outage ends gets no more signals until then, and it is certain.
+        // A sender that was told when the outage ends gets no more signals until then. It needs none, as the
+        // outage is certain.
         let announced = signal.ends_at.is_some_and(|at| large_fleet(cfg) || at - now >= OUTAGE_WAIT);
         let outage = suspect || announced || self.failures >= self.slow_start_failures(cfg, now, arrivals);
-        // Single failures among successes must not restart slow start again and again.
+        // Single failures among successes must not begin slow start anew again and again.
         let restart = self.in_slow_start && self.failure_ratio > RESTART_FAILURE_RATIO;
         if !(signal.explicit && (outage || restart)) {
             return;
@@ -133,14 +146,16 @@
 
     /// Records a call that was served `age` after it was sent.
     pub fn on_success(&mut self, cfg: &Settings, now: Ns, age: Ns, draw: f64) {
-        // A probe served sooner than overdue calls were cancelled shows that the route hung and was not slow.
+        // A probe that is served in less time than overdue calls had when they were cancelled shows that the
+        // route hung and was not just slow.
         let cancelled_after = std::mem::take(&mut self.longest_cancelled);
         self.in_slow_start |= self.suspect && age < cancelled_after;
         if self.isolated && now - self.last_failure <= cfg.overload_window {
             self.in_slow_start = false;
         }
         if self.in_slow_start && !self.has_recovered() {
-            // It recovered at some time since the last failure: on average of many senders, half of that ago.
+            // The route recovered at some time since the last failure: on average over many senders, half of
+            // that time ago.
             let since = now - self.last_failure;
             let since = if large_fleet(cfg) { (since / 2).min(cfg.slow_start_duration / 2) } else { since };
             self.recovered_at = now - since.min(probe_interval_max(cfg));
@@ -156,8 +171,8 @@
     pub fn update_slow_start(&mut self, cfg: &Settings, now: Ns) {
         // The real recovery may have been this much later than `recovered_at`.
         let uncertainty = probe_interval_max(cfg).min(cfg.slow_start_duration / 2);
-        let warm_at = self.recovered_at.saturating_add(cfg.slow_start_duration + uncertainty);
-        if self.in_slow_start && !self.suspect && self.has_recovered() && now > warm_at {
+        let warmed_up_at = self.recovered_at.saturating_add(cfg.slow_start_duration + uncertainty);
+        if self.in_slow_start && !self.suspect && self.has_recovered() && now > warmed_up_at {
             self.in_slow_start = false;
         }
         if now - self.last_failure > cfg.overload_window {
--- a/crates/decide/nickelshed-policy/src/rules.rs
+++ b/crates/decide/nickelshed-policy/src/rules.rs
@@ -1,9 +1,16 @@
 //! The decisions of a sender. The interface (settings, events, actions) is `src/api.rs`.
 //!
-//! Normal operation follows the QoSmax paper: every `CONTROL_PERIOD` each destination gets a cap on its calls
-//! in flight, the level with the highest score: level x share of classes whose mean latency + deviation is
-//! under target. Below the cap a message is sent, else queued; above `SHED_THRESHOLD` what queued too long is
-//! refused. Around this: pacing for rate limits, a suspect state per route, and guards of the delivery rules.
+//! Normal operation follows the QoSmax paper. Every `CONTROL_PERIOD` each destination gets a cap on its calls
+//! in flight. A level is a number of calls in flight; its score is the level times the fraction of arriving
+//! messages whose class meets its target there, that is, whose mean latency plus one standard deviation is
+//! below the target. The cap is the level with the highest score (`choose_cap`). Below the cap a message is
+//! sent at once, otherwise it is queued. While more messages are open than `SHED_THRESHOLD` allows, those
+//! that have been queued for longer than the admission wait are refused, the least valuable first
+//! (`shed_load`).
+//!
+//! Three more parts surround this: token buckets that pace calls under a rate limit (`Sender::ready_at`); the
+//! suspect state, probes and slow start of a route (`recovery.rs`); and the guards of the delivery rules
+//! (`Sender::allows` and `Sender::is_next_of_key`).
 
 use crate::api::*;
 use crate::recovery::{sender_count, FailureSignal, OUTAGE_WAIT};
@@ -15,51 +22,60 @@
 
 /// How often caps are chosen, queued messages checked and overdue calls detected (the paper's control rate).
 const CONTROL_PERIOD: Ns = 100 * MS;
-/// The paper's admission wait: this or 10% of the expected run time, whichever is longer.
+/// The paper's admission wait is this or 10% of the expected run time (here the mean latency of the
+/// destination), whichever is longer.
 const ADMISSION_WAIT_MIN: Ns = 100 * MS;
-/// Fraction of `Settings::max_open` above which messages past the admission wait are refused.
+/// Fraction of `Settings::max_open` that may be open before messages past the admission wait are refused.
 const SHED_THRESHOLD: f64 = 0.9;
-/// Half-life of a route's proven rate: much longer than outages, so that it is still known after one.
+/// Half-life of a route's proven rate. It is much longer than outages, so that the rate is still known after
+/// one.
 const PROVEN_RATE_HALF_LIFE_NS: f64 = 600e9;
 /// Fraction of the slots that probes of all suspect routes may use together.
 const PROBE_SLOT_FRACTION: f64 = 0.25;
+/// Fraction of a rate hint that is used as the limit where hints are only estimates.
 const ESTIMATED_RATE_TRUST: f64 = 0.6;
-/// A call is overdue after mean + this many deviations, and times out after twice that if it may be retried.
+/// A call is overdue after the mean latency of its destination plus this many standard deviations, but not
+/// before `OVERDUE_MIN`. After twice that time it times out, if its messages may then be retried.
 const OVERDUE_DEVIATIONS: f64 = 3.0;
 const OVERDUE_MIN: Ns = 400 * MS;
 
-/// More than any value: recovered messages without an attempt are sent before new ones, the least time left
-/// first, and refused last. They were accepted first, and a client that knows this submits them nowhere else.
+/// Added to the value of a recovered message without an attempt; greater than the value of any message. Such
+/// messages are sent before new ones, the least time left first, and refused last: they were accepted before
+/// the new ones, and a client that knows that its message is accepted does not submit it elsewhere.
 const UNATTEMPTED_BONUS: f64 = 1e4;
 
-/// Returning an accepted message that has not run, before this fraction of its deadline, costs this fraction
-/// of its value by the terms of service: its client has lost time in which to submit it elsewhere.
+/// By the terms of service, returning an accepted message that has not run, before `PREMATURE_AGE` of its
+/// deadline has passed, costs `PREMATURE_RETURN_COST` of its value: its client has lost time in which it
+/// could have submitted the message elsewhere. Both are fractions.
 const PREMATURE_AGE: f64 = 0.7;
 const PREMATURE_RETURN_COST: f64 = 0.3;
 
-/// An endpoint that refuses a connection and serves a call within this time is up but has its connections
-/// exhausted; all endpoints of its kind are then treated so for `EXHAUSTED_TTL`.
+/// An endpoint that refuses a connection, and within this time serves a call, is not down: its connections
+/// are exhausted. For `EXHAUSTED_TTL` this is then assumed of all endpoints of its kind.
 const EXHAUSTED_EVIDENCE: Ns = 3 * SECOND;
 const EXHAUSTED_TTL: Ns = 60 * SECOND;
 
-/// A limit share holds this long after a report on the use of the limit. Then it doubles or halves with each
-/// further interval until it is back at `base_limit_share`.
+/// A limit share stays as it is for this long after the last report on the use of the limit. Then it doubles
+/// or halves with each further interval of this length until it is back at `base_limit_share`.
 const SHARE_TTL: Ns = 5 * SECOND;
 
-/// Fair shares of a limit that one sender may use while none of its own work is queued for more.
+/// How many fair shares of a limit (the limit divided by the sender count) one sender may use while it has no
+/// queued messages that need more.
 const BASE_FAIR_SHARES: f64 = 1.4;
-/// Load is less even over few senders: this, divided by their number, is added to the fair shares above.
+/// Few senders share the load less evenly, so this number divided by the sender count is added to
+/// `BASE_FAIR_SHARES`.
 const SMALL_FLEET_FAIR_SHARES: f64 = 4.0;
 
 /// A reported limit that differs from the known one by more than this fraction is a new limit and not noise.
 const REPORT_NOISE: f64 = 0.3;
 
-/// Each answer that reports headroom multiplies the limit share by the sender count to this power: as many
-/// answers then lead from a fair share to the whole limit, whatever the fleet size.
+/// Each answer that reports headroom multiplies the limit share by the sender count to this power. The number
+/// of answers that leads from a fair share to the whole limit is then the same for every fleet size.
 const SHARE_GROWTH_EXPONENT: f64 = 0.045;
 
 impl Route {
-    /// Without new reports the limit share returns to `base_share`, as other senders' calls are not seen.
+    /// Returns the limit share to use now. Without new reports it returns to `base_share`, because only
+    /// reports show the calls of other senders.
     fn share_now(&self, now: Ns, base_share: f64) -> f64 {
         let decay = ((now - self.share_at - SHARE_TTL).max(0) as f64 / SHARE_TTL as f64).exp2();
         if self.limit_share > base_share {
@@ -69,50 +85,65 @@
         }
     }
 
+    /// Returns the proven rate, in calls a second, decayed to `now`.
     pub fn proven_rate_now(&self, now: Ns) -> f64 {
         self.proven_rate * (-((now - self.proven_at) as f64) / PROVEN_RATE_HALF_LIFE_NS).exp2()
     }
 }
 
 impl Dest {
+    /// Returns the mean time between two messages of this sender that the destination serves, in nanoseconds;
+    /// at most ten seconds.
     fn service_interval_ns(&self, now: Ns) -> f64 {
         1e9 / rate_per_s(self.served.weight_at(now)).max(0.1)
     }
 }
 
+/// The decision module of one sender: it receives events and returns actions.
 #[derive(Default)]
 pub struct Sender {
     cfg: Settings,
     rng: u64,
+    /// Time of the current batch of events; it never goes back.
     now: Ns,
     messages: BTreeMap<MsgId, OpenMessage>,
+    /// Messages in `messages` that have not finished.
     open_count: usize,
     endpoints: BTreeMap<EndpointId, Endpoint>,
     routes: BTreeMap<RouteId, Route>,
     dests: BTreeMap<DestId, Dest>,
+    /// Calls in flight, by a number that rises with each call.
     calls: BTreeMap<u64, Call>,
     next_call: u64,
+    /// Messages of classes in order, by their key.
     keys: BTreeMap<u64, KeyQueue>,
-    /// Destinations with calls in flight or queued messages; the others take no processing time.
+    /// Destinations with calls in flight or queued messages; the control period skips all others.
     active: BTreeSet<DestId>,
-    /// Those with queued messages, by when a call may be possible; an event makes its destination due now.
+    /// Destinations with queued messages, by the time at which a call to them may become possible. An event
+    /// that concerns a destination makes it due at once.
     agenda: BTreeSet<(Ns, DestId)>,
     probes_in_flight: usize,
-    /// Endpoints whose calls ended in this batch, and when each kind last had its connections exhausted.
+    /// Endpoints whose calls ended in this batch.
     released: Vec<EndpointId>,
+    /// When the connections to each kind of endpoint were last found exhausted.
     exhausted_at: BTreeMap<usize, Ns>,
+    /// When the next queued message has too little time left for a call.
     expiry_at: Ns,
+    /// When `prune` and `run_control_period` last ran.
     pruned_at: Ns,
     control_at: Ns,
+    /// The earliest timer that the caller was asked for and that has not fired.
     timer_at: Option<Ns>,
 }
 
 impl Sender {
+    /// Equal settings, seeds and events give equal actions.
     pub fn new(cfg: Settings, seed: u64) -> Sender {
         Sender { cfg, rng: seed, expiry_at: Ns::MAX, control_at: LONG_AGO, ..Sender::default() }
     }
 
-    /// Processes all events of one batch, then decides.
+    /// Processes all events of one batch, then decides and appends the actions to `actions`. A `now` before
+    /// that of an earlier batch counts as that one.
     pub fn handle(&mut self, now: Ns, events: &[Event], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         for event in events {
@@ -153,13 +184,15 @@
         }
     }
 
+    /// Returns the next random draw in [0, 1).
     fn random(&mut self) -> f64 {
         self.rng = self.rng.wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(0x1405_7b7e_f767_814f);
         (self.rng >> 11) as f64 / (1u64 << 53) as f64
     }
 
     /// Where connections to a kind of endpoint are exhausted, closes idle ones that are seldom used, so that
-    /// other senders can connect: all together keep about as many as three would. Costs handshakes.
+    /// other senders can connect: all senders together keep about as many idle connections as three senders
+    /// do otherwise. This costs handshakes.
     fn close_idle_connections(&mut self, actions: &mut Vec<Action>) {
         let mut released = std::mem::take(&mut self.released);
         released.sort_unstable();
@@ -175,6 +208,8 @@
         }
     }
 
+    /// Detects overdue calls, chooses the caps, makes all destinations with queued messages due, and prunes
+    /// every ten seconds.
     fn run_control_period(&mut self) {
         self.detect_overdue();
         let now = self.now;
@@ -202,6 +237,7 @@
         }
     }
 
+    /// Adds a message to the queue of its destination, which is ordered by message id, and makes it due now.
     fn enqueue(&mut self, id: MsgId) {
         let open = &self.messages[&id];
         let (dest_id, latest_send) = (open.message.dest, self.latest_send(open));
@@ -217,7 +253,8 @@
         self.set_due(dest_id, LONG_AGO);
     }
 
-    /// Applies a list. Draining and gone endpoints are unusable before anything of the batch is sent.
+    /// Applies a list of endpoints. All events of a batch are processed before anything is sent, so a
+    /// draining or gone endpoint gets nothing more, beginning with the batch that lists it as such.
     fn apply_list(&mut self, full: bool, entries: &[Entry]) {
         if full {
             self.endpoints.values_mut().for_each(|e| e.usable = false);
@@ -294,7 +331,8 @@
         self.enqueue(message.id);
     }
 
-    /// Adds a message of an earlier process. Its attempts count, and one then in flight may have run.
+    /// Adds a message that an earlier process accepted. Its attempts so far count towards `max_attempts`, and
+    /// one that was in flight when that process ended may have run.
     fn recover_message(&mut self, message: Message, past: &[PastAttempt], actions: &mut Vec<Action>) {
         self.add_message(message);
         let Some(open) = self.messages.get_mut(&message.id) else { return };
@@ -337,9 +375,11 @@
             // Quick errors must not count as quick answers: all but a served call is recorded with the full
             // target, so that a class misses its target at this level once about half of its calls fail.
             let took = if e.outcome == Outcome::Served { e.took.max(0) } else { class.target };
-            // What never reached it, and a reused connection that it had closed, say nothing about its load.
-            let not_seen = matches!(e.outcome, Outcome::NotSent | Outcome::CalledOff | Outcome::NoConnection);
-            if !not_seen && !e.reused_connection {
+            // An attempt says nothing about the load of the destination if it did not reach it, was
+            // cancelled, or was lost on a reused connection, which the other side may have closed.
+            let unmeasured =
+                matches!(e.outcome, Outcome::NotSent | Outcome::CalledOff | Outcome::NoConnection);
+            if !unmeasured && !e.reused_connection {
                 let levels = dest.latency_by_level.len() / self.cfg.classes.len();
                 dest.latency_by_level[message.class * levels + level].record(now, took as f64);
             }
@@ -347,8 +387,9 @@
                 dest.served.record(now, 1.0);
             }
             match e.outcome {
-                // Clipped, so that one answer of a heavy tail does not stretch all timeouts; a slow period is
-                // learned within a few answers. A timeout shows that the latency is longer still.
+                // The latency is clipped, so that one answer from a heavy tail does not stretch all timeouts;
+                // a slow period is still learned within a few answers. A call that timed out or was cancelled
+                // counts with its age, as its latency is at least that.
                 Outcome::Served | Outcome::NoAnswer | Outcome::CalledOff => {
                     let measured = dest.latency.weight_at(now) >= MIN_WEIGHT;
                     let clip = (1.5 * dest.latency.upper_bound(OVERDUE_DEVIATIONS)).max(OVERDUE_MIN as f64);
@@ -366,7 +407,8 @@
             self.set_due(dest_id, LONG_AGO);
             if let Some(route) = self.routes.get_mut(&route_id) {
                 route.in_flight -= is_last as usize;
-                // Messages of one call may end in several batches; a retry-after counts from each of these.
+                // Messages of one call may end in several batches; the retry-after counts anew from each
+                // batch.
                 if e.retry_after > 0 {
                     route.retry_after_until = route.retry_after_until.max(now.saturating_add(e.retry_after));
                 }
@@ -410,7 +452,9 @@
         }
     }
 
-    /// Evaluates the first outcome of a call for its route: the reported limit and failure signals.
+    /// Evaluates the outcome of a call for its route and endpoint: the reported limit and failure signals.
+    /// Only the first attempt of a call to end is evaluated. `age`: time since the call was sent; `overdue`:
+    /// the call was counted as overdue before.
     fn evaluate_call(&mut self, e: &AttemptEnd, route_id: RouteId, age: Ns, overdue: bool) {
         let now = self.now;
         let draw = self.random();
@@ -420,7 +464,7 @@
         let has_queue = self.dests.get(&route_id.0).is_some_and(|d| !d.queue.is_empty());
         let Some(route) = self.routes.get_mut(&route_id) else { return };
         let Some(endpoint) = self.endpoints.get_mut(&e.endpoint) else { return };
-        let needed = route.slow_start_failures(&self.cfg, now, arrivals);
+        let outage_min = route.slow_start_failures(&self.cfg, now, arrivals);
         let mut remaining = None;
         if let Some(report) = e.report {
             if report.limit.is_finite() && report.limit >= 0.0 {
@@ -439,7 +483,8 @@
             Outcome::Served => {
                 endpoint.served_at = now;
                 endpoint.avoid_until = now;
-                // One that is down refuses too; if it serves soon after, its connections were exhausted.
+                // An endpoint that is down refuses connections too, but one that serves soon after was up,
+                // with its connections exhausted.
                 if now - endpoint.refused_at < EXHAUSTED_EVIDENCE && !route.suspect {
                     self.exhausted_at.insert(endpoint.kind, now);
                 }
@@ -448,7 +493,9 @@
                 route.proven_at = now;
                 route.rejections = 0;
                 route.on_success(&self.cfg, now, age, draw);
-                // The share follows what remains of the allowance: others' calls are not seen otherwise.
+                // The share follows what remains of the allowance, the only sign of other senders' calls. A
+                // share that has grown is not held for `SHARE_TTL`: it starts to return to the base share at
+                // once.
                 let share = route.share_now(now, base_share);
                 (route.limit_share, route.share_at) = match remaining {
                     Some(fraction) if fraction > 0.5 => {
@@ -460,7 +507,8 @@
                 };
                 false
             }
-            // Without the report that answers carry here, it was rejected unread: connections are exhausted.
+            // Answers carry reports here, so a rejection without one was sent before the call was read: the
+            // connections of the endpoint are exhausted.
             Outcome::TurnedAway if self.cfg.limit_reports && e.report.is_none() && e.retry_after == 0 => {
                 self.exhausted_at.insert(endpoint.kind, now);
                 endpoint.avoid_until = now + SECOND;
@@ -470,23 +518,26 @@
             Outcome::TurnedAway => {
                 route.rejections += 1;
                 route.limit_share = (route.share_now(now, base_share).min(1.0 / n) * 0.8).max(0.5 / n);
-                // The pause does not expire the share: else all grow back and use up the limit with retries.
+                // The share does not grow back during the pause before the next call. Otherwise the shares of
+                // all rejected senders would, and their retries would use up the limit.
                 let rate = route.limit.unwrap_or(route.rate_hint) * route.limit_share;
                 route.share_at = now + if rate > 0.0 { (1e9 / rate).min(30e9) as Ns } else { 0 };
                 route.tokens = route.tokens.min(0.0);
                 let backoff = (CONTROL_PERIOD << (route.rejections - 1).min(4)) as f64 * jitter;
                 route.backoff_until = route.backoff_until.max(now + backoff as Ns);
-                // Little remaining: the limit rejects. Outage: long wait, much remaining, or only rejections.
-                remaining.map_or(e.retry_after >= OUTAGE_WAIT || route.rejections >= needed, |r| r > 0.4)
+                // A report shows the cause: the limit if little of the allowance remains, an outage if much
+                // does. Without one, a long retry-after or enough rejections in a row count as an outage.
+                remaining.map_or(e.retry_after >= OUTAGE_WAIT || route.rejections >= outage_min, |r| r > 0.4)
             }
             Outcome::NoConnection => {
                 endpoint.refused_at = now;
                 endpoint.avoid_until = now + SECOND;
-                // If it answered another call meanwhile, it is up and all its connections are in use.
+                // If the endpoint served another call meanwhile, it is up and all its connections are in use.
                 endpoint.served_at < now.saturating_sub(e.took.max(self.cfg.tick))
             }
-            // The endpoint may have closed an idle connection: a new one will show whether it is down. That
-            // shows at once; an overdue call met an outage, and what resets it may have just recovered.
+            // The endpoint may have closed an idle connection; a call on a new one will show whether it is
+            // down. A closed connection shows at once, though. An overdue call met an outage, and the server
+            // that resets it may have just recovered.
             Outcome::ConnectionLost if e.reused_connection && !overdue => false,
             Outcome::ServerError | Outcome::NoAnswer | Outcome::ConnectionLost => {
                 endpoint.avoid_until = now + SECOND;
@@ -503,15 +554,17 @@
         };
         if failed {
             let ends_at = (e.retry_after > 0).then(|| now.saturating_add(e.retry_after));
-            // The reset of a long call may come with the recovery, which resets those of all senders at once.
+            // A long call may be reset by the recovery itself, which resets the calls of all senders at once;
+            // if each sender then checked with one call, these would come together.
             let recheck = ends_at.is_none() && !(age > OVERDUE_MIN && e.outcome == Outcome::ConnectionLost);
             let is_new = !(overdue && e.outcome == Outcome::NoAnswer);
             self.on_signal(route_id, FailureSignal { is_new, explicit: true, ends_at, recheck });
         }
     }
 
-    /// Records a failure signal of any kind, also an unforeseen one. An overdue call that is then served was
-    /// slow. Does harm where errors are common but the destination is otherwise healthy.
+    /// Records a failure signal. All kinds are treated alike, so that unforeseen kinds of outage are covered
+    /// too. If an overdue call is served after all, the route was only slow, and the success revokes the
+    /// signal. This does harm where errors are common but the destination is otherwise healthy.
     fn on_signal(&mut self, id: RouteId, signal: FailureSignal) {
         let (draw, arrivals) = (self.random(), self.arrival_rate(id.0));
         if let Some(route) = self.routes.get_mut(&id) {
@@ -519,14 +572,16 @@
         }
     }
 
+    /// Returns how many messages a second arrive for a destination.
     fn arrival_rate(&self, dest: DestId) -> f64 {
         let dest = self.dests.get(&dest);
         dest.map_or(0.0, |d| rate_per_s(d.arrivals.iter().map(|a| a.weight_at(self.now)).sum()))
     }
 
-    /// Overdue calls are a failure signal before they time out, as unsafe ones may never do. Each counts once
-    /// its endpoint has served nothing since it was sent, or for as long as a call may take (when one of two
-    /// endpoints hangs, the other goes on serving); meanwhile its endpoint is avoided.
+    /// Overdue calls are a failure signal before they time out, which calls with unsafe messages may never
+    /// do. The endpoint of an overdue call is avoided. The call counts as a signal, once, if that endpoint
+    /// has served nothing since the call was sent or for as long as the overdue threshold. The other
+    /// endpoints of the destination are not considered: when one of two hangs, the other goes on serving.
     fn detect_overdue(&mut self) {
         let mut overdue_routes = Vec::new();
         for call in self.calls.values_mut() {
@@ -546,7 +601,8 @@
         }
     }
 
-    /// Sets how many senders share the limits: this sender's share of each changes at once.
+    /// Sets how many senders share the limits. This sender's share of each limit changes in proportion at
+    /// once.
     fn set_sender_count(&mut self, n: usize) {
         let before = sender_count(&self.cfg);
         self.cfg.sender_count = n;
@@ -554,13 +610,15 @@
         self.routes.values_mut().for_each(|r| r.limit_share = (r.limit_share * change).min(1.0));
     }
 
-    /// Returns the fraction of a limit that this sender uses without queued work: about a fair share.
+    /// Returns the fraction of a limit that this sender may use without queued messages: a little more than a
+    /// fair share (see `BASE_FAIR_SHARES`).
     fn base_limit_share(&self) -> f64 {
         let n = sender_count(&self.cfg);
         ((BASE_FAIR_SHARES + SMALL_FLEET_FAIR_SHARES / n) / n).min(1.0)
     }
 
-    /// Returns when the route may next be called; a time at or before now means that it may be called now.
+    /// Returns when the route may next be called: at once if the time is not after now, and not before
+    /// another event if it is `Ns::MAX`.
     fn ready_at(&mut self, id: RouteId) -> Ns {
         let now = self.now;
         let Some(route) = self.routes.get(&id) else {
@@ -588,7 +646,8 @@
             (rate, burst) = (rate.min(slow_start_rate), 1.0);
         }
         if rate.is_infinite() {
-            // No token debt from a time without a limit: it would block slow start long after an outage.
+            // Calls without a limit must not build up a token debt, which would block slow start for long
+            // after an outage.
             (route.tokens, route.refilled_at) = (1.0, now);
             return now;
         }
@@ -602,12 +661,14 @@
         }
     }
 
-    /// The one guard of every send (`to`) and refusal (`None`): no effect may happen twice.
+    /// Returns whether a message may be sent to the endpoint `to`, or refused if `to` is `None`. Every send
+    /// and every refusal passes this guard, so that no effect happens twice: a client may submit a refused
+    /// message again.
     fn allows(&self, open: &OpenMessage, to: Option<EndpointId>) -> bool {
         let class = &self.cfg.classes[open.message.class];
         if to.is_some() {
-            let spent = open.attempts.len() >= self.cfg.max_attempts as usize;
-            if open.finished || spent || (open.is_in_flight() && !self.cfg.may_duplicate) {
+            let no_attempts_left = open.attempts.len() >= self.cfg.max_attempts as usize;
+            if open.finished || no_attempts_left || (open.is_in_flight() && !self.cfg.may_duplicate) {
                 return false;
             }
         }
@@ -632,7 +693,9 @@
         }
     }
 
-    /// Only the oldest message of a key may be sent; its first attempt waits for the hold-off of the key.
+    /// Returns whether the order of its key allows sending a message: only the oldest one of a key may be
+    /// sent, and its first attempt waits for the hold-off after an attempt of the previous one that may still
+    /// run.
     fn is_next_of_key(&self, open: &OpenMessage) -> bool {
         let (true, Some(key)) = (self.cfg.classes[open.message.class].in_order, open.message.key) else {
             return true;
@@ -643,6 +706,7 @@
         })
     }
 
+    /// Returns the value of a message if it is delivered at the time `at`; 0 after it expires.
     fn value_at(&self, open: &OpenMessage, at: Ns) -> f64 {
         let class = &self.cfg.classes[open.message.class];
         if at > open.expires_at {
@@ -652,7 +716,8 @@
         }
     }
 
-    /// Sends what may be sent now, the most valuable first. With all slots in use, it runs only periodically.
+    /// Makes all calls that are possible now, the one with the most value per time in a slot first. While all
+    /// slots are in use, this runs only once per control period.
     fn dispatch(&mut self, periodic: bool, actions: &mut Vec<Action>) {
         if self.calls.len() >= self.cfg.slots && !periodic {
             return;
@@ -674,27 +739,31 @@
             to_evaluate.push(dest);
         }
         if self.cfg.may_cancel && !candidates.is_empty() && !self.calls.values().any(|c| c.cancelled) {
-            // Detected first: a call cancelled before the next control period would leave no failure signal.
+            // Overdue calls are detected first, because one that is cancelled before the next control period
+            // would leave no failure signal.
             self.detect_overdue();
             self.cancel_overdue_call(actions);
         }
     }
 
-    /// With all slots in use and messages waiting, cancels the oldest overdue call if its messages may be
-    /// retried, or after three times the threshold: an unsafe message then fails, as its slot serves others.
-    /// Guards against hung or lossy destinations that hold every slot; would do harm where everything is slow
-    /// or a message is heavy by itself, so each is cancelled at most once while it may be retried.
+    /// With all slots in use and messages waiting, cancels the oldest call that is overdue and whose messages
+    /// may all be retried, or that has been in flight for three times the overdue threshold. An unsafe
+    /// message of the latter fails, because its slot can serve many others. This guards against hung or lossy
+    /// destinations that hold every slot. It would do harm where everything is slow or a message takes long
+    /// by itself, so a message is cancelled at most once before that longer time.
     fn cancel_overdue_call(&mut self, actions: &mut Vec<Action>) {
-        // Messages of a call that have ended do not matter; one that hangs holds the slot for all.
+        // Messages of the call whose attempts have ended do not count: a single one that hangs holds the
+        // slot.
         let may_retry = |id: &MsgId| {
             self.messages.get(id).is_none_or(|open| {
-                let runs = open.attempts.iter().filter(|a| a.may_have_run).count();
-                !open.is_in_flight() || runs == 1 && self.now + SECOND < self.retry_until(open)
+                let possible_runs = open.attempts.iter().filter(|a| a.may_have_run).count();
+                !open.is_in_flight() || possible_runs == 1 && self.now + SECOND < self.retry_until(open)
             })
         };
         let may_cancel = |c: &Call| {
-            let (age, bound) = (self.now - c.sent, overdue_after(&self.cfg, &self.dests[&c.dest], self.now));
-            age > bound && c.messages.iter().all(may_retry) || age > 3 * bound
+            let (age, threshold) =
+                (self.now - c.sent, overdue_after(&self.cfg, &self.dests[&c.dest], self.now));
+            age > threshold && c.messages.iter().all(may_retry) || age > 3 * threshold
         };
         let Some(call_id) = self.calls.iter().find(|(_, c)| may_cancel(c)).map(|(&k, _)| k) else { return };
         let Some(call) = self.calls.get_mut(&call_id) else { return };
@@ -707,7 +776,8 @@
         }
     }
 
-    /// Returns until when a message may be retried if all its attempts so far may have run.
+    /// Returns until when a message may be retried if all its attempts so far may have run; never for an
+    /// unsafe one.
     fn retry_until(&self, open: &OpenMessage) -> Ns {
         let class = &self.cfg.classes[open.message.class];
         let first_sent = open.attempts.iter().find(|a| a.may_have_run).map_or(self.now, |a| a.sent);
@@ -718,7 +788,8 @@
         }
     }
 
-    /// Returns the best call that can be made to a destination now, or else when one may be possible.
+    /// Returns the best call that can be made to a destination now, or else when one may be possible
+    /// (`Ns::MAX`: not before another event).
     fn candidate(&mut self, id: DestId) -> Result<Candidate, Ns> {
         let now = self.now;
         let dest = &self.dests[&id];
@@ -745,50 +816,53 @@
             let e = &self.endpoints[&endpoint];
             let conns = if now - e.used_at < self.cfg.idle_timeout { e.conns } else { e.in_flight };
             let needs_connection = e.in_flight >= conns * self.cfg.streams_per_conn;
-            let far = self.cfg.price_cross_zone > 0.0 && e.zone != self.cfg.zone;
-            // Load before open connections: where one carries many calls, all would go to the same endpoint.
-            let key = (e.avoid_until > now, far, e.in_flight, needs_connection, e.used_at, endpoint);
+            let costly_zone = self.cfg.price_cross_zone > 0.0 && e.zone != self.cfg.zone;
+            // The load is compared before open connections: where one connection carries many calls, all
+            // calls would go to the same endpoint otherwise.
+            let key = (e.avoid_until > now, costly_zone, e.in_flight, needs_connection, e.used_at, endpoint);
             best = Some(best.map_or(key, |b| b.min(key)));
         }
         let Some((.., endpoint)) = best else { return Err(wake) };
         let dest = &self.dests[&id];
         let route = &self.routes[&self.route_of(endpoint)];
-        // Urgency is the value lost if sent last instead of now: in a short queue little but for the oldest,
-        // in a long one all of it, so that fresh messages go first and late ones get the remaining capacity.
+        // The urgency of a message is the value that is lost if it is sent last of the queue instead of now.
+        // In a short queue that is little except for the oldest messages. In a long queue it is all of the
+        // value, so that fresh messages go first and late ones get the remaining capacity.
         let batch = self.cfg.kinds.get(self.endpoints[&endpoint].kind).map_or(1, |k| k.batch.max(1));
         let delay = (dest.queue.len() as f64 * dest.service_interval_ns(now)) as Ns;
         let delay = delay.clamp(SECOND, 30 * SECOND);
         let latency = dest.latency.mean() as Ns;
-        let mut order: Vec<(f64, MsgId)> = Vec::new();
+        let mut by_urgency: Vec<(f64, MsgId)> = Vec::new();
         for &m in &dest.queue {
             let open = &self.messages[&m];
             if !self.allows(open, Some(endpoint)) || !self.is_next_of_key(open) {
                 continue;
             }
             let mut urgency = self.value_at(open, now + latency) - self.value_at(open, now + latency + delay);
-            // A probe may be lost: an unsafe message could not be retried and goes last.
+            // A probe may be lost, and an unsafe message could not be retried then, so it goes last.
             if route.suspect && self.cfg.classes[open.message.class].effect == Effect::Unsafe {
                 urgency -= 1e6;
             }
             if open.unattempted {
                 urgency += UNATTEMPTED_BONUS - ((open.expires_at - now) / SECOND) as f64;
             }
-            order.push((urgency, m));
+            by_urgency.push((urgency, m));
         }
-        if order.is_empty() {
+        if by_urgency.is_empty() {
             return Err(wake);
         }
-        order.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        order.truncate(batch);
+        by_urgency.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+        by_urgency.truncate(batch);
         let gain = |open: &OpenMessage| {
             self.value_at(open, now + latency) + if open.unattempted { UNATTEMPTED_BONUS } else { 0.0 }
         };
-        let gain: f64 = order.iter().map(|&(_, m)| gain(&self.messages[&m])).sum();
-        // Destinations compete for slots by value per time that the slot is held.
+        let gain: f64 = by_urgency.iter().map(|&(_, m)| gain(&self.messages[&m])).sum();
+        // Destinations compete for slots by the value per time for which a call uses its slot.
         let slot_time = latency.max(CONTROL_PERIOD) as f64;
-        Ok((id, endpoint, order.into_iter().map(|(_, m)| m).collect(), gain / slot_time))
+        Ok((id, endpoint, by_urgency.into_iter().map(|(_, m)| m).collect(), gain / slot_time))
     }
 
+    /// Sends one call with these messages and updates all counters that depend on it.
     fn send(&mut self, id: DestId, endpoint: EndpointId, ids: &[MsgId], actions: &mut Vec<Action>) {
         let now = self.now;
         let route_id = self.route_of(endpoint);
@@ -823,13 +897,21 @@
             Call { dest: id, endpoint, route, level, sent: now, pending, probe, messages, ..Call::default() };
         self.calls.insert(call, new);
         for &m in ids {
-            // A repeat that a slow connection delays past the dedup window would not be dropped as one.
+            // A repeat that a slow connection delays past the dedup window would not be dropped, but run
+            // again.
             let open = &self.messages[&m];
             let is_repeat = open.attempts.iter().any(|a| a.may_have_run);
             let write_by = if is_repeat { self.retry_until(open) } else { open.expires_at };
-            let o = self.messages.get_mut(&m).expect("queued messages are known");
-            (o.unattempted, o.accepted) = (false, true);
-            o.attempts.push(Attempt { endpoint, zone, call, sent: now, in_flight: true, may_have_run: true });
+            let open = self.messages.get_mut(&m).expect("queued messages are known");
+            (open.unattempted, open.accepted) = (false, true);
+            open.attempts.push(Attempt {
+                endpoint,
+                zone,
+                call,
+                sent: now,
+                in_flight: true,
+                may_have_run: true,
+            });
             // A timeout helps only where the message may then be retried.
             let retry_at = now + call_timeout + 2 * self.cfg.tick;
             let may_retry = retry_at < self.retry_until(&self.messages[&m]);
@@ -845,13 +927,16 @@
         open.expires_at - (latency / 2).min(target / 4).max(2 * self.cfg.tick)
     }
 
+    /// Ends all queued messages that have no time left or may not be retried, and finds when the next one has
+    /// no time left.
     fn end_undeliverable(&mut self, actions: &mut Vec<Action>) {
         let queued = self.active.iter().flat_map(|d| self.dests[d].queue.iter().copied()).collect::<Vec<_>>();
         self.expiry_at =
             queued.into_iter().map(|id| self.end_if_undeliverable(id, actions)).min().unwrap_or(Ns::MAX);
     }
 
-    /// Ends a queued message that has no time left or may not be retried. Returns when its time runs out.
+    /// Ends a queued message that has no time left or may not be retried. Only the endpoint of the first
+    /// attempt is tested for a retry. Returns when the message has no time left.
     fn end_if_undeliverable(&mut self, id: MsgId, actions: &mut Vec<Action>) -> Ns {
         let open = &self.messages[&id];
         let stuck = open.attempts.first().is_some_and(|first| !self.allows(open, Some(first.endpoint)));
@@ -862,6 +947,7 @@
         at
     }
 
+    /// Ends a message: refuses it if its client may submit it again, fails it otherwise.
     fn refuse_or_fail(&mut self, id: MsgId, actions: &mut Vec<Action>) {
         let open = &self.messages[&id];
         actions.push(if self.allows(open, None) {
@@ -872,44 +958,50 @@
         self.finish(id);
     }
 
-    /// Returns when to submit a refused message again: capacity is free with the next service interval.
+    /// Returns how long a client should wait before it submits a refused message again: one service interval
+    /// of the destination, after which it has capacity for one more message. It is at most
+    /// `Settings::max_retry_after`, but at least 100 ms.
     pub fn backoff(&self, dest: DestId) -> Ns {
         let interval = self.dests.get(&dest).map_or(0.0, |d| d.service_interval_ns(self.now));
         (interval as Ns).min(self.cfg.max_retry_after).max(ADMISSION_WAIT_MIN)
     }
 
-    /// Returns whether a message is accepted: above the shed threshold only once a call was made for it or it
-    /// passed the admission wait. Until then its client has no answer, and it may be refused at no cost.
+    /// Returns whether a message is accepted. One that is submitted above the shed threshold is accepted only
+    /// once a call was made for it or the admission wait has passed. Until then its client has no answer, and
+    /// it may be refused at no cost. A message that is not open any more counts as accepted.
     pub fn is_accepted(&self, id: MsgId) -> bool {
         self.messages.get(&id).is_none_or(|open| open.accepted)
     }
 
+    /// Returns how many messages may be open before messages are shed.
     fn shed_threshold(&self) -> usize {
         (self.cfg.max_open as f64 * SHED_THRESHOLD) as usize
     }
 
-    /// Returns what it costs to return a message, beside the value that it may still have.
+    /// Returns what it costs to return a message, in addition to the value that it may still have.
     fn return_cost(&self, open: &OpenMessage) -> f64 {
         let class = &self.cfg.classes[open.message.class];
         let premature = ((self.now - open.submitted_at) as f64) < PREMATURE_AGE * class.deadline as f64;
         let may_have_run = open.attempts.iter().any(|a| a.in_flight || a.may_have_run);
-        let spent = open.attempts.len() >= self.cfg.max_attempts as usize;
-        if open.accepted && premature && !may_have_run && !spent {
+        let no_attempts_left = open.attempts.len() >= self.cfg.max_attempts as usize;
+        if open.accepted && premature && !may_have_run && !no_attempts_left {
             PREMATURE_RETURN_COST * class.value
         } else {
             0.0
         }
     }
 
-    /// Above the shed threshold, refuses messages that are past the admission wait, the least loss first.
+    /// Above the shed threshold, refuses messages that are past the admission wait, those with the smallest
+    /// loss of value first.
     fn shed_load(&mut self, actions: &mut Vec<Action>) {
         let mut excess = self.open_count.saturating_sub(self.shed_threshold());
-        let mut order: Vec<(f64, MsgId)> = Vec::new();
+        let mut by_loss: Vec<(f64, MsgId)> = Vec::new();
         let mut admitted = Vec::new();
         for dest in self.active.iter().map(|id| &self.dests[id]) {
             let wait = ADMISSION_WAIT_MIN.max((dest.latency.mean() / 10.0) as Ns);
-            // When it is served, a message far back in a slow queue has little value, whatever it has now: a
-            // failing destination's queue must not take the space of the healthy ones.
+            // A message counts with the value that it will have when it is served. Far back in a slow queue
+            // that is little, whatever its value is now: the queue of a failing destination must not take the
+            // space of the healthy ones.
             let interval = dest.service_interval_ns(self.now);
             for (position, &id) in dest.queue.iter().enumerate() {
                 let open = &self.messages[&id];
@@ -924,12 +1016,12 @@
                 if waited && self.allows(open, None) {
                     let served_at = self.now + ((position + 1) as f64 * interval) as Ns;
                     let bonus = if open.unattempted { UNATTEMPTED_BONUS } else { 0.0 };
-                    order.push((bonus + self.return_cost(open) + self.value_at(open, served_at), id));
+                    by_loss.push((bonus + self.return_cost(open) + self.value_at(open, served_at), id));
                 }
             }
         }
-        order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        for (_, id) in order.into_iter().take(excess) {
+        by_loss.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        for (_, id) in by_loss.into_iter().take(excess) {
             self.refuse_or_fail(id, actions);
         }
         for id in admitted {
@@ -940,10 +1032,13 @@
     }
 }
 
+/// Returns the greatest cap: caps run from one to three quarters of the slots.
 fn cap_max(cfg: &Settings) -> usize {
     (cfg.slots * 3 / 4).max(1)
 }
 
+/// Returns how long a call may be in flight before it is overdue. Until the latency is measured, that is the
+/// longest target of all classes, which is also the maximum.
 fn overdue_after(cfg: &Settings, dest: &Dest, now: Ns) -> Ns {
     let target = cfg.classes.iter().map(|c| c.target).max().unwrap_or(SECOND).max(OVERDUE_MIN);
     if dest.latency.weight_at(now) < MIN_WEIGHT {
@@ -952,7 +1047,8 @@
     (dest.latency.upper_bound(OVERDUE_DEVIATIONS) as Ns).clamp(OVERDUE_MIN, target)
 }
 
-/// The paper's rule: the level with the highest score, level x share of classes that meet their target there.
+/// Sets the cap by the paper's rule: the level with the highest score, where the score of a level is the
+/// level times the fraction of arriving messages whose class meets its target there.
 fn choose_cap(cfg: &Settings, dest: &mut Dest, now: Ns) {
     let cap_max = cap_max(cfg);
     let shares: Vec<f64> = dest.arrivals.iter().map(|a| a.weight_at(now)).collect();
@@ -961,7 +1057,8 @@
         let stats = &dest.latency_by_level[class * (cap_max + 1)..(class + 1) * (cap_max + 1)];
         let measured: Vec<usize> = (1..=cap_max).filter(|&l| stats[l].weight_at(now) >= MIN_WEIGHT).collect();
         for (level, score) in scores.iter_mut().enumerate().skip(1) {
-            // An unmeasured level uses the nearest one; an unmeasured class just meets its target at the cap.
+            // A level without measurements uses those of the nearest level that has some. A class without any
+            // is taken to meet its target up to the present cap.
             let meets = match measured.iter().min_by_key(|&&m| (m.abs_diff(level), m)) {
                 Some(&nearest) => stats[nearest].upper_bound(1.0) < settings.target as f64,
                 None => level <= dest.cap,
@@ -973,7 +1070,8 @@
     }
     let best = (1..=cap_max).max_by(|&a, &b| scores[a].total_cmp(&scores[b])).unwrap_or(1);
     if scores[best] <= 0.0 && shares.iter().sum::<f64>() > MIN_WEIGHT {
-        // Every class misses everywhere (hung): the paper would keep the cap; here others get the slots.
+        // No class meets its target at any level, so the destination hangs. The paper would keep the cap;
+        // here the slots go to other destinations.
         dest.cap = 1;
     } else if scores[best] > scores[dest.cap] * (1.0 + 1e-9) {
         dest.cap = best;
--- a/crates/decide/nickelshed-policy/src/rules/memory.rs
+++ b/crates/decide/nickelshed-policy/src/rules/memory.rs
@@ -3,7 +3,8 @@
 use super::*;
 use crate::recovery::SUSPECT_FAILURES;
 
-/// A route that the list no longer names is kept this long after its last failure, probe or retry-after.
+/// A route that the list no longer names is kept for this long, or as long as slow start if that is longer,
+/// after its last failure, probe or retry-after.
 const UNLISTED_RETENTION: Ns = 60 * SECOND;
 
 impl Sender {
@@ -31,7 +32,7 @@
         self.pruned_at = now;
     }
 
-    /// Returns the routes that are suspect or in slow start.
+    /// Returns the routes that are suspect or in slow start, to be persisted for the next process.
     pub fn outages(&self) -> impl Iterator<Item = Outage> + '_ {
         self.routes.iter().filter(|(_, r)| r.suspect || r.in_slow_start).map(|(&(dest, endpoint), r)| {
             Outage {
@@ -44,7 +45,7 @@
         })
     }
 
-    /// Restores an outage that an earlier process of this sender saw. This sender may have missed its end, so
+    /// Restores an outage that an earlier process of this sender saw. The outage may have ended unseen, so
     /// slow start can only count from when that process last saw it.
     pub(super) fn restore_outage(&mut self, o: &Outage) {
         let now = self.now;
--- a/crates/decide/nickelshed-policy/src/state.rs
+++ b/crates/decide/nickelshed-policy/src/state.rs
@@ -4,20 +4,28 @@
 use crate::stat::DecayingStat;
 use std::collections::VecDeque;
 
+/// Before any time of the caller's clock, and far enough from the bounds of `Ns` that differences do not
+/// overflow.
 pub const LONG_AGO: Ns = Ns::MIN / 2;
 
+/// An attempt to deliver a message, in flight or ended.
 pub struct Attempt {
+    /// `EndpointId::MAX` if an earlier process made it at an endpoint that is no longer listed.
     pub endpoint: EndpointId,
+    /// Zone of the endpoint; `usize::MAX` if it is not known.
     pub zone: usize,
+    /// Number of its call in `Sender::calls`; `u64::MAX` if an earlier process made it.
     pub call: u64,
     pub sent: Ns,
     pub in_flight: bool,
+    /// Whether it may have had an effect; true while it is in flight.
     pub may_have_run: bool,
 }
 
 /// A message that has not finished, or has attempts in flight.
 pub struct OpenMessage {
     pub message: Message,
+    /// When this process got it.
     pub arrived: Ns,
     /// When its client first submitted it.
     pub submitted_at: Ns,
@@ -36,98 +44,132 @@
     }
 }
 
-#[derive(Default)]
 /// One call in flight: all its messages share one slot and one connection.
+#[derive(Default)]
 pub struct Call {
     pub dest: DestId,
     pub endpoint: EndpointId,
     pub route: RouteId,
+    /// How many calls to the destination were in flight when it was sent, this one included; at most the
+    /// greatest cap.
     pub level: usize,
     pub sent: Ns,
     /// Messages whose attempt has not ended.
     pub pending: usize,
+    /// Whether one of its attempts has ended; the first one that does is evaluated for the route.
     pub evaluated: bool,
+    /// Counted as a failure signal before it ended, see `Sender::detect_overdue`.
     pub overdue: bool,
+    /// Sent while the route was suspect.
     pub probe: bool,
     pub messages: Vec<MsgId>,
     pub cancelled: bool,
 }
 
+/// An endpoint that the list names, or one with calls in flight.
 #[derive(Default)]
 pub struct Endpoint {
     pub dest: DestId,
+    /// Index into `Settings::kinds`.
     pub kind: usize,
     pub zone: usize,
+    /// Whether the list names it as ready.
     pub usable: bool,
+    /// Calls in flight.
     pub in_flight: usize,
+    /// When a call to it was last sent or ended.
     pub used_at: Ns,
     /// Time without use before the last call.
     pub idle_time: Ns,
-    /// Estimate: the most calls seen in flight since connections were last closed as idle.
+    /// Estimated number of open connections: as many as the most calls in flight needed since connections
+    /// were last closed as idle.
     pub conns: usize,
     pub served_at: Ns,
     /// When it last refused a connection.
     pub refused_at: Ns,
+    /// Until then other endpoints of the destination are preferred.
     pub avoid_until: Ns,
 }
 
 /// What shares one limit and one outage: a destination, or one endpoint where routes are separate.
 #[derive(Default)]
 pub struct Route {
-    /// Last reported limit in calls a second; `Some(0.0)` means that there is none.
+    /// Limit in calls a second as reported, smoothed; `Some(0.0)` means that there is none.
     pub limit: Option<f64>,
+    /// Limit in calls a second by the list, used until one is reported; 0 if the list gives none.
     pub rate_hint: f64,
     /// Fraction of the limit that this sender uses, as of `share_at`; see `share_now`.
     pub limit_share: f64,
     pub share_at: Ns,
+    /// Token bucket that paces calls: each call takes one token and waits until there is one.
     pub tokens: f64,
     pub refilled_at: Ns,
+    /// Until then the destination asked not to be called.
     pub retry_after_until: Ns,
+    /// Until then this sender holds back calls by itself.
     pub backoff_until: Ns,
+    /// Failure signals since the last served call.
     pub failures: u32,
+    /// Rejections at a limit or in an outage since the last served call.
     pub rejections: u32,
+    /// Moving average over calls, 1 for a failure and 0 for a served call.
     pub failure_ratio: f64,
+    /// Probably unavailable: gets single probes only, until one is served.
     pub suspect: bool,
     pub in_slow_start: bool,
-    /// Longest time in flight of an overdue call that was cancelled since the route last served.
+    /// Longest time in flight among the overdue calls that were cancelled since the route last served.
     pub longest_cancelled: Ns,
     /// The last failure that indicates an outage; in the future if it announced when the outage ends.
     pub last_failure: Ns,
     /// Estimated time of recovery; before `last_failure` until something is served.
     pub recovered_at: Ns,
-    /// In slow start by one failure alone, which a prompt success revokes; when one call may check that.
+    /// In slow start because of a single failure, which a served call within the overload window revokes.
     pub isolated: bool,
+    /// When one call may check whether that failure was an isolated one, whatever the pace of slow start.
     pub recheck_at: Option<Ns>,
+    /// While suspect: the earliest time of the next probe.
     pub next_probe_at: Ns,
     pub served: DecayingStat,
-    /// The highest rate, in calls a second, at which it has served this sender.
+    /// The highest rate, in calls a second, at which it has served this sender, as of `proven_at`; see
+    /// `proven_rate_now`.
     pub proven_rate: f64,
     pub proven_at: Ns,
+    /// Calls in flight.
     pub in_flight: usize,
 }
 
+/// A destination.
 #[derive(Default)]
 pub struct Dest {
+    /// Greatest number of calls in flight for now, see `choose_cap`.
     pub cap: usize,
+    /// Calls in flight.
     pub in_flight: usize,
+    /// Queued messages, in the order of their ids.
     pub queue: Vec<MsgId>,
     pub endpoints: Vec<EndpointId>,
-    /// When `Sender::agenda` has it evaluated next.
+    /// Its time in `Sender::agenda`; `Ns::MAX` if it waits for an event.
     pub due_at: Ns,
-    /// Latency per class and level, arrivals per class, and latency of all calls.
+    /// Latency in ns for each class and, within a class, for each level from 0 to the greatest cap.
     pub latency_by_level: Vec<DecayingStat>,
+    /// Messages submitted, for each class.
     pub arrivals: Vec<DecayingStat>,
+    /// Latency in ns of all calls.
     pub latency: DecayingStat,
     /// Messages served: the rate at which queued ones can expect to be served.
     pub served: DecayingStat,
 }
 
+/// The messages of one key in classes in order.
 #[derive(Default)]
 pub struct KeyQueue {
+    /// The oldest first. A message stays until it has finished and has no attempt in flight.
     pub queue: VecDeque<MsgId>,
+    /// Until then no other message of the key gets its first attempt, as an earlier attempt may still run.
     pub hold_off_until: Ns,
 }
 
+/// Destination and endpoint; `EndpointId::MAX` where all endpoints of the destination are one route.
 pub type RouteId = (DestId, EndpointId);
 /// A call that may be made: destination, endpoint, messages, and value per nanosecond of slot time.
 pub type Candidate = (DestId, EndpointId, Vec<MsgId>, f64);
--- a/crates/decide/nickelshed-policy/tests/cold_return.rs
+++ b/crates/decide/nickelshed-policy/tests/cold_return.rs
@@ -24,7 +24,8 @@
 /// an outage from an isolated failure, or get a retry-after that a rate limit could have caused as well.
 const SHORT_OVERLOADED_MAX_PERCENT: usize = 10;
 
-/// Shorter than the overload window, or than two in a small fleet, whose slow start needs more failures.
+/// Returns whether the outage is shorter than the overload window, or in a small fleet, whose slow start
+/// begins only after more failures, shorter than two windows.
 fn is_short(scenario: &Scenario) -> bool {
     scenario.duration
         < if scenario.senders > 4 { scenario.overload_window } else { 2 * scenario.overload_window }
@@ -68,10 +69,11 @@
 }
 
 fn report(senders: usize, runs: &[(Scenario, RunResult)]) {
-    let mut loads: Vec<f64> = runs.iter().map(|(_, p)| p.informed_load).collect();
+    let mut loads: Vec<f64> = runs.iter().map(|(_, result)| result.informed_load).collect();
     loads.sort_by(f64::total_cmp);
-    let mean =
-        |value: fn(&RunResult) -> f64| runs.iter().map(|(_, p)| value(p)).sum::<f64>() / runs.len() as f64;
+    let mean = |value: fn(&RunResult) -> f64| {
+        runs.iter().map(|(_, result)| value(result)).sum::<f64>() / runs.len() as f64
+    };
     println!(
         "{senders:>5} senders, {:>5} recoveries: most calls in a window by senders that saw the outage / \
          overload bound: p50 {:.2} p99 {:.2} max {:.2}; in slow start, messages served / submitted {:.2}, \
@@ -80,8 +82,8 @@
         percentile(&loads, 0.5),
         percentile(&loads, 0.99),
         percentile(&loads, 1.0),
-        mean(|p| p.served_of_submitted),
-        mean(|p| p.served_of_capacity),
-        runs.iter().filter(|(_, p)| p.is_violation).count(),
+        mean(|result| result.served_of_submitted),
+        mean(|result| result.served_of_capacity),
+        runs.iter().filter(|(_, result)| result.is_violation).count(),
     );
 }
--- a/crates/decide/nickelshed-policy/tests/common/mod.rs
+++ b/crates/decide/nickelshed-policy/tests/common/mod.rs
@@ -3,8 +3,10 @@
 use nickelshed_policy::api::*;
 use nickelshed_policy::rules::Sender;
 
+/// Time at which each test begins.
 pub const T0: Ns = 1_000 * SECOND;
 
+/// A class without order by key, and with a dedup window that ends long before the deadline.
 pub fn class(effect: Effect) -> Class {
     Class {
         target: 2 * SECOND,
@@ -19,6 +21,8 @@
     }
 }
 
+/// Classes 0 to 2: keyed, safe, unsafe. Kinds 0 to 2: plain, with separate routes, with calls of up to five
+/// messages.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![class(Effect::Keyed), class(Effect::Safe), class(Effect::Unsafe)],
@@ -50,26 +54,27 @@
 }
 
 pub fn message(id: MsgId, dest: DestId, class: usize) -> Message {
-    let left = 16 * SECOND;
-    Message { id, class, dest, time_left: left, expected_work: 0, key: None, tenant: 0 }
+    let deadline = 16 * SECOND;
+    Message { id, class, dest, time_left: deadline, expected_work: 0, key: None, tenant: 0 }
 }
 
 pub fn attempt_end(id: MsgId, attempt: u32, endpoint: EndpointId, outcome: Outcome) -> AttemptEnd {
     let took = 100 * MS;
-    let done = outcome == Outcome::Served;
+    let is_served = outcome == Outcome::Served;
     AttemptEnd {
         id,
         attempt,
         endpoint,
         outcome,
         took,
-        finished: done,
+        finished: is_served,
         retry_after: 0,
         report: None,
         reused_connection: false,
     }
 }
 
+/// One sender, the time, and the actions of its last batch.
 pub struct Harness {
     pub sender: Sender,
     pub now: Ns,
@@ -90,8 +95,8 @@
     }
 
     /// Advances the time in ticks and returns all actions with their times.
-    pub fn advance(&mut self, span: Ns) -> Vec<(Ns, Action)> {
-        let until = self.now + span;
+    pub fn advance(&mut self, duration: Ns) -> Vec<(Ns, Action)> {
+        let until = self.now + duration;
         let mut all = Vec::new();
         while self.now < until {
             self.now += 5 * MS;
@@ -110,6 +115,7 @@
     }
 }
 
+/// Message and endpoint of each `Action::Send`.
 pub fn sends(actions: &[Action]) -> Vec<(MsgId, EndpointId)> {
     let send = |a: &Action| match a {
         Action::Send { id, endpoint, .. } => Some((*id, *endpoint)),
@@ -118,6 +124,7 @@
     actions.iter().filter_map(send).collect()
 }
 
+/// The actions that end a message.
 pub fn final_actions(actions: &[Action]) -> Vec<Action> {
     actions.iter().copied().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).collect()
 }
--- a/crates/decide/nickelshed-policy/tests/fleet/mod.rs
+++ b/crates/decide/nickelshed-policy/tests/fleet/mod.rs
@@ -9,10 +9,13 @@
 
 const ENDPOINT: EndpointId = 1;
 const DESTINATION: DestId = 1;
-const SERVED_IN: Ns = 100 * MS;
-const REFUSED_IN: Ns = 35 * MS;
+/// Time until the server answers a call.
+const SERVICE_TIME: Ns = 100 * MS;
+/// Time until the server rejects or resets a call.
+const REJECTION_TIME: Ns = 35 * MS;
 /// Length of the traffic before the outage, from which the senders know the server.
 const BEFORE_OUTAGE: Ns = 12 * SECOND;
+/// Deadline of each message.
 const DEADLINE: Ns = 12 * SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -117,9 +120,11 @@
 /// The result of one simulated recovery.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunResult {
-    /// Most calls in any window from senders that saw the outage, as a fraction of the overload bound.
+    /// Most calls from senders that saw the outage in any overload window, as a fraction of the overload
+    /// bound.
     pub informed_load: f64,
-    /// The server collapsed, and over two thirds of that window were calls of senders that saw the outage.
+    /// The server collapsed, and over two thirds of the calls in that window were from senders that saw the
+    /// outage.
     pub is_violation: bool,
     /// Messages served in slow start, as a fraction of those submitted in it.
     pub served_of_submitted: f64,
@@ -169,11 +174,14 @@
     random: ChaCha8Rng,
     now: Ns,
     senders: Vec<Sender>,
+    /// Whether each sender has seen the outage.
     informed: Vec<bool>,
+    /// Messages a second that are submitted to each sender.
     demand: Vec<f64>,
     calls: Vec<Call>,
     server: Server,
     events: BinaryHeap<Reverse<(Ns, usize, SimEvent)>>,
+    /// Orders events that are due at the same time.
     sequence: usize,
     next_message: MsgId,
     attempts: BTreeMap<MsgId, u32>,
@@ -316,9 +324,9 @@
                 Action::Send { id, timeout, .. } => sent.push((id, self.next_attempt(id), timeout)),
                 Action::Timer { at } => self.schedule(at.max(self.now + 1), SimEvent::Timer { sender }),
                 Action::Cancel { id, attempt } => {
-                    let found =
+                    let position =
                         self.calls.iter().rposition(|c| !c.finished && c.messages.contains(&(id, attempt)));
-                    if let Some(call) = found {
+                    if let Some(call) = position {
                         self.schedule(self.now, SimEvent::CallEnd { call, result: CallResult::Cancelled });
                     }
                 }
@@ -337,6 +345,7 @@
         *next - 1
     }
 
+    /// A call arrives at the server.
     fn receive_call(&mut self, sender: usize, messages: &[(MsgId, u32, Ns)]) {
         let timeout = messages.iter().map(|m| m.2).max().unwrap_or(0);
         let messages = messages.iter().map(|m| (m.0, m.1)).collect();
@@ -381,19 +390,19 @@
         let is_down = (self.server.down_from..self.server.recovers_at).contains(&now);
         if !is_down {
             return Some(if self.within_limit() {
-                (now + SERVED_IN, CallResult::Served)
+                (now + SERVICE_TIME, CallResult::Served)
             } else {
-                (now + REFUSED_IN, CallResult::Rejected { retry_after: 0, remaining_percent: 0 })
+                (now + REJECTION_TIME, CallResult::Rejected { retry_after: 0, remaining_percent: 0 })
             });
         }
         Some(match self.scenario.outage {
             OutageKind::RefusesConnections => (now + MS, CallResult::NoConnection),
-            OutageKind::ResetsUnderCalls => (now + REFUSED_IN, CallResult::Reset),
+            OutageKind::ResetsUnderCalls => (now + REJECTION_TIME, CallResult::Reset),
             OutageKind::Hangs { .. } => (now + timeout, CallResult::NoAnswer),
-            OutageKind::Errors => (now + SERVED_IN, CallResult::Error),
+            OutageKind::Errors => (now + SERVICE_TIME, CallResult::Error),
             OutageKind::Rejects { announced_percent } => {
                 let is_announced = self.random.random_range(0..100) < announced_percent;
-                let at = now + REFUSED_IN;
+                let at = now + REJECTION_TIME;
                 let retry_after = if is_announced { (self.server.recovers_at - at).max(0) } else { 0 };
                 (at, CallResult::Rejected { retry_after, remaining_percent: 100 })
             }
--- a/crates/decide/nickelshed-policy/tests/module.rs
+++ b/crates/decide/nickelshed-policy/tests/module.rs
@@ -14,12 +14,12 @@
     assert_eq!(sends(&more).len(), 1, "an answer frees capacity under the cap");
 }
 
-/// Sends `at_level` messages at once and has each served after `took`: the latency of that concurrency level.
-fn load(harness: &mut Harness, next: &mut u64, at_level: usize, took: Ns) {
-    let first = *next;
-    let events = (0..at_level as u64).map(|i| Event::Message(message(first + i, 1, 0))).collect();
+/// Sends `level` messages at once and has each served after `took`, which is then the latency of that level.
+fn load(harness: &mut Harness, next_id: &mut u64, level: usize, took: Ns) {
+    let first = *next_id;
+    let events = (0..level as u64).map(|i| Event::Message(message(first + i, 1, 0))).collect();
     let sent = sends(&harness.handle(events));
-    *next += at_level as u64;
+    *next_id += level as u64;
     harness.now += took;
     for (id, endpoint) in sent {
         harness.end_attempt(AttemptEnd { took, ..attempt_end(id, 0, endpoint, Outcome::Served) });
@@ -173,7 +173,7 @@
     let refusals: Vec<_> = all.iter().filter(|(_, a)| matches!(a, Action::Refuse { id: 1, .. })).collect();
     assert_eq!(refusals.len(), 1);
     assert!(refusals[0].0 < T0 + 16 * SECOND);
-    // A message whose call times out just as it expires is failed or refused in the same reply.
+    // A message whose call times out just as it expires is failed or refused in the same batch.
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0)]);
     harness.submit(message(2, 1, 2));
     harness.now += 16 * SECOND;
@@ -294,8 +294,8 @@
     assert!(final_actions(&later).iter().all(|a| matches!(a, Action::Refuse { .. })));
 }
 
-/// Until it is accepted its client has no answer, so refusing it costs nothing. The client gets its answer at
-/// most one control period after the admission wait.
+/// The client of a message has no answer until the message is accepted, so refusing it before that costs
+/// nothing. The client gets its answer at most one control period after the admission wait.
 #[test]
 fn above_the_shed_threshold_a_message_is_accepted_once_it_is_sent_or_past_the_admission_wait() {
     let draining = Entry { condition: Condition::Draining, ..entry(1, 1, 0) };
@@ -328,7 +328,8 @@
     let mut harness = Harness::new(cfg, &[draining(1), draining(2)]);
     harness.handle((0..18).map(|i| Event::Message(message(i, 1, 0))).collect());
     harness.advance(SECOND);
-    // It has little value when it would be served, but more than messages far back in the other queue.
+    // When this message would be served it has little value, but more than messages far back in the other
+    // queue.
     let short_lived = Message { time_left: 10_500 * MS, ..message(18, 2, 0) };
     harness.submit(short_lived);
     let refused = final_actions(&without_times(&harness.advance(300 * MS)));
@@ -520,13 +521,15 @@
     assert!(closes_after(&mut harness, &[Outcome::NoConnection]));
 }
 
-/// Whether, after calls with these outcomes, the connection is closed after one that is served.
+/// Makes calls with these outcomes and then one that is served. Returns whether the connection is closed
+/// after that last call.
 fn closes_after(harness: &mut Harness, outcomes: &[Outcome]) -> bool {
     let mut id = 0;
     let mut closed = false;
     for &outcome in outcomes.iter().chain(&[Outcome::Served]) {
         let mut sent = Vec::new();
-        // Messages that expire meanwhile are followed by new ones; a probe comes within a second per sender.
+        // Messages that expire meanwhile are followed by new ones. A probe comes within as many seconds as
+        // there are senders.
         for _ in 0..120 {
             id += 1;
             sent = sends(&harness.submit(message(id, 1, 1)));
@@ -555,8 +558,8 @@
     assert!(!closes_after(&mut harness, &[Outcome::NoConnection; 3]));
 }
 
-/// Fleet membership gives the number: a sender that joins gets its share at once, and those that remain take
-/// over the share of one that leaves.
+/// The number of senders changes with fleet membership: a sender that joins gets its share at once, and those
+/// that remain take over the share of one that leaves.
 #[test]
 fn a_limit_is_shared_by_the_current_number_of_senders() {
     let sent_in_ten_seconds = |changes: &[usize]| {
@@ -852,7 +855,7 @@
         let mut count = 0;
         for _ in 0..1_200 {
             let mut in_flight = sends(&without_times(&harness.advance(5 * MS)));
-            // An answer may let the next call go at once.
+            // An answer may allow the next call at once.
             while let Some((id, endpoint)) = in_flight.pop() {
                 in_flight.extend(sends(&harness.end_attempt(attempt_end(id, 0, endpoint, Outcome::Served))));
                 count += 1;
@@ -868,12 +871,12 @@
     );
 }
 
-/// Serves `rate` messages a second for a while at a destination that reports no limit.
-fn serve(harness: &mut Harness, next: &mut MsgId, rate: u64, span: Ns) {
-    let until = harness.now + span;
+/// Has `rate` messages a second served for this duration by a destination that reports no limit.
+fn serve(harness: &mut Harness, next_id: &mut MsgId, rate: u64, duration: Ns) {
+    let until = harness.now + duration;
     while harness.now < until {
-        let sent = sends(&harness.submit(message(*next, 1, 1)));
-        *next += 1;
+        let sent = sends(&harness.submit(message(*next_id, 1, 1)));
+        *next_id += 1;
         harness.now += SECOND / rate as Ns;
         for (id, endpoint) in sent {
             harness.end_attempt(attempt_end(id, 0, endpoint, Outcome::Served));
@@ -881,9 +884,10 @@
     }
 }
 
-/// After an outage of `down_for` everything is served again. Returns the calls within `observed` after it.
-fn calls_after_an_outage(harness: &mut Harness, next: MsgId, down_for: Ns, observed: Ns) -> usize {
-    harness.handle((next..next + 80).map(|i| Event::Message(message(i, 1, 1))).collect());
+/// Refuses connections for `down_for`, then serves everything. Returns the calls within `observed` after
+/// that.
+fn calls_after_an_outage(harness: &mut Harness, first_id: MsgId, down_for: Ns, observed: Ns) -> usize {
+    harness.handle((first_id..first_id + 80).map(|i| Event::Message(message(i, 1, 1))).collect());
     let mut in_flight = sends(&harness.actions);
     let mut attempts = std::collections::BTreeMap::<MsgId, u32>::new();
     let (start, mut after) = (harness.now, 0);
@@ -1034,7 +1038,7 @@
     Event::Recovered { message: Message { time_left, ..message(id, 1, 0) }, past: Vec::new() }
 }
 
-/// They were accepted first, by an earlier process, and no other sender has them.
+/// Recovered messages were accepted first, by an earlier process, and no other sender has them.
 #[test]
 fn recovered_unattempted_messages_are_sent_before_new_ones_and_least_time_left_first() {
     let mut harness = Harness::new(settings(), &[Entry { condition: Condition::Draining, ..entry(1, 1, 0) }]);
@@ -1072,7 +1076,7 @@
     assert!(refused.iter().all(|id| *id >= 60), "{refused:?}");
 }
 
-/// A new process has measured no latency, so none is subtracted from the time left.
+/// A new process has not measured any latency, so it subtracts none from the time that a message has left.
 #[test]
 fn a_recovered_message_with_little_time_left_is_sent_while_that_covers_a_call() {
     let cfg = Settings {
@@ -1086,8 +1090,8 @@
 }
 
 /// Where answers report the limit, a rejection without a report was sent before the call was read: the
-/// endpoint's connections are exhausted. It is neither unavailable nor at its limit, and other senders need
-/// the idle connections.
+/// connections of the endpoint are exhausted. The destination is neither unavailable nor at its limit, and
+/// other senders need the idle connections.
 #[test]
 fn a_rejection_without_the_usual_report_means_exhausted_connections() {
     let run = |reports: bool| {
