--- a/crates/decide/nickelshed-fleet/src/budget.rs
+++ b/crates/decide/nickelshed-fleet/src/budget.rs
@@ -28,6 +28,7 @@
     }
 }
 
+/// Token bucket of bytes.
 #[derive(Clone, Debug)]
 pub struct Budget {
     bytes_per_s: f64,
--- a/crates/decide/nickelshed-fleet/src/datagram.rs
+++ b/crates/decide/nickelshed-fleet/src/datagram.rs
@@ -54,14 +54,14 @@
     }
 }
 
-/// A part of the id space: all ids whose first `depth` hexadecimal digits are those of `bits`.
+/// A prefix of member ids: it contains all ids whose first `depth` hexadecimal digits are those of `bits`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IdPrefix {
     pub depth: u8,
     pub bits: u64,
 }
 
-/// Greatest depth of a prefix; beyond it single members are compared.
+/// Greatest depth of a prefix. At this depth members are listed one by one instead of by digests.
 pub const MAX_PREFIX_DEPTH: u8 = 15;
 
 impl IdPrefix {
@@ -77,6 +77,7 @@
         (id.0 ^ self.bits) & self.mask() == 0
     }
 
+    /// Returns the child with this index, below [`CHILDREN_PER_PREFIX`].
     #[must_use]
     pub fn child(self, index: usize) -> IdPrefix {
         let shift = 60 - 4 * u32::from(self.depth.min(MAX_PREFIX_DEPTH));
@@ -121,7 +122,9 @@
     pub kind: DatagramKind,
     /// Status of the sending member as it sees itself; `None` if an observer sent it.
     pub sender_status: Option<MemberStatus>,
+    /// Number that an ack or nack repeats from its ping or ping request; 0 if there is none.
     pub seq: u32,
+    /// The member to probe, or that was probed; [`MemberId::UNSPECIFIED`] for any.
     pub target: MemberId,
     /// Where to probe the target.
     pub target_address: Option<SocketAddr>,
@@ -131,6 +134,7 @@
     pub load: u8,
     pub updates: Vec<StatusUpdate>,
     pub records: Vec<MemberRecord>,
+    /// Members whose records the sending member asks for.
     pub wanted_records: Vec<MemberId>,
     pub digests: Vec<ChildDigests>,
     /// Prefixes for which this datagram lists all members that its sender advertises.
@@ -270,7 +274,7 @@
         let mut value = vec![child_digests.prefix.depth];
         value.extend(child_digests.prefix.bits.to_le_bytes());
         value.extend(child_digests.salt.to_le_bytes());
-        child_digests.digests.iter().for_each(|m| value.extend(m.to_le_bytes()));
+        child_digests.digests.iter().for_each(|digest| value.extend(digest.to_le_bytes()));
         self.write_field(tag::CHILD_DIGESTS, &value)
     }
 
@@ -295,7 +299,7 @@
         self.bytes.truncate(length);
     }
 
-    /// Adds the fleet's tag and the MAC, and returns the datagram.
+    /// Fills in the fleet's tag and the MAC, and returns the datagram.
     #[must_use]
     pub fn finish(mut self, authenticator: &Authenticator) -> Vec<u8> {
         self.bytes[2..HEADER_BYTES].copy_from_slice(&authenticator.fleet_tag);
@@ -439,7 +443,8 @@
     parse_fields(kind, body).ok_or(DropReason::Malformed)
 }
 
-/// Takes the same time wherever the two differ, so that a MAC cannot be guessed byte by byte.
+/// Compares two MACs in a time that does not depend on where they differ, so that a MAC cannot be guessed
+/// byte by byte.
 fn constant_time_eq(expected: &[u8; MAC_BYTES], received: &[u8]) -> bool {
     received.len() == MAC_BYTES
         && expected.iter().zip(received).fold(0, |difference, (left, right)| difference | (left ^ right)) == 0
--- a/crates/decide/nickelshed-fleet/src/fleet.rs
+++ b/crates/decide/nickelshed-fleet/src/fleet.rs
@@ -28,30 +28,32 @@
 const PROBE_TIMEOUT: Ns = 400 * MS;
 /// Members that are asked for an indirect probe (SWIM, section 3.1: k).
 const INDIRECT_PROBES: usize = 3;
-/// About this many of the members that learn of a suspicion probe the suspect at once, so that it learns of
-/// the suspicion too, and a live member is cleared by more than one ack.
+/// About this many of the members that learn of a suspicion probe the suspect at once. The suspect learns of
+/// the suspicion by these probes, and a live one is cleared by more than one ack.
 const SUSPECT_VERIFIERS: f64 = 8.0;
-/// Interval at which a failed member or a seed is pinged, so that the end of a partition is noticed.
+/// Interval at which some failed members or unknown seeds are pinged, so that the end of a partition is
+/// noticed.
 const RECONNECT_INTERVAL: Ns = SECOND;
+/// Maximum number of such pings per interval.
 const MAX_RECONNECT_PINGS: usize = 4;
 /// How long a member has to be a suspect here before another member's report that it has failed is accepted.
 /// A member that was in contact within `RECENT_CONTACT` is probed once more first.
 const CONFIRM_FAILURE_TIMEOUT: Ns = 1_200 * MS;
 const RECENT_CONTACT: Ns = 3 * SECOND;
-/// For this long others are told of a failed member. It is remembered for a while longer, because clocks
-/// differ.
+/// A failed member is advertised to other members for this long. It is remembered for a while longer, because
+/// clocks differ.
 const ADVERTISE_FAILED_FOR: Ns = 3_600 * SECOND;
 const KEEP_FAILED_FOR: Ns = ADVERTISE_FAILED_FOR + 120 * SECOND;
 /// Within this time after its start, a process that learns of a greater incarnation of its name takes the
 /// name over with a higher start number. Later on, such an incarnation belongs to another process, which is a
 /// name conflict.
 const NAME_TAKEOVER_WINDOW: Ns = 10 * SECOND;
-/// A timer that is this late shows that the process was stalled.
+/// A timer that fires this late shows that the process was stalled.
 const STALL_THRESHOLD: Ns = 250 * MS;
 /// Shortest interval between two checks of the suspects.
 const SUSPECT_CHECK_INTERVAL: Ns = 50 * MS;
-/// After a stall of this length the member declares no failures for the time below, because all that it knows
-/// is old.
+/// After a stall of at least this length the member declares no failures for `STALL_RECOVERY`, because its
+/// information is old.
 const LONG_STALL: Ns = SECOND;
 const STALL_RECOVERY: Ns = 2 * SECOND;
 /// A member that finds no other one counts as joined after this time.
@@ -82,7 +84,8 @@
     Timer,
     /// Load in 255ths of this member's capacity.
     Load(u8),
-    /// The settings were replaced: starts an incarnation with the next start number.
+    /// The settings were replaced; the value is their digest. Starts an incarnation with the next start
+    /// number.
     Settings(u32),
     /// The process ends on purpose, so the others need not probe it.
     Leave,
@@ -108,7 +111,8 @@
         to: SocketAddr,
         bytes: Vec<u8>,
     },
-    /// To be persisted in the state folder: no later process run may start with this number or a lower one.
+    /// The start number has to be persisted in the state folder: no later process run may start with this
+    /// number or a lower one.
     Persist {
         start_number: u32,
     },
@@ -145,8 +149,10 @@
     status: MemberStatus,
     sent_at: Ns,
     pings_sent: u8,
+    /// When the ping is repeated or the probe has failed.
     next_at: Ns,
     deadline: Ns,
+    /// A member that was asked for an indirect probe has replied that it got no ack either.
     nacked: bool,
 }
 
@@ -170,7 +176,7 @@
     /// Members still to be probed in this round, in an order that is shuffled for each round (SWIM, section
     /// 4.3).
     probe_order: Vec<MemberId>,
-    /// Addresses of failed members and unknown seeds still to be pinged in this round.
+    /// Addresses of failed members and unknown seeds that are still to be pinged before any is pinged again.
     reconnect_order: Vec<SocketAddr>,
     probes: BTreeMap<u32, Probe>,
     relayed_probes: BTreeMap<u32, RelayedProbe>,
@@ -186,11 +192,14 @@
     pub(crate) differing_peer: Option<(MemberId, SocketAddr)>,
     /// Members whose view digest was received recently: when, and whether it equals this member's.
     peer_agreement: BTreeMap<MemberId, (Ns, bool)>,
+    /// Before this time the member declares no failures, because it was stalled.
     declare_failures_from: Ns,
     suspects_checked_at: Ns,
     started_at: Ns,
+    /// It has left or lost its name, and sends nothing any more.
     inactive: bool,
-    /// When the member last had to refute that it has failed, and how many times in a row.
+    /// When the member last had to refute that it has failed, and how many times in a row, with at most
+    /// `REPEATED_FAILURE_WINDOW` between them.
     declared_failed: (Ns, u32),
     last_ack_at: Ns,
     pub(crate) counts: Counts,
@@ -302,12 +311,12 @@
         self.view.digest().wrapping_add(digest(&self.status, 0))
     }
 
-    /// Returns, of the members whose view digest arrived recently, how many have the same view as this one,
-    /// and how many there are.
+    /// Returns two counts of the members whose view digest arrived recently: those that have the same view as
+    /// this one, and all of them.
     #[must_use]
     pub fn agreement(&self) -> (usize, usize) {
         let recent = self.peer_agreement.values().filter(|(at, _)| self.now - at < RECENT_CONTACT);
-        recent.fold((0, 0), |(same, all), (_, s)| (same + usize::from(*s), all + 1))
+        recent.fold((0, 0), |(same, all), (_, is_same)| (same + usize::from(*is_same), all + 1))
     }
 
     /// Summary of the view, from which the division of rate limits is computed.
@@ -350,8 +359,8 @@
         self.counts.clone()
     }
 
-    /// A stopped process resumes with timeouts that are over and datagrams that were not read. Moves these
-    /// timeouts by the length of the stall, because a slow member would otherwise blame the others
+    /// A process that was stopped resumes with timeouts that have passed and with unread datagrams. Moves
+    /// these timeouts by the length of the stall, because a slow member would suspect the others otherwise
     /// (Lifeguard, section II).
     fn detect_stall(&mut self, now: Ns, out: &mut Vec<Output>) {
         let overdue = now.saturating_sub(self.wake_at());
@@ -404,7 +413,7 @@
         writer
     }
 
-    /// Returns whether the budget allowed it.
+    /// Sends a datagram if the budget allows it and the address is known; returns whether it did.
     pub(crate) fn send(
         &mut self,
         to: Option<SocketAddr>,
@@ -519,7 +528,7 @@
         }
     }
 
-    /// All other members are known, or there are none: the member is alive like the others.
+    /// Becomes alive, because all other members are known or there are none.
     pub(crate) fn finish_joining(&mut self) {
         if self.status.state == State::Joining {
             self.status.state = State::Alive;
@@ -586,8 +595,8 @@
         self.send(Some(address), writer, Priority::Request, out)
     }
 
-    /// Continues a probe without an ack: repeats the ping, asks others for indirect probes, and fails in the
-    /// end.
+    /// Continues a probe that got no ack: repeats the ping and asks other members for indirect probes. At its
+    /// deadline the probe has failed.
     fn continue_probe(&mut self, seq: u32, out: &mut Vec<Output>) {
         let (now, ack_timeout) = (self.now, self.health.scale(ACK_TIMEOUT));
         let Some(probe) = self.probes.get_mut(&seq) else { return };
@@ -629,8 +638,9 @@
         self.view.update(probe.target, |m| m.suspicion.iter_mut().for_each(|s| s.probed_locally = true));
     }
 
-    /// Declares suspects failed whose time to refute is over, if this member itself has probed them without
-    /// an ack or another one has reported the failure.
+    /// Declares suspects failed once their suspicion has timed out and this member itself has probed them
+    /// without an ack. If another member has reported the failure, no probe is needed, and
+    /// `CONFIRM_FAILURE_TIMEOUT` is enough.
     fn check_suspects(&mut self, out: &mut Vec<Output>) {
         let (now, member_count) = (self.now, self.present_count());
         if now < self.declare_failures_from {
@@ -657,14 +667,14 @@
                 self.counts.failures_declared += 1;
                 self.set_status(MemberStatus { state: State::Failed, ..status }, out);
             } else if self.random.chance(SUSPECT_VERIFIERS / member_count as f64) {
-                // Mostly another member's declaration comes first, so not all members need to probe a failed
-                // one.
+                // In most cases another member declares the failure first, so not all members need to probe.
                 self.probe(status.id, out);
             }
         }
     }
 
-    /// Pings some failed members or unknown seeds, because a partition may have ended: each once per round.
+    /// Pings some failed members or unknown seeds, because a partition may have ended. All of them are pinged
+    /// once before any is pinged again.
     fn reconnect(&mut self, out: &mut Vec<Output>) {
         let is_present = |m: &&Member| m.status.state.is_present();
         let present_addresses: Vec<SocketAddr> =
@@ -702,6 +712,7 @@
         }
     }
 
+    /// Stops advertising members that failed or left long ago, and removes them some time later.
     fn expire_members(&mut self) {
         let now = self.now;
         let is_newly_expired = |m: &&Member| {
@@ -766,7 +777,8 @@
         self.send_reply(from, reply, out);
     }
 
-    /// Notes that a member sent this datagram itself, and compares its view digest with this member's.
+    /// Records that a member sent this datagram itself, and compares its view digest with that of this
+    /// member.
     fn record_contact(&mut self, status: MemberStatus, from: SocketAddr, datagram: &Datagram) {
         let now = self.now;
         let is_same = |m: &Member| m.status.incarnation.is_same_run(status.incarnation);
@@ -776,8 +788,8 @@
         self.view.update(status.id, |m| {
             m.last_contact = Some(now);
             m.load = datagram.load;
-            // The member may not know of the suspicion yet, and so not have refuted it; but no member that
-            // receives from it declares it failed.
+            // The member may not know of the suspicion yet and so has not refuted it. As long as its
+            // datagrams arrive here, it is not declared failed here.
             m.suspicion.iter_mut().for_each(|s| s.restart(now));
         });
         let Some(view_digest) = datagram.view_digest else { return };
@@ -794,8 +806,8 @@
     fn answer_ping(&mut self, from: SocketAddr, datagram: &Datagram, out: &mut Vec<Output>) {
         let own = self.status.id;
         if datagram.target != own && datagram.target != MemberId::UNSPECIFIED {
-            // The sender looks for another member that had this address. No reply of this one may pass for an
-            // ack of that one.
+            // The ping is for another member that had this address before. It must not get an ack from this
+            // one.
             let mut writer = self.new_datagram(DatagramKind::Sync);
             writer.record(&self.status, &self.info, 0);
             self.send(Some(from), writer, Priority::Background, out);
@@ -809,7 +821,8 @@
         }
         let writer = match datagram.sender_status {
             Some(prober) => self.write_gossip(writer, prober.id),
-            // An observer gets no gossip, because each transmission to it would be lost to the members.
+            // An observer gets no gossip: updates are transmitted a limited number of times, and those to an
+            // observer would reach no member.
             None => {
                 self.write_view_state(&mut writer, MemberId::UNSPECIFIED);
                 writer
@@ -905,8 +918,8 @@
             }
         } else if status.incarnation > own {
             if self.now - self.started_at < NAME_TAKEOVER_WINDOW {
-                // The state folder was lost, or another run has written to it; this run is the later one all
-                // the same.
+                // The state folder was lost, or another run has written to it. This run is nevertheless the
+                // later one.
                 self.start_incarnation(status.incarnation.start_number.saturating_add(1), out);
             } else {
                 self.inactive = true;
@@ -929,8 +942,8 @@
             State::Failed
                 if !from_itself && self.view.get(status.id).is_some_and(|m| m.status.state.is_present()) =>
             {
-                // A member that was cut off reports all members as failed that it could not reach. A member
-                // that was present here becomes a suspect for a while first, and some members probe it.
+                // A member that was cut off reports as failed all members that it could not reach. So a
+                // member that is present here becomes a suspect for a while first, and some members probe it.
                 self.suspect(MemberStatus { state: State::Suspect, ..status }, &[], out);
                 let (mut should_probe, chosen) =
                     (false, self.random.chance(SUSPECT_VERIFIERS / self.present_count() as f64));
@@ -977,8 +990,8 @@
     }
 
     /// Adds a member that was not known, or not in this process run. A failed member that was never seen
-    /// present is only remembered, without an output: its share of the limits may be in use on the other side
-    /// of a partition.
+    /// present is added without an output and without gossip. It is remembered because its share of the
+    /// limits may be in use on the other side of a partition.
     fn add_member(&mut self, record: &MemberRecord, change: Change, out: &mut Vec<Output>) {
         let (status, info) = (record.status, record.info.clone());
         let (id, name, is_present) = (status.id, info.name.clone(), status.state.is_present());
--- a/crates/decide/nickelshed-fleet/src/member.rs
+++ b/crates/decide/nickelshed-fleet/src/member.rs
@@ -5,8 +5,8 @@
 pub const MAX_NAME_BYTES: usize = 32;
 pub const MAX_SITE_BYTES: usize = 16;
 
-/// The first 64 bits of the hash of a member's name. Zero belongs to no member. It stands for any member as
-/// the target of a ping, and for an observer as a recipient.
+/// The first 64 bits of the hash of a member's name. Zero is the id of no member: as the target of a ping it
+/// stands for any member, and as a recipient for an observer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId(pub u64);
 
--- a/crates/decide/nickelshed-fleet/src/observer.rs
+++ b/crates/decide/nickelshed-fleet/src/observer.rs
@@ -29,8 +29,8 @@
         Observer { authenticator, view: View::default(), random: Random::new(seed), view_digest: None }
     }
 
-    /// Returns two datagrams to send: a ping, whose ack carries the view digest, and the digests of what was
-    /// received so far, from which the member finds what is missing.
+    /// Returns two datagrams to send to the member: a ping, whose ack carries the view digest, and the
+    /// digests of what was received so far, by which the member finds what is missing here.
     pub fn requests(&mut self) -> [Vec<u8>; 2] {
         let mut ping = DatagramWriter::new(DatagramKind::Ping);
         ping.target(MemberId::UNSPECIFIED);
--- a/crates/decide/nickelshed-fleet/src/quota.rs
+++ b/crates/decide/nickelshed-fleet/src/quota.rs
@@ -17,14 +17,14 @@
 const SECOND: Ns = 1_000_000_000;
 /// This fraction of all shares may be reclaimed from silent members without any headroom reported.
 pub const UNCONDITIONAL_RECLAIM: f64 = 0.1;
-/// A member that is not present keeps its share for this long, whatever answers report: it may return, or
-/// refute its failure.
+/// A member that is not present keeps its share for at least this long, whatever headroom answers report: it
+/// may return, or refute its failure.
 const SILENCE_CONFIRMED_AFTER: Ns = 10 * SECOND;
 /// A member that left on purpose may still finish its calls in flight for this long.
 const LEAVE_GRACE: Ns = 4 * SECOND;
-/// A member that joins, or resumes after a stall, takes this fraction of a share.
+/// A member that joins, or resumes after a stall, takes this fraction of a full share.
 pub const JOINING_SHARE: f64 = 0.25;
-/// Shortest time for which it takes that fraction; afterwards all others count it.
+/// Shortest time for which a joining member takes that fraction. After this time all others count the member.
 const MIN_JOINING_TIME: Ns = 5 * SECOND;
 /// Time between two steps of reclaiming, and the fraction of the remaining reclaimable shares that one step
 /// takes.
@@ -75,9 +75,10 @@
     others: BTreeMap<MemberId, Presence>,
     /// Greatest number of members known at one time, this one included.
     max_known: usize,
-    /// When it began to take the small share of a joining member; `None` once it has a full share.
+    /// When this member began to take the small share of a joining member; `None` once it has a full share.
     joining_since: Option<Ns>,
-    /// The settings name all senders there can be, so the others have kept a share for each one that starts.
+    /// The settings name all senders that there can be, so the others keep a share for each sender that is
+    /// not present.
     is_fixed: bool,
     created_at: Ns,
     /// How many silent members' shares are reclaimed because answers reported headroom.
@@ -157,29 +158,30 @@
             // joining member then keeps its small share until headroom is reported.
             let many_silent = self.silent_count() as f64 - self.reclaimed > 2.0 * self.max_unconditional();
             if summary.converged && now - since >= MIN_JOINING_TIME && !many_silent {
-                // Taking a full share is a large step by itself; what silent members leave is for later
-                // steps.
+                // Taking a full share is a large step by itself, so shares of silent members are reclaimed
+                // only in later steps.
                 (self.joining_since, self.reclaimed, self.last_step_at) = (None, 0.0, now);
             }
         }
         self.adjust_reclaimed(summary);
     }
 
-    /// Members that the settings count and that were never seen: they may all be on the other side of a
-    /// partition.
+    /// Returns how many members the settings count that were never seen. They may all be on the other side of
+    /// a partition.
     fn never_seen(&self) -> usize {
         self.configured.saturating_sub(self.max_known)
     }
 
+    /// Returns how many members are not present and have not left, those never seen included.
     fn silent_count(&self) -> usize {
         self.never_seen() + self.others.values().filter(|p| matches!(p, Presence::Silent(_))).count()
     }
 
-    /// Number of members whose shares may be reclaimed.
+    /// Returns how many members have been silent for so long that their shares may be reclaimed.
     fn confirmed_silent_count(&self) -> usize {
         let is_confirmed =
             |p: &&Presence| matches!(p, Presence::Silent(at) if self.now - *at >= SILENCE_CONFIRMED_AFTER);
-        // In a fixed fleet they may only be slower to start.
+        // In a fixed fleet, members that were never seen may only be slower to start.
         let never_seen = if self.is_fixed && self.now - self.created_at < SILENCE_CONFIRMED_AFTER {
             0
         } else {
@@ -192,8 +194,8 @@
         (self.others.len() + 1 + self.never_seen()) as f64
     }
 
-    /// How many shares may be reclaimed without headroom. Members that join while others are silent do not
-    /// raise it.
+    /// Returns how many shares may be reclaimed without headroom. Members that join while others are silent
+    /// do not raise this number.
     fn max_unconditional(&self) -> f64 {
         UNCONDITIONAL_RECLAIM * self.total_senders().min(self.configured as f64)
     }
@@ -202,7 +204,7 @@
         (self.confirmed_silent_count() as f64).min(self.max_unconditional())
     }
 
-    /// Shares of silent members that only reported headroom can free.
+    /// Returns how many shares of silent members only reported headroom can free.
     fn conditionally_reclaimable(&self) -> f64 {
         self.confirmed_silent_count() as f64 - self.unconditionally_reclaimed()
     }
@@ -236,13 +238,13 @@
         let total = self.total_senders();
         let sharing = total - self.unconditionally_reclaimed() - self.reclaimed;
         match self.joining_since {
-            // It may not know all others yet, and none of them counts it.
+            // This member may not know all others yet, and none of them may count it yet.
             Some(_) => total.max(self.configured as f64) / JOINING_SHARE,
             None => sharing,
         }
     }
 
-    /// Returns whether it takes the small share of a joining member for now.
+    /// Returns whether this member takes the small share of a joining member for now.
     #[must_use]
     pub fn is_joining(&self) -> bool {
         self.joining_since.is_some()
--- a/crates/decide/nickelshed-fleet/src/random.rs
+++ b/crates/decide/nickelshed-fleet/src/random.rs
@@ -1,6 +1,7 @@
 //! Random numbers of one member, all derived from the seed that it is given, so that a run can be repeated.
 use crate::Ns;
 
+/// The generator splitmix64.
 #[derive(Clone, Debug)]
 pub struct Random(u64);
 
@@ -31,6 +32,7 @@
         }
     }
 
+    /// Returns true with this probability.
     pub fn chance(&mut self, probability: f64) -> bool {
         ((self.next_u64() >> 11) as f64 / (1u64 << 53) as f64) < probability
     }
--- a/crates/decide/nickelshed-fleet/src/sync.rs
+++ b/crates/decide/nickelshed-fleet/src/sync.rs
@@ -1,12 +1,12 @@
 //! Anti-entropy: makes two views equal, whatever datagrams were lost. Digests of id prefixes are compared,
 //! and where they differ the records are sent, in pieces of one datagram.
 //!
-//! Gossip alone may miss a member, and tells nothing to one that joins later. Each ping and ack carries the
+//! Gossip alone may miss a member, and one that joins later does not get it. Each ping and ack carries the
 //! digest of the sender's whole view. Where two digests differ, one of the members sends the digests of the
 //! sixteen children of the id space. The other answers with the digests of the children of a differing
 //! prefix, or, where few members are left, with a list of all that it knows there. Each exchange has its own
-//! salt, and some are started without a known difference, so that not even equal digests of unequal views
-//! last.
+//! salt, and some are started without a known difference, so that views which differ in spite of equal
+//! digests become equal too.
 use crate::budget::Priority;
 use crate::datagram::{
     Datagram, DatagramKind, DatagramWriter, IdPrefix, StatusUpdate, CHILDREN_PER_PREFIX, MAX_PREFIX_DEPTH,
@@ -20,7 +20,7 @@
 /// without a difference.
 const MAX_SYNC_DELAY: Ns = 500 * MS;
 const MEAN_SYNC_INTERVAL: Ns = 20 * SECOND;
-/// Datagrams in reply to one.
+/// Maximum number of datagrams in reply to one.
 const MAX_REPLY_DATAGRAMS: usize = 4;
 /// A prefix with at most this many members is listed instead of split; such a list fits into one datagram.
 const MAX_LISTED_MEMBERS: usize = 6;
@@ -109,8 +109,8 @@
         self.view.advertised_in(prefix).map(|m| m.status).chain(own).collect()
     }
 
-    /// Sends a reply, in a bounded number of datagrams. What is left over comes up again in the next
-    /// exchange.
+    /// Sends a reply, in a bounded number of datagrams. Differences that do not fit are found again in the
+    /// next exchange.
     pub(crate) fn send_reply(&mut self, to: SocketAddr, reply: SyncReply, out: &mut Vec<Output>) {
         let mut pages = ReplyPages {
             full: Vec::new(),
@@ -128,7 +128,8 @@
         for prefix in reply.listed_prefixes {
             let updates: Vec<StatusUpdate> = self.view.advertised_in(prefix).map(update_for).collect();
             let own = StatusUpdate { status: own, reporters: Vec::new() };
-            // Only together: a list without some member would be read as a view that lacks it.
+            // The list is written completely or not at all: without one of the members it would look like a
+            // view that lacks this member.
             pages.add(self, |writer| {
                 let mut all_written = writer.listed_prefix(prefix);
                 if prefix.contains(own.status.id) {
--- a/crates/decide/nickelshed-fleet/src/view.rs
+++ b/crates/decide/nickelshed-fleet/src/view.rs
@@ -12,11 +12,12 @@
     pub info: MemberInfo,
     /// When it entered its state in this view.
     pub state_since: Ns,
-    /// When its last own datagram arrived; `load` is what that one reported.
+    /// When its last own datagram arrived; `None` if its process run has sent none to this member.
     pub last_contact: Option<Ns>,
+    /// Load in 255ths of its capacity, as that datagram reported it; 0 before the first one.
     pub load: u8,
     pub suspicion: Option<Suspicion>,
-    /// Not present for so long that other members are no longer told of it.
+    /// Not present for so long that it is no longer advertised to other members.
     pub expired: bool,
 }
 
@@ -59,6 +60,7 @@
         }
     }
 
+    /// Adds or replaces a record.
     pub fn upsert(&mut self, member: Member) {
         let status = member.status;
         self.subtract(status.id);
--- a/crates/decide/nickelshed-fleet/tests/members.rs
+++ b/crates/decide/nickelshed-fleet/tests/members.rs
@@ -152,7 +152,7 @@
     assert!(network.members[2].local_member().0.incarnation.number > 0, "it has refuted its failure");
 }
 
-/// The suspect cannot learn of the suspicion, and so does not refute it; but its datagrams arrive.
+/// The suspect cannot learn of the suspicion and so does not refute it, but its datagrams arrive.
 #[test]
 fn suspect_whose_datagrams_arrive_is_not_declared_failed() {
     let mut network = TestNetwork::new(vec![member(1, 1, &[2], 0), member(2, 1, &[1], 0)]);
@@ -194,14 +194,14 @@
 #[test]
 fn replayed_datagrams_do_not_revive_a_failed_member() {
     let mut network = three_members();
-    let old: Vec<_> = network.sent.iter().filter(|(_, from, _)| *from == address(3)).cloned().collect();
+    let recorded: Vec<_> = network.sent.iter().filter(|(_, from, _)| *from == address(3)).cloned().collect();
     network.isolated = vec![2];
     network.run(8 * SECOND);
     assert_eq!(network.state(2, 0), Some(State::Failed));
     let before = network.changes(0).len();
-    for (to, from, bytes) in old {
-        let reader = usize::from(to == address(2));
-        network.deliver(reader, Some((from, &bytes)));
+    for (to, from, bytes) in recorded {
+        let receiver = usize::from(to == address(2));
+        network.deliver(receiver, Some((from, &bytes)));
     }
     assert_eq!((network.state(2, 0), network.state(2, 1)), (Some(State::Failed), Some(State::Failed)));
     assert_eq!(network.changes(0).len(), before);
@@ -302,11 +302,11 @@
         network.now,
     );
     network.run(8 * SECOND);
-    let old = network.members[0]
+    let crashed_state = network.members[0]
         .members()
         .find(|member| member.info.name == "n3")
         .map(|member| member.status.state);
-    assert_eq!(old, Some(State::Failed));
+    assert_eq!(crashed_state, Some(State::Failed));
     assert_eq!(network.state(2, 0), Some(State::Alive));
 }
 
