--- a/crates/proof/nickelshed-crashtest/src/main.rs
+++ b/crates/proof/nickelshed-crashtest/src/main.rs
@@ -1,10 +1,11 @@
 //! The sender with a storage that can halt the whole process at a chosen file operation, so that a test can
 //! kill it exactly there. Fault injection is part of this package only, not of any released program.
 //!
-//! `HALT=kind,number,part`: halts at the operation with this number among those of this kind, counted from
-//! the first removal of a segment, which shows that compaction is running. Kinds: `append`, `copy` (a write
-//! of compaction), `header`, `create`, `remove`, `truncate`, `rename`. `part` is the fraction of a write that
-//! is done before the halt, in 256ths. Other operations are done if it is 256, and not otherwise.
+//! `HALT=kind,number,part`: halts at the operation with this number among those of this kind, numbered from 0
+//! beginning with the first removal of a segment, which shows that compaction is running. Kinds: `append`,
+//! `copy` (a write of compaction), `header`, `create`, `remove`, `truncate`, `rename`. `part` is the fraction
+//! of a write that is performed before the halt, in 256ths. An operation other than a write is performed only
+//! if `part` is 256.
 //!
 //! `STALL=file`: while this file exists, writes block. They continue once it is removed.
 //!
@@ -22,7 +23,9 @@
     folder: Folder,
     /// None if the process never halts.
     halt_point: Option<HaltPoint>,
+    /// Set by the first removal of a segment.
     is_counting: Cell<bool>,
+    /// Number of operations of the kind of `halt_point` since then.
     operation_count: Cell<u64>,
     capacity_file: Option<PathBuf>,
     stall_file: Option<PathBuf>,
@@ -47,6 +50,8 @@
 /// Classifies a write by its first bytes: a segment header, or a frame whose first record was written by
 /// compaction.
 fn classify_write(bytes: &[u8]) -> &'static str {
+    // The length of a frame header. The record tags from 5 on are those of a full message and of a low-water
+    // mark.
     const FIRST_RECORD_OFFSET: usize = 24;
     match bytes {
         [b'n', b's', b'j', b'l', ..] => "header",
@@ -72,7 +77,8 @@
         }
     }
 
-    /// Counts an operation. If the process is to halt there, returns the part of it to do before.
+    /// Counts an operation. If the process is to halt there, returns the part of the operation to perform
+    /// before the halt, in 256ths.
     fn part_before_halt(&self, operation: &str) -> Option<usize> {
         let halt_point = self
             .halt_point
--- a/crates/proof/nickelshed-crashtest/tests/kill.rs
+++ b/crates/proof/nickelshed-crashtest/tests/kill.rs
@@ -14,7 +14,7 @@
 const SEED: u64 = 0x6b69_6c6c;
 /// Number of points in CI, which takes about half a minute.
 const DEFAULT_POINT_COUNT: u64 = 36;
-/// The operations at which the process halts.
+/// The operations at which the process halts, used in turn. A third of the points are at a copy.
 const HALT_OPERATIONS: [&str; 6] = ["copy", "remove", "copy", "create", "header", "append"];
 const MAX_CALLS_IN_FLIGHT: usize = 16;
 
@@ -173,7 +173,7 @@
     });
     let mut open_ids = Vec::new();
     for i in 0..400 {
-        let (dest, id) = if i % 40 == 0 { (9, format!("held-{i}")) } else { (7, format!("m-{i}")) };
+        let (dest, id) = if i % 40 == 0 { (9, format!("queued-{i}")) } else { (7, format!("m-{i}")) };
         assert_eq!(sender.submit("order", &id, dest, 16_000, &[1; 1_024]), 202);
         if dest == 9 {
             open_ids.push(id);
--- a/crates/proof/nickelshed-crashtest/tests/stall.rs
+++ b/crates/proof/nickelshed-crashtest/tests/stall.rs
@@ -26,8 +26,8 @@
     http_reply("200 OK", "", &json!({"generation": state.0, "reset": true, "instances": state.1}).to_string())
 }
 
-/// A drain of an endpoint is notified while the thread is blocked in the commit of a call to that endpoint.
-/// The call has not started, so it must be dropped: the sender has to read the list from its socket before it
+/// Discovery lists an endpoint as draining while the thread is blocked in the commit of a call to it. The
+/// call has not started, so it must be dropped: the sender has to read the list from its socket before it
 /// sends the first byte of the call.
 #[test]
 fn a_drain_notified_while_the_disk_hangs_stops_a_call_that_has_not_started() {
--- a/crates/serve/nickelshed-journal/benches/journal.rs
+++ b/crates/serve/nickelshed-journal/benches/journal.rs
@@ -30,6 +30,7 @@
     fn finish(&mut self, id: u64);
 }
 
+/// The journal, and the time in milliseconds that is passed to it.
 struct CurrentJournal(Journal<Folder>, i64);
 
 impl CurrentJournal {
--- a/crates/serve/nickelshed-journal/benches/legacy_journal.rs
+++ b/crates/serve/nickelshed-journal/benches/legacy_journal.rs
@@ -1,4 +1,4 @@
-//! The legacy journal, kept as the baseline of the benchmark.
+//! The journal that wrote the legacy format, kept as the baseline of the benchmark.
 //!
 //! It stores the messages that the sender has accepted in `$EDGE_STATE`, so that they survive the end of the
 //! process.
--- a/crates/serve/nickelshed-journal/src/compaction.rs
+++ b/crates/serve/nickelshed-journal/src/compaction.rs
@@ -22,8 +22,8 @@
     pub log: u64,
     /// Bound of the size of all live messages.
     pub live: u64,
-    /// Bound of the records that may still be written of the live messages. These can be written without any
-    /// compaction.
+    /// Bound of the records that may still be written for the live messages. Space for them is kept free, so
+    /// that they can be written without compaction.
     pub reserved: u64,
     /// Kept free so that a segment can be copied before it is removed.
     pub compaction_reserve: u64,
@@ -35,6 +35,7 @@
         self.log_limit.saturating_sub(self.log + self.reserved + self.compaction_reserve)
     }
 
+    /// Returns the part of the log that the live messages do not need, such as records of finished messages.
     pub fn reclaimable(&self) -> u64 {
         self.log.saturating_sub(self.live)
     }
@@ -44,7 +45,7 @@
         self.reclaimable() >= self.live / WORTHWHILE_DIVISOR + self.compaction_reserve / 2
     }
 
-    /// Returns how many bytes to copy after a commit of `appended` bytes.
+    /// Returns how many bytes to copy after a commit of `appended_bytes`; 0 if compaction should not run.
     pub fn compaction_step(&self, appended_bytes: u64) -> u64 {
         let third_of_limit = self.log_limit / 3;
         // Far more reclaimable than live bytes are cheap to reclaim even while space is left, and would slow
--- a/crates/serve/nickelshed-journal/src/format.rs
+++ b/crates/serve/nickelshed-journal/src/format.rs
@@ -8,11 +8,11 @@
 //! ```
 //!
 //! All numbers are little-endian; records are encoded with postcard. The checksum of a frame also covers the
-//! folder's nonce, the segment number and the offset of the frame. Therefore no message body that a client
-//! sends can be mistaken for a frame, nor can a frame copied from another position. `prev` is the number of
-//! valid bytes in the preceding segment: later bytes belong to a failed write. `header_crc` is the checksum
-//! of the first 16 bytes of a frame: it distinguishes a frame that is cut off by the end of the file from a
-//! frame with a damaged length.
+//! folder's nonce, the segment number and the offset of the frame. Therefore neither a message body that a
+//! client sends nor a frame copied from another position can be mistaken for a valid frame. `prev` is the
+//! number of valid bytes in the preceding segment: later bytes belong to a failed write. `header_crc` is the
+//! checksum of the first 16 bytes of a frame: it distinguishes a frame that is cut off by the end of the file
+//! from a frame with a damaged length.
 use crate::record::{AcceptedMessage, AttemptRecord, Ending, LiveMessage, Record};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -67,6 +67,8 @@
         header
     }
 
+    /// Decodes the first valid copy of the header.
+    ///
     /// # Errors
     /// Returns the reason if neither copy is usable.
     pub fn decode(bytes: &[u8]) -> Result<Header, HeaderError> {
@@ -186,7 +188,7 @@
 /// records, and the offset of the next frame.
 ///
 /// # Errors
-/// Says whether the frame is truncated or corrupt.
+/// Returns whether the frame is truncated or corrupt.
 pub fn read_frame(segment: &[u8], position: FramePosition) -> Result<(i64, &[u8], usize), FrameError> {
     let start = position.offset as usize;
     let frame_header = segment.get(start..start + FRAME_HEADER_BYTES).ok_or(FrameError::Truncated)?;
@@ -371,7 +373,7 @@
         (started + never_ran) * max_attempts + decided + finished + frames
     }
 
-    /// Bound of the difference between the size of a full message record and that of the acceptance record.
+    /// Bound of how much larger a full message record is than the acceptance record of the message.
     pub fn full_message_growth(max_attempts: u64) -> u64 {
         (MAX_ENDPOINT_NAME_BYTES as u64 + 2 + 2 * MAX_VARINT_BYTES) * max_attempts + 2 * MAX_VARINT_BYTES
     }
--- a/crates/serve/nickelshed-journal/src/inspect.rs
+++ b/crates/serve/nickelshed-journal/src/inspect.rs
@@ -7,7 +7,7 @@
 use crate::{legacy, OpenError};
 use std::io;
 
-/// Maximum number of reads, as a running sender may change the folder during a read.
+/// Maximum number of times that the folder is read, as a running sender may change it during a read.
 const MAX_READS: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 /// removed it.
 ///
 /// # Errors
-/// If a file cannot be read, or was written by a newer version.
+/// If a file cannot be read, or was written by a newer version, or if files were removed during each read.
 pub fn inspect_folder<S: Storage>(storage: &S) -> Result<Inspection, InspectError> {
     let mut last_inspection = None;
     for _ in 0..MAX_READS {
@@ -60,7 +60,8 @@
             other => return other,
         }
     }
-    // Still damaged in the last read, so no segment removed by a running sender explains it.
+    // No read found the folder intact, so a segment that a running sender removed does not explain the
+    // damage.
     last_inspection.ok_or(OpenError::Io {
         context: "the folder changes too fast to be read".into(),
         error: io::ErrorKind::ResourceBusy.into(),
--- a/crates/serve/nickelshed-journal/src/journal.rs
+++ b/crates/serve/nickelshed-journal/src/journal.rs
@@ -23,6 +23,7 @@
     Machine,
 }
 
+/// Configuration of a journal.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Limit of the folder's size on disk in bytes. Each file counts in whole blocks of 512 bytes.
@@ -39,19 +40,20 @@
 /// Space reserved for the messages that are to be accepted in one commit, in bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reservation {
-    /// Including the records that may follow the acceptance.
+    /// Bound of the acceptance records and of all records that may follow them.
     reserved_bytes: u64,
-    /// Bound of the frame with the acceptance records.
+    /// Bound of the acceptance records alone, which are written as one frame; without the frame header.
     frame_bytes: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stats {
-    /// Bytes appended by commits, including frame headers.
+    /// Bytes appended by commits since the folder was opened, including frame headers.
     pub appended_bytes: u64,
-    /// Bytes copied by compaction.
+    /// Bytes copied by compaction since the folder was opened.
     pub copied_bytes: u64,
     pub segments: usize,
+    /// Number of live messages.
     pub messages: usize,
     pub space: SpaceUsage,
     /// Size of the folder on disk in bytes, in whole blocks.
@@ -90,7 +92,7 @@
     Durable,
 }
 
-/// A sync for any thread to run. Its result goes to [`Journal::finish_sync`].
+/// A sync that any thread may run. The caller passes its result to [`Journal::finish_sync`].
 #[derive(Debug)]
 pub struct SyncTask<F> {
     files: Vec<F>,
@@ -106,6 +108,7 @@
 }
 
 impl SyncResult {
+    /// Returns the error if the sync failed.
     pub fn error(&self) -> Option<&io::Error> {
         self.result.as_ref().err()
     }
@@ -160,8 +163,8 @@
 
 /// Maximum size of a side file: one disk block.
 const MAX_SIDE_FILE_BYTES: u64 = 512;
-/// Space that a side file takes of the folder's limit, including the new file that exists beside it during a
-/// rewrite.
+/// Part of the folder's disk limit that a side file uses, including the new file that exists next to it while
+/// it is being replaced.
 pub const SIDE_FILE_RESERVED_BYTES: u64 = 2 * MAX_SIDE_FILE_BYTES;
 /// The log is divided into about this many segments, within the limits of the segment size.
 const TARGET_SEGMENT_COUNT: u64 = 16;
@@ -266,15 +269,16 @@
         }
     }
 
-    /// Bound of the records that may still be written of a message, and of the growth of its full record.
+    /// Returns a bound, in bytes, of the records that may still be written for a message, and of the growth
+    /// of its full record.
     fn reserved_per_message(&self) -> u64 {
         let attempts = u64::from(self.options.max_attempts.min(1_000));
         bound::remaining_records(attempts) + bound::full_message_growth(attempts)
     }
 
-    /// Reserves space for a message and for all records that may be written of it, in addition to what
+    /// Reserves space for a message and for all records that may be written for it, in addition to what
     /// `reservation` already covers. Returns false if there is not enough space: the message must then not be
-    /// accepted.
+    /// accepted. `now_ms` is Unix time.
     pub fn reserve(&mut self, message: &AcceptedMessage, reservation: &mut Reservation, now_ms: i64) -> bool {
         let record = bound::accepted(message);
         let message_bytes = record + self.reserved_per_message();
@@ -283,7 +287,8 @@
             frame_bytes: reservation.frame_bytes + record,
         };
         let has_space = |usage: SpaceUsage| {
-            // This commit may become the longest segment, which compaction must be able to copy later.
+            // A commit larger than a segment gets a segment of its own, and compaction must be able to copy
+            // the longest segment later.
             let compaction_reserve = usage
                 .compaction_reserve
                 .max(new_reservation.frame_bytes + (HEADER_BYTES + FRAME_HEADER_BYTES) as u64);
@@ -359,8 +364,8 @@
         }
     }
 
-    /// Stores a snapshot of the outages, in place of the previous one. Only the snapshot may be lost if the
-    /// machine is lost or the disk is full; the log is not affected.
+    /// Stores a snapshot of the known outages, in place of the previous one. It is not synced: it may be lost
+    /// with the machine, or if the disk is full. The log is not affected.
     ///
     /// # Errors
     /// If it is too long or cannot be written.
@@ -385,7 +390,7 @@
         Ok(())
     }
 
-    /// Returns the newest intact snapshot.
+    /// Returns the newest intact outage snapshot, or None if there is none.
     pub fn read_outage_snapshot(&self) -> Option<Vec<u8>> {
         Some(self.newest_outage_snapshot()?.1)
     }
@@ -404,8 +409,9 @@
         self.outage_snapshot_layout().max_snapshot_bytes()
     }
 
-    /// Atomically replaces a small file beside the journal. The caller must subtract
-    /// [`SIDE_FILE_RESERVED_BYTES`] from the disk limit that it passes in [`Options`].
+    /// Atomically replaces a side file: a small file in the journal's folder, of at most 512 bytes. It is not
+    /// synced, so it may be lost with the machine. The caller must subtract [`SIDE_FILE_RESERVED_BYTES`] from
+    /// the disk limit that it passes in [`Options`].
     ///
     /// # Errors
     /// If the file cannot be written. The previous contents are then kept.
@@ -420,18 +426,19 @@
         self.storage.rename(&new_name, name)
     }
 
-    /// Returns the first block of a side file, or None if it is missing or unreadable.
+    /// Returns at most the first 512 bytes of a side file, or None if it is missing or unreadable.
     pub fn read_side_file(&self, name: &str) -> Option<Vec<u8>> {
         self.storage.read(name, MAX_SIDE_FILE_BYTES).ok()
     }
 
-    /// Whether the ballast file is missing because other programs have filled the disk. No new messages are
-    /// accepted until it is written again.
+    /// Whether the ballast file is missing, which happens when other programs have filled the disk. No new
+    /// messages are accepted until it is written again.
     pub fn is_ballast_missing(&self) -> bool {
         !self.has_ballast
     }
 
-    /// Writes the ballast file if it is missing. Returns whether it exists.
+    /// Writes the ballast file if it is missing, at most once per `BALLAST_RETRY_INTERVAL_MS`. Returns
+    /// whether it exists.
     fn ensure_ballast(&mut self, now_ms: i64) -> bool {
         if self.has_ballast
             || now_ms.saturating_sub(self.ballast_tried_at_ms).abs() < BALLAST_RETRY_INTERVAL_MS
@@ -458,8 +465,8 @@
         self.has_ballast
     }
 
-    /// Whether no live message needs the oldest segment. Ids of messages that have finished or moved are
-    /// dropped from the front of its list, so each id is checked once.
+    /// Whether no live message needs the oldest segment. Ids of messages that have finished or been copied
+    /// are dropped from the front of the segment's list, so the next call does not check them again.
     fn is_oldest_segment_empty(&mut self) -> bool {
         let table = &self.table;
         match self.segments.front_mut() {
@@ -479,7 +486,7 @@
         }
     }
 
-    /// Writes the pending frames and returns the number of the segment.
+    /// Writes `frames` as one commit and returns the number of the segment that contains it.
     fn write_frames(&mut self, now_ms: i64) -> io::Result<u64> {
         let length = self.frames.len();
         let target_segment_bytes = self.target_segment_bytes();
@@ -574,7 +581,8 @@
     }
 
     /// Copies about `budget` bytes of live messages from the oldest segments to the end of the log, in one
-    /// write. `should_continue` is asked before each segment.
+    /// write. `should_continue` is called before each segment, with the space usage expected after the
+    /// removal of the preceding ones; compaction stops when it returns false.
     fn compact(
         &mut self,
         budget: u64,
@@ -587,12 +595,15 @@
             return Ok(());
         }
         let removes_immediately = self.options.durability == Durability::Process;
-        // On a full disk, only empty segments are released, since that takes no space.
+        // A missing ballast file means a full disk. Only segments without live messages are released then,
+        // as that needs no copies.
         let budget = if self.has_ballast { budget } else { 0 };
         let active_seq = if self.must_roll { self.next_seq } else { self.next_seq - 1 };
         let mut usage = self.space_usage();
         let (mut copied_messages, mut emptied_segments, mut planned_bytes) = (Vec::new(), Vec::new(), 0);
         for segment in self.segments.iter().filter(|segment| segment.seq < active_seq) {
+            // With `Durability::Machine`, an emptied segment takes space until its copies are synced, so each
+            // step empties only one.
             if !should_continue(&usage) || (!emptied_segments.is_empty() && !removes_immediately) {
                 break;
             }
@@ -693,7 +704,8 @@
         self.last_commit
     }
 
-    /// Returns the last commit that is durable as configured. Effects of later commits must be held back.
+    /// Returns the last commit that is durable as configured. The caller must delay the effects of later
+    /// commits, such as responses and calls, until they are durable.
     pub fn durable_commit(&self) -> CommitSeq {
         match self.options.durability {
             Durability::Process => self.last_commit,
@@ -728,7 +740,8 @@
         Some(SyncTask { files, folder, through: self.last_commit })
     }
 
-    /// Records the result of a sync.
+    /// Records the result of a sync, and removes emptied segments whose copies are now durable. If an earlier
+    /// sync failed, also copies messages of the segments that must be written again, one step per sync.
     pub fn finish_sync(&mut self, sync_result: SyncResult, now_ms: i64) {
         if self.record_sync_result(sync_result).is_err() {
             return;
@@ -748,6 +761,8 @@
         }
     }
 
+    /// # Errors
+    /// The error of the sync.
     fn record_sync_result(&mut self, sync_result: SyncResult) -> io::Result<()> {
         self.sync_in_flight = false;
         if let Err(e) = sync_result.result {
--- a/crates/serve/nickelshed-journal/src/journal/open.rs
+++ b/crates/serve/nickelshed-journal/src/journal/open.rs
@@ -18,11 +18,9 @@
     /// Another process uses this folder.
     InUse,
     /// The folder was written by a newer version of this program and was left unchanged.
-    NewerFormat {
-        file: String,
-        version: u16,
-    },
+    NewerFormat { file: String, version: u16 },
     Io {
+        /// The operation that failed, such as "cannot lock the folder".
         context: String,
         error: io::Error,
     },
@@ -54,7 +52,9 @@
 /// Result of opening a folder.
 #[derive(Debug, Default)]
 pub struct RecoveryReport {
+    /// The write at the end of the log, if it was cut off.
     pub torn: Option<TornWrite>,
+    /// Unreadable ranges and missing segments.
     pub damage: Vec<DamagedRange>,
     /// Number of messages that are assumed to have had an attempt, since its record may be lost.
     pub uncertain: usize,
@@ -66,7 +66,8 @@
 }
 
 impl<S: Storage> Journal<S> {
-    /// Opens a folder, or initializes an empty one. `now_ms` is Unix time.
+    /// Opens a folder, or initializes an empty one. Charges the bodies of recovered messages to the memory
+    /// budget. `now_ms` is Unix time.
     ///
     /// # Errors
     /// If another process uses it, a newer version wrote it, or its files cannot be read or written. A
@@ -154,6 +155,7 @@
         if files.iter().any(|(name, _)| name == SPARE_FILE) {
             journal.storage.remove(SPARE_FILE).map_err(io_error("cannot remove the spare segment"))?;
         }
+        // Segments, the ballast file and the outage snapshot are added separately, the other two are removed.
         let is_counted_elsewhere = |name: &str| {
             segment_number(name).is_some()
                 || [BALLAST_FILE, LEGACY_REWRITE_FILE, SPARE_FILE, OUTAGE_SNAPSHOT_FILE].contains(&name)
@@ -189,6 +191,7 @@
         files: &[(String, u64)],
         now_ms: i64,
     ) -> Result<(), OpenError> {
+        // A missing segment (`to` is 0) has no file to quarantine.
         let damaged: Vec<u64> =
             report.damage.iter().filter(|range| range.to > 0).map(|range| range.seq).collect();
         let Some(&last_damaged_seq) = damaged.iter().max() else { return Ok(()) };
@@ -275,7 +278,7 @@
                 Some(existing) if is_resumed => {
                     live = LiveMessage { message: existing.message.clone(), ..live }
                 }
-                // Submitted to both program versions: it is the same message, and the attempts of both count.
+                // Accepted by both program versions: it is the same message, and the attempts of both count.
                 Some(existing) => {
                     let possible_attempts = live.attempts.into_iter().filter(|attempt| !attempt.never_ran);
                     let possible_attempts = possible_attempts
@@ -306,7 +309,7 @@
     }
 }
 
-/// Random, so that clients cannot forge a frame.
+/// Returns a nonce that clients cannot predict, so that they cannot forge a frame.
 fn random_nonce() -> u64 {
     std::collections::hash_map::RandomState::new().build_hasher().finish()
 }
--- a/crates/serve/nickelshed-journal/src/legacy.rs
+++ b/crates/serve/nickelshed-journal/src/legacy.rs
@@ -111,7 +111,8 @@
     Some((record, RECORD_HEADER_BYTES + length))
 }
 
-/// Returns the live messages of a legacy file, and the number of unreadable bytes at its end.
+/// Reads a legacy file up to the first unreadable record. Returns the live messages, and the number of bytes
+/// from there to the end of the file.
 pub fn read_legacy_file(bytes: &[u8]) -> (Vec<LiveMessage>, usize) {
     let mut table = MessageTable::default();
     let mut offset = 0;
--- a/crates/serve/nickelshed-journal/src/record.rs
+++ b/crates/serve/nickelshed-journal/src/record.rs
@@ -1,13 +1,13 @@
-//! The records that are written of a message: its acceptance, its attempts, and its ending.
+//! The records that are written for a message: its acceptance, its attempts, and its ending.
 use bytes::Bytes;
 use nickelshed_budget::MemoryReservation;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// Maximum size of a message body.
+/// Maximum size of a message body in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// Maximum size of an endpoint name. Space for the record of an attempt is reserved before the endpoint is
-/// known.
+/// Maximum size of an endpoint name in bytes. It bounds the record of an attempt, for which space is reserved
+/// before the endpoint is known.
 pub const MAX_ENDPOINT_NAME_BYTES: usize = 64;
 
 /// A message as it was accepted, with everything that a call needs after a restart.
@@ -19,12 +19,13 @@
     pub tenant: String,
     /// Number of the destination.
     pub dest: u64,
+    /// Trace id, by which notices name the message.
     pub trace: String,
     /// Idempotency key.
     pub key: Option<String>,
     /// Unix time in milliseconds, or 0 if imported from the legacy format, which has no such field.
     pub accepted_at_ms: i64,
-    /// Unix time in milliseconds.
+    /// Time at which the message expires. Unix time in milliseconds.
     pub deadline_ms: i64,
     pub body: Bytes,
     /// The memory budget used by the body, released when the message is dropped.
@@ -32,7 +33,7 @@
 }
 
 impl AcceptedMessage {
-    /// Whether `other` is a repeated submission of this message.
+    /// Whether `other`, a message with the same trace id, is a repeated submission of this one.
     pub fn is_same_submission(&self, other: &AcceptedMessage) -> bool {
         let (a, b) = (self, other);
         a.dest == b.dest && a.class == b.class && a.tenant == b.tenant && a.key == b.key && a.body == b.body
@@ -47,7 +48,7 @@
     pub started_at_ms: i64,
     /// Empty for an attempt that is only assumed to have been made, because its record may be lost.
     pub endpoint: String,
-    /// Known not to have taken effect.
+    /// Whether the message is known not to have been executed by this attempt.
     pub never_ran: bool,
 }
 
--- a/crates/serve/nickelshed-journal/src/recover.rs
+++ b/crates/serve/nickelshed-journal/src/recover.rs
@@ -4,13 +4,14 @@
 use crate::table::MessageTable;
 use std::io;
 
-/// A range of unreadable bytes.
+/// A range of unreadable bytes in a segment, or a missing segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DamagedRange {
     /// Segment number.
     pub seq: u64,
+    /// Offset of the first unreadable byte.
     pub from: u64,
-    /// 0 if the whole segment is missing.
+    /// Offset after the last unreadable byte, or 0 if the whole segment is missing.
     pub to: u64,
 }
 
@@ -18,6 +19,7 @@
 /// acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TornWrite {
+    /// Segment number, or 0 for the legacy file.
     pub seq: u64,
     /// Bytes before the torn write.
     pub valid_bytes: u64,
@@ -28,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub struct Segment {
     pub seq: u64,
-    /// Length of the part that is kept: valid frames and damaged ranges, without a torn write.
+    /// Length of the part before a torn write: valid frames and damaged ranges.
     pub valid_bytes: u64,
     /// File size.
     pub file_bytes: u64,
@@ -65,7 +67,7 @@
 
 /// Replays the segments in `files` (segment number and size in bytes). `read` returns at most the given
 /// number of bytes from the start of a segment. `machine_durable` tells whether the folder is used with
-/// `Durability::Machine`; it applies where the header of a segment is unreadable.
+/// `Durability::Machine`; it is used only for the last segment if its header is unreadable.
 ///
 /// # Errors
 /// If a file cannot be read, or was written by a newer version.
@@ -122,26 +124,28 @@
     Ok(replay.finish())
 }
 
-/// How far a segment must be valid.
+/// The offset up to which a segment is expected to be valid.
 enum ExpectedEnd {
+    /// Recorded in the header of the next segment.
     Known(u64),
-    /// Up to its last byte.
+    /// The end of the file, as the next segment is missing or its header is unreadable.
     FileEnd,
     /// The active segment: a write may have been in progress.
-    ActiveSegment {
-        machine_durable: bool,
-    },
+    ActiveSegment { machine_durable: bool },
 }
 
 struct Replay {
     recovered: RecoveredFolder,
+    /// When the last readable frame was written: Unix time in milliseconds, or 0 before the first one.
     last_written_at_ms: i64,
+    /// Segments with lower numbers are no longer needed.
     low_water_mark: u64,
     /// Ranges of segment numbers without a file.
     missing: Vec<std::ops::Range<u64>>,
 }
 
 impl Replay {
+    /// Marks all messages that are live at this point of the replay, as records of them may be lost here.
     fn mark_uncertain(&mut self) {
         self.recovered.uncertain += self.recovered.table.assume_attempts(self.last_written_at_ms);
     }
@@ -203,8 +207,8 @@
                 continue;
             }
             let rest = &bytes[offset..];
-            // Preallocated space, or old contents of a reused segment. A write torn by the loss of the
-            // machine looks the same, and has not been acknowledged either.
+            // With `Durability::Machine` the rest is preallocated space or old contents of a reused segment.
+            // A write torn by the loss of the machine looks the same, and has not been acknowledged.
             if matches!(expected_end, ExpectedEnd::ActiveSegment { machine_durable: true }) {
                 segment.valid_bytes = offset as u64;
                 break;
--- a/crates/serve/nickelshed-journal/src/storage.rs
+++ b/crates/serve/nickelshed-journal/src/storage.rs
@@ -29,18 +29,22 @@
     fn read(&self, name: &str, limit: u64) -> io::Result<Vec<u8>>;
     /// Creates a file. Fails if it exists.
     fn create(&self, name: &str) -> io::Result<Self::File>;
+    /// Opens an existing file for writing.
     fn open(&self, name: &str) -> io::Result<Self::File>;
     /// Allocates disk space for the file, so that a later sync does not have to write its new size. The space
     /// reads as zeros. Does nothing if the file system does not support this.
     fn preallocate(&self, file: &Self::File, length: u64) -> io::Result<()>;
-    /// Returns the number of bytes written, which may be less than all.
+    /// Writes at `offset`. Returns the number of bytes written, which may be less than all.
     fn write_at(&self, file: &Self::File, bytes: &[u8], offset: u64) -> io::Result<usize>;
     fn truncate(&self, file: &Self::File, length: u64) -> io::Result<()>;
+    /// Renames a file, and replaces an existing file named `to`.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&self, name: &str) -> io::Result<()>;
     /// Returns a handle of the folder, whose sync makes creations, renames and removals durable.
     fn folder_handle(&self) -> io::Result<Self::File>;
 
+    /// Writes all bytes at `offset`. Continues after short and interrupted writes.
+    ///
     /// # Errors
     /// Some of the bytes may have been written.
     fn write_all_at(&self, file: &Self::File, mut bytes: &[u8], mut offset: u64) -> io::Result<()> {
--- a/crates/serve/nickelshed-journal/src/table.rs
+++ b/crates/serve/nickelshed-journal/src/table.rs
@@ -4,6 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
+/// The live messages by id.
 #[derive(Default, Clone, Debug)]
 pub struct MessageTable {
     live: BTreeMap<u64, LiveMessage>,
@@ -21,6 +22,7 @@
         &self.live
     }
 
+    /// Returns an upper bound of the size of all full records, in bytes.
     pub fn full_messages_bound(&self) -> u64 {
         self.full_messages_bound
     }
@@ -31,6 +33,7 @@
         self.live.get(&id).map_or(0, full_message_bound)
     }
 
+    /// Adds a message whose acceptance record is in segment `segment_seq`.
     pub fn insert_accepted(&mut self, message: Rc<AcceptedMessage>, segment_seq: u64) {
         self.insert_live(LiveMessage {
             message,
@@ -53,6 +56,8 @@
         }
     }
 
+    /// Applies a record that was written to segment `segment_seq`. A record other than an acceptance has no
+    /// effect if its message is not live.
     pub fn apply(&mut self, record: &Record, segment_seq: u64) {
         match record {
             Record::Accepted(message) => self.insert_accepted(message.clone(), segment_seq),
@@ -119,9 +124,10 @@
         self.live.into_values().collect()
     }
 
-    /// Handles records that were lost here and were written at `lost_since_ms` or later: they may include
-    /// attempts of any message accepted so far. Assumes one attempt that may have run for each message, so
-    /// that its class decides whether it may be sent again. Returns the number of messages newly marked.
+    /// Called where the replay reaches a gap whose records were written at `lost_since_ms` or later: they may
+    /// include attempts of any message accepted so far. Assumes one attempt that may have run for each
+    /// message, so that its class decides whether it may be sent again. Returns the number of messages newly
+    /// marked.
     pub fn assume_attempts(&mut self, lost_since_ms: i64) -> usize {
         let mut newly_marked = 0;
         for live in self.live.values_mut() {
--- a/crates/serve/nickelshed-journal/tests/common/mod.rs
+++ b/crates/serve/nickelshed-journal/tests/common/mod.rs
@@ -90,13 +90,16 @@
 pub struct Workload {
     pub journal: Journal<Disk>,
     pub random: fastrand::Rng,
+    /// The expected state after the last successful commit.
     pub model: Model,
     /// The model after each commit, including those that are not durable yet.
     pub model_after_commit: BTreeMap<CommitSeq, Model>,
     pub next_id: u64,
     /// The records of the last commit, also if it failed.
     pub last_records: Vec<Record>,
+    /// Number of messages for which no space was reserved.
     pub rejected: usize,
+    /// Unix time in milliseconds.
     pub clock_ms: i64,
     /// Percentage of messages that stay live for long.
     pub long_lived_percent: u8,
--- a/crates/serve/nickelshed-journal/tests/crash.rs
+++ b/crates/serve/nickelshed-journal/tests/crash.rs
@@ -9,8 +9,8 @@
 
 const SEED: u64 = 0x6e69_636b;
 
-/// Returns the number of file operations that this many commits take. Checks that they include compaction and
-/// removal.
+/// Returns the number of file operations that a workload of `commits` commits takes. Checks that they include
+/// compaction and the removal of segments.
 fn count_operations(commits: usize, durability: Durability) -> u64 {
     let disk = Disk::new();
     let mut workload = Workload::new(open(&disk, options(durability)).0, SEED);
@@ -36,9 +36,9 @@
     let operation_count = count_operations(commits, Durability::Process);
     let mut crashes = 0;
     for operation in 0..operation_count {
-        for part in [0, 1, 128, 255, 256] {
+        for part_256ths in [0, 1, 128, 255, 256] {
             let disk = Disk::new();
-            disk.inject_fault(operation, Fault::Crash(part));
+            disk.inject_fault(operation, Fault::Crash(part_256ths));
             let Ok((journal, _)) = try_open(&disk, options(Durability::Process)) else {
                 disk.restart_process();
                 assert!(read_model(&open(&disk, options(Durability::Process)).0).is_empty());
@@ -55,8 +55,8 @@
             let recovered = read_model(&journal);
             let matches_model =
                 recovered == workload.model || (failed && recovered == workload.model_with_last_commit());
-            assert!(matches_model, "operation {operation}, part {part}: {:?}", disk.trace().last());
-            assert!(report.damage.is_empty(), "operation {operation}, part {part}: {report:?}");
+            assert!(matches_model, "operation {operation}, part {part_256ths}: {:?}", disk.trace().last());
+            assert!(report.damage.is_empty(), "operation {operation}, part {part_256ths}: {report:?}");
         }
     }
     assert!(crashes > 2_000, "{crashes}");
@@ -124,7 +124,8 @@
             }
             let durable = workload.durable_model().clone();
             let latest = if failed { workload.model_with_last_commit() } else { workload.model.clone() };
-            // Messages accepted in commits that had not become durable.
+            // The body sizes of all messages that were live after the last durable commit or a later one, as
+            // a commit that is not durable may be recovered too.
             let mut latest_bodies: BTreeMap<u64, usize> =
                 latest.iter().map(|(id, expected)| (*id, expected.body_bytes)).collect();
             for model in
@@ -146,11 +147,11 @@
     let commits = 400;
     let operation_count = count_operations(commits, Durability::Process);
     for operation in 0..operation_count {
-        let part = [0, 1, 200, 255][(operation % 4) as usize];
+        let part_256ths = [0, 1, 200, 255][(operation % 4) as usize];
         let error_kinds =
             [io::ErrorKind::Other, io::ErrorKind::StorageFull, io::ErrorKind::ReadOnlyFilesystem];
         let disk = Disk::new();
-        disk.inject_fault(operation, Fault::Fail(part, error_kinds[(operation % 3) as usize]));
+        disk.inject_fault(operation, Fault::Fail(part_256ths, error_kinds[(operation % 3) as usize]));
         let Ok((journal, _)) = try_open(&disk, options(Durability::Process)) else { continue };
         let mut workload = Workload::new(journal, SEED);
         for _ in 0..commits {
@@ -159,7 +160,7 @@
         assert_eq!(read_model(&workload.journal), workload.model, "operation {operation}");
         disk.restart_process();
         let (journal, report) = open(&disk, options(Durability::Process));
-        assert_eq!(read_model(&journal), workload.model, "operation {operation}, part {part}");
+        assert_eq!(read_model(&journal), workload.model, "operation {operation}, part {part_256ths}");
         assert!(report.damage.is_empty(), "operation {operation}: {report:?}");
     }
 }
--- a/crates/serve/nickelshed-journal/tests/damage.rs
+++ b/crates/serve/nickelshed-journal/tests/damage.rs
@@ -18,6 +18,8 @@
     let mut workload = Workload::new(open(&disk, options).0, SEED);
     (workload.max_body_bytes, workload.long_lived_percent) = (600, 60);
     let mut model_before_last = workload.model.clone();
+    // Once the folder has enough segments and messages, 15 more commits follow, and then further ones until
+    // the last commit has changed the model.
     let mut commits_left = 15;
     for _ in 0..3_000 {
         if commits_left == 0 && model_before_last != workload.model {
@@ -62,6 +64,7 @@
             disk.put_durable(&name, &corrupted);
             let (journal, report) = open(&disk, options(Durability::Process));
             let recovered = read_model(&journal);
+            // The other copy of the header is intact.
             let in_header = offset < 64;
             assert_eq!(report.damage.is_empty(), in_header, "{name}:{offset} {report:?}");
             let lost = model.keys().filter(|id| !recovered.contains_key(id)).count();
--- a/crates/serve/nickelshed-journal/tests/space.rs
+++ b/crates/serve/nickelshed-journal/tests/space.rs
@@ -257,14 +257,14 @@
     journal.write_outage_snapshot(b"shorter").unwrap();
     assert!(journal.write_outage_snapshot(&vec![7; max_bytes + 1]).is_err());
     assert_eq!(format!("{:?}", journal.stats().space), space_before, "its space is counted from the start");
-    for part in [0, 1, 100, 255] {
+    for part_256ths in [0, 1, 100, 255] {
         drop(journal);
         disk.restart_process();
         let (mut reopened, report) = open(&disk, options(Durability::Process));
         assert_eq!(reopened.read_outage_snapshot().unwrap(), b"shorter", "the previous snapshot");
         assert!(report.damage.is_empty());
         // Operation 0 opens the file; the crash happens in operation 1, the write.
-        disk.inject_fault(1, Fault::Crash(part));
+        disk.inject_fault(1, Fault::Crash(part_256ths));
         assert!(reopened.write_outage_snapshot(&[9; 300]).is_err());
         journal = reopened;
     }
--- a/crates/serve/nickelshed-journal/tests/upgrade.rs
+++ b/crates/serve/nickelshed-journal/tests/upgrade.rs
@@ -90,21 +90,25 @@
         let disk = fresh();
         open(&disk, options(durability));
         for operation in 0..disk.operation_count() {
-            for part in [0, 200, 256] {
+            for part_256ths in [0, 200, 256] {
                 let disk = fresh();
-                disk.inject_fault(operation, Fault::Crash(part));
+                disk.inject_fault(operation, Fault::Crash(part_256ths));
                 let _ = try_open(&disk, options(durability));
                 match durability {
                     Durability::Process => disk.restart_process(),
                     Durability::Machine => disk.lose_power(&mut fastrand::Rng::with_seed(operation)),
                 }
                 let (journal, report) = open(&disk, options(durability));
-                assert_eq!(by_trace(&journal), expected, "{durability:?} operation {operation}, part {part}");
+                assert_eq!(
+                    by_trace(&journal),
+                    expected,
+                    "{durability:?} operation {operation}, part {part_256ths}"
+                );
                 // The loss of the machine leaves gaps in unsynced data, the end of a process does not.
                 let may_have_gaps = durability == Durability::Machine;
                 assert!(
                     may_have_gaps || report.damage.is_empty(),
-                    "operation {operation}, part {part}: {report:?}"
+                    "operation {operation}, part {part_256ths}: {report:?}"
                 );
             }
         }
--- a/crates/tools/nickelshed-config/src/check.rs
+++ b/crates/tools/nickelshed-config/src/check.rs
@@ -75,6 +75,7 @@
 }
 
 impl Checker<'_> {
+    /// Adds a finding at the value that `path` leads to.
     fn report_with_help(
         &mut self,
         code: Code,
@@ -109,6 +110,7 @@
         }
     }
 
+    /// Checks that a name can be sent in a header or a path. `subject` is the type of item that has the name.
     fn check_name(&mut self, subject: &str, name: &str, path: &[PathStep]) {
         let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
         let prefix: String = name.chars().take(MAX_CONFIG_NAME_BYTES).collect();
@@ -152,6 +154,7 @@
         }
     }
 
+    /// Adds a related position to the last finding.
     fn add_related(&mut self, span: crate::finding::Span, message: &str) {
         if let Some(finding) = self.findings.last_mut() {
             finding.related.push(crate::finding::Related { file: 0, span, message: message.to_string() });
@@ -177,6 +180,7 @@
         }
     }
 
+    /// Checks that `name` is among `known_names`; otherwise suggests the most similar one.
     fn check_reference<'n>(
         &mut self,
         subject: &str,
@@ -276,6 +280,7 @@
         }
     }
 
+    /// Reports a number below `min` with `code`, and one above `max` as unusable.
     fn check_integer(&mut self, number: u32, min: u32, max: u32, code: Code, path: &[PathStep]) {
         if number < min {
             self.report(code, path, format!("{number} is too low: the minimum is {min}"));
@@ -544,25 +549,26 @@
                 if let Some(zone) = &endpoint.zone {
                     self.check_reference("zone", zone, sidecar.zones.iter().map(|z| z.name.as_str()), path);
                 }
-                let Some((first, item)) = endpoints.insert(to_canonical_address(endpoint.address), (i, j))
+                let Some((first_destination, first_endpoint)) =
+                    endpoints.insert(to_canonical_address(endpoint.address), (i, j))
                 else {
                     continue;
                 };
                 let address = endpoint.address;
-                if first == i {
+                if first_destination == i {
                     self.report(
                         Code::DuplicateEndpoint,
                         path,
                         format!("destination `{name}` lists the endpoint {address} twice"),
                     );
                 } else {
-                    let other = &sidecar.destinations[first].name;
+                    let other = &sidecar.destinations[first_destination].name;
                     let message =
                         format!("the endpoint {address} is listed under `{other}` and under `{name}`");
                     self.report(Code::EndpointOfTwoDestinations, path, message);
                 }
                 self.add_related(
-                    self.source.span(path!["destination", first, "endpoints", item]),
+                    self.source.span(path!["destination", first_destination, "endpoints", first_endpoint]),
                     "first listed here",
                 );
             }
--- a/crates/tools/nickelshed-config/src/code.rs
+++ b/crates/tools/nickelshed-config/src/code.rs
@@ -14,9 +14,11 @@
 
 /// Explanation of a code.
 pub struct CodeInfo {
+    /// The code as it is written, such as `NS001`.
     pub code: &'static str,
     pub level: Level,
     pub title: &'static str,
+    /// Why the finding matters.
     pub why: &'static str,
     pub fix: &'static str,
 }
@@ -106,8 +108,8 @@
     HeldLimitUnderSlots = "NS305", Warning, "`limits.held` is less than `limits.slots`",
         "A message in flight counts as held too, so slots beyond `limits.held` are never used.",
         "Lower `limits.slots` or raise `limits.held`.";
-    LimitOfZero = "NS306", Error, "a limit of no messages or no attempts",
-        "A sidecar that may hold no message, or make no attempt, rejects every submission.",
+    LimitOfZero = "NS306", Error, "a limit of zero messages or attempts",
+        "A sidecar that may have no open message, or make no attempt, rejects every submission.",
         "Set it to at least 1.";
     BodyTooLarge = "NS307", Error, "`limits.usual_body` is larger than the largest accepted body",
         "Bodies over 64 KiB are rejected with 413.",
--- a/crates/tools/nickelshed-config/src/compile.rs
+++ b/crates/tools/nickelshed-config/src/compile.rs
@@ -19,7 +19,7 @@
     pub rate: f64,
 }
 
-/// Name of the kind and zone of endpoints without one.
+/// Name of the kind of endpoints without one, and of the only zone if the file has no `[[zone]]`.
 const DEFAULT_NAME: &str = "plain";
 
 /// Returns the settings of the policy, and the names of classes, tenants, kinds and zones by index.
@@ -99,7 +99,8 @@
     (settings, context)
 }
 
-/// Without a rate, shares are not enforced; this equals a missing quota in the platform's settings.
+/// Returns the quota of a tenant in messages per second. Without a rate, shares are not enforced; the result
+/// then equals that of a missing quota in the platform's settings.
 fn tenant_quota(rate: f64, share: f64) -> f64 {
     if rate == 0.0 {
         f64::MAX
@@ -130,7 +131,7 @@
     }
 }
 
-/// Returns the endpoints that the file lists.
+/// Returns the endpoints that the file lists. Those without a zone get the first `[[zone]]`.
 pub fn listed_endpoints(sidecar: &Sidecar) -> Vec<ListedEndpoint> {
     let first_zone = sidecar.zones.first().map_or(DEFAULT_NAME, |z| z.name.as_str());
     let pairs = sidecar.destinations.iter().flat_map(|d| d.endpoints.iter().map(move |e| (d, e.endpoint())));
--- a/crates/tools/nickelshed-config/src/diff.rs
+++ b/crates/tools/nickelshed-config/src/diff.rs
@@ -59,9 +59,9 @@
 
 /// Returns every difference from `old` to `new`; none if both are equivalent.
 pub fn diff(old: &Sidecar, new: &Sidecar) -> Vec<Change> {
-    let mut changes = endpoints(old, new);
+    let mut changes = endpoint_changes(old, new);
     let after_restart = |description: String| Change { description, takes_effect: TakesEffect::AfterRestart };
-    let (old_map, new_map) = (json(old), json(new));
+    let (old_map, new_map) = (to_json_map(old), to_json_map(new));
     let keys: BTreeSet<&String> = old_map.keys().chain(new_map.keys()).collect();
     for key in keys {
         let (old_value, new_value) =
@@ -69,12 +69,12 @@
         match (old_value, new_value) {
             _ if old_value == new_value => {}
             (Json::Object(old_value), Json::Object(new_value)) => {
-                changes.extend(fields(key, "", old_value, new_value).into_iter().map(after_restart))
+                changes.extend(key_changes(key, "", old_value, new_value).into_iter().map(after_restart))
             }
             _ if is_list(old_value) || is_list(new_value) => {
-                changes.extend(items(key, old_value, new_value).into_iter().map(after_restart))
+                changes.extend(item_changes(key, old_value, new_value).into_iter().map(after_restart))
             }
-            _ => changes.push(after_restart(sentence("", "", key, old_value, new_value))),
+            _ => changes.push(after_restart(describe_change("", "", key, old_value, new_value))),
         }
     }
     // The address of discovery may change on SIGHUP, but adding or removing discovery needs a restart.
@@ -87,31 +87,34 @@
     changes
 }
 
-fn json(sidecar: &Sidecar) -> Map<String, Json> {
+fn to_json_map(sidecar: &Sidecar) -> Map<String, Json> {
     match serde_json::to_value(sidecar) {
         Ok(Json::Object(map)) => map,
         _ => Map::new(),
     }
 }
 
+/// Whether the value is a list of sections, such as `[[class]]`.
 fn is_list(value: &Json) -> bool {
     value.as_array().is_some_and(|items| items.iter().any(Json::is_object))
 }
 
-fn fields(section: &str, name: &str, old: &Map<String, Json>, new: &Map<String, Json>) -> Vec<String> {
+/// Describes the changed keys of a section, or of the item `name` of a list of sections.
+fn key_changes(section: &str, name: &str, old: &Map<String, Json>, new: &Map<String, Json>) -> Vec<String> {
     let keys: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
-    // Endpoints are described by `endpoints`.
+    // Endpoints are described by `endpoint_changes`.
     let keys = keys.into_iter().filter(|key| *key != "endpoints" && *key != "name");
     let old_and_new =
         |key: &String| (old.get(key).cloned().unwrap_or_default(), new.get(key).cloned().unwrap_or_default());
     keys.filter_map(|key| {
         let (old_value, new_value) = old_and_new(key);
-        (old_value != new_value).then(|| sentence(section, name, key, &old_value, &new_value))
+        (old_value != new_value).then(|| describe_change(section, name, key, &old_value, &new_value))
     })
     .collect()
 }
 
-fn items(section: &str, old: &Json, new: &Json) -> Vec<String> {
+/// Describes the added, removed and changed items of a list of sections.
+fn item_changes(section: &str, old: &Json, new: &Json) -> Vec<String> {
     let by_name = |list: &Json| -> BTreeMap<String, Map<String, Json>> {
         let items = list.as_array().into_iter().flatten().filter_map(Json::as_object);
         items
@@ -125,7 +128,9 @@
     let mut changes = Vec::new();
     for name in old.keys().chain(new.keys()).collect::<BTreeSet<_>>() {
         match (old.get(name), new.get(name)) {
-            (Some(old_item), Some(new_item)) => changes.extend(fields(section, name, old_item, new_item)),
+            (Some(old_item), Some(new_item)) => {
+                changes.extend(key_changes(section, name, old_item, new_item))
+            }
             (None, Some(_)) => changes.extend(templates.map(|(_, added, _)| added.replace("{name}", name))),
             (Some(_), None) => changes.extend(templates.map(|(.., removed)| removed.replace("{name}", name))),
             (None, None) => {}
@@ -134,7 +139,7 @@
     changes
 }
 
-fn sentence(section: &str, name: &str, key: &str, old: &Json, new: &Json) -> String {
+fn describe_change(section: &str, name: &str, key: &str, old: &Json, new: &Json) -> String {
     let own_template = KEY_TEMPLATES.iter().find(|(s, k, _)| *s == section && *k == key);
     let subject = match (section, name) {
         ("", _) => key.to_string(),
@@ -165,8 +170,8 @@
     parts.map_or(text.to_string(), |spaced| spaced.join(" "))
 }
 
-/// Changes of destinations and endpoints, which a running sidecar applies on SIGHUP.
-fn endpoints(old: &Sidecar, new: &Sidecar) -> Vec<Change> {
+/// Describes changes of destinations and endpoints, which a running sidecar applies on SIGHUP.
+fn endpoint_changes(old: &Sidecar, new: &Sidecar) -> Vec<Change> {
     let on_reload = |description: String| Change { description, takes_effect: TakesEffect::OnReload };
     let mut changes = Vec::new();
     let names =
--- a/crates/tools/nickelshed-config/src/operator.rs
+++ b/crates/tools/nickelshed-config/src/operator.rs
@@ -14,6 +14,8 @@
 }
 
 impl Operator {
+    /// Reads the bytes of a file.
+    ///
     /// # Errors
     /// Every finding about the file.
     pub fn load(bytes: &[u8]) -> Result<Operator, Vec<Finding>> {
--- a/crates/tools/nickelshed-config/src/schema.rs
+++ b/crates/tools/nickelshed-config/src/schema.rs
@@ -99,7 +99,7 @@
             return alternatives.map(|c| self.value_format(c)).collect::<Vec<_>>().join(", or ");
         }
         if let Some(values) = schema.get("enum").and_then(Json::as_array) {
-            return values.iter().map(|w| format!("`{w}`")).collect::<Vec<_>>().join(", ");
+            return values.iter().map(|value| format!("`{value}`")).collect::<Vec<_>>().join(", ");
         }
         if let Some(items) = schema.get("items") {
             return format!("list of: {}", self.value_format(items));
--- a/crates/tools/nickelshed-config/src/together.rs
+++ b/crates/tools/nickelshed-config/src/together.rs
@@ -46,6 +46,7 @@
         }
     }
 
+    /// Adds a use for this key, and returns the first earlier user that conflicts with it.
     fn register(&mut self, key: Option<K>, config: &'a ConfigFile<'a>) -> Option<&'a ConfigFile<'a>> {
         let previous = self.conflicting_user(key.as_ref());
         match key {
@@ -66,6 +67,7 @@
 }
 
 impl<'a> PortUsers<'a> {
+    /// Adds the listener of a file, and returns the first earlier file whose listener conflicts with it.
     fn register(&mut self, config: &'a ConfigFile<'a>) -> Option<&'a ConfigFile<'a>> {
         let ip = config.sidecar.listen.ip().to_canonical();
         let key = (!ip.is_unspecified()).then_some(ip);
@@ -83,7 +85,7 @@
     }
 }
 
-/// Resources that only one sidecar of a host may use.
+/// The users, by host, of resources that only one sidecar of a host may use.
 type ExclusiveResource<'a, K> = HashMap<K, ResourceUsers<'a, &'a str>>;
 
 /// Reports conflicts between the files.
--- a/crates/tools/nickelshed-config/src/url.rs
+++ b/crates/tools/nickelshed-config/src/url.rs
@@ -1,6 +1,7 @@
 //! Parses the form of URL that notices can be posted to: plain HTTP, an IP address and a port.
 use std::net::SocketAddr;
 
+/// A URL that notices can be posted to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Url {
     pub address: SocketAddr,
@@ -8,6 +9,8 @@
     pub path: String,
 }
 
+/// Parses a URL. A missing path becomes `/`.
+///
 /// # Errors
 /// A description of the mistake that continues a sentence whose subject is the URL.
 pub fn parse(text: &str) -> Result<Url, String> {
--- a/crates/tools/nickelshed-config/tests/load.rs
+++ b/crates/tools/nickelshed-config/tests/load.rs
@@ -39,10 +39,10 @@
     assert!(finding.is_error());
 }
 
-/// Returns a `[fleet]` section with the keys of `more`, to be inserted in place of the line `[connections]`,
-/// which it repeats at its end.
-fn fleet_section(more: &str) -> String {
-    format!("[fleet]\nname = \"f\"\nlisten = \"127.0.0.1:7450\"\n{more}\n[connections]")
+/// Returns a `[fleet]` section with the lines `extra_keys`, to be inserted in place of the line
+/// `[connections]`, which it repeats at its end.
+fn fleet_section(extra_keys: &str) -> String {
+    format!("[fleet]\nname = \"f\"\nlisten = \"127.0.0.1:7450\"\n{extra_keys}\n[connections]")
 }
 
 #[test]
--- a/crates/tools/nickelshed-journal-tool/src/main.rs
+++ b/crates/tools/nickelshed-journal-tool/src/main.rs
@@ -30,17 +30,23 @@
         /// The disk limit in MB as configured, to show the space that is left
         #[arg(long, value_name = "MB")]
         disk_mb: Option<f64>,
+        /// Print the report as JSON
         #[arg(long)]
         json: bool,
     },
     /// Checks that every record can be read, and lists the unreadable ranges
     Verify {
+        /// The sender's state folder
         folder: PathBuf,
+        /// Print the report as JSON
         #[arg(long)]
         json: bool,
     },
     /// Prints every open message as a JSON object on a line, with its body in Base64
-    Export { folder: PathBuf },
+    Export {
+        /// The sender's state folder
+        folder: PathBuf,
+    },
 }
 
 fn main() -> ExitCode {
--- a/crates/tools/nickelshed-journal-tool/src/report.rs
+++ b/crates/tools/nickelshed-journal-tool/src/report.rs
@@ -11,10 +11,12 @@
 #[derive(Default)]
 struct Group {
     messages: usize,
+    /// Total size of the bodies.
     bytes: usize,
+    /// Messages without a recorded attempt.
     unattempted: usize,
     attempts: usize,
-    /// Messages whose notice is being sent.
+    /// Messages whose ending is decided and whose notice is being sent.
     notices_in_progress: usize,
     oldest_accepted_at_ms: Option<i64>,
     first_deadline_ms: Option<i64>,
