--- a/crates/serve/nickelshed-journal/src/format.rs
+++ b/crates/serve/nickelshed-journal/src/format.rs
@@ -18,6 +18,7 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
+/// The format version that this program writes, and the newest that it reads.
 pub const FORMAT_VERSION: u16 = 1;
 const MAGIC: [u8; 4] = *b"nsjl";
 const HEADER_COPY_BYTES: usize = 32;
@@ -145,6 +146,7 @@
         &mut self.bytes
     }
 
+    /// Returns the size of all frames in bytes.
     pub fn len(&self) -> u64 {
         self.bytes.len() as u64
     }
--- a/crates/serve/nickelshed-journal/src/inspect.rs
+++ b/crates/serve/nickelshed-journal/src/inspect.rs
@@ -10,6 +10,7 @@
 /// Maximum number of times that the folder is read, as a running sender may change it during a read.
 const MAX_READS: usize = 8;
 
+/// Whether all records of a folder can be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Integrity {
     Intact,
@@ -18,6 +19,7 @@
     Damaged,
 }
 
+/// The contents of a folder as they were read.
 #[derive(Debug)]
 pub struct Inspection {
     pub live: Vec<LiveMessage>,
--- a/crates/serve/nickelshed-journal/src/record.rs
+++ b/crates/serve/nickelshed-journal/src/record.rs
@@ -40,6 +40,7 @@
     }
 }
 
+/// An attempt, which is recorded before its call starts.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct AttemptRecord {
     /// Attempts of a message are numbered from 0.
@@ -52,6 +53,7 @@
     pub never_ran: bool,
 }
 
+/// How a message ended without a successful answer, as its notice tells the client.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq)]
 pub enum Ending {
     /// Failed. An attempt may have taken effect.
@@ -61,6 +63,7 @@
     HandedBack(Option<u64>),
 }
 
+/// A change of the state of one message, which is identified by its id.
 #[derive(Clone, Debug)]
 pub enum Record {
     Accepted(Rc<AcceptedMessage>),
--- a/crates/serve/nickelshed-journal/tests/space.rs
+++ b/crates/serve/nickelshed-journal/tests/space.rs
@@ -151,7 +151,7 @@
         assert_eq!(read_model(&workload.journal), workload.model);
         // Space is free again: the journal must accept messages without any external signal.
         disk.set_capacity(u64::MAX);
-        // The ballast file is retried once a second.
+        // The ballast file is retried once a second, and each commit advances the clock by 100 ms.
         for _ in 0..12 {
             let _ = workload.commit();
         }
--- a/crates/tools/nickelshed-config/src/code.rs
+++ b/crates/tools/nickelshed-config/src/code.rs
@@ -3,6 +3,7 @@
 use std::fmt;
 use std::str::FromStr;
 
+/// Severity of a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
--- a/crates/tools/nickelshed-config/tests/load.rs
+++ b/crates/tools/nickelshed-config/tests/load.rs
@@ -24,8 +24,8 @@
     assert_eq!(findings(EXAMPLE), []);
 }
 
-/// Users report two mistakes most; this is the message of one. The other, a port used by two sidecars, is a
-/// conflict between files and is tested with `nickelshed-ctl`.
+/// One of the two mistakes that users report most, with its full message. The other one, a port used by two
+/// sidecars, is a conflict between files and is tested with `nickelshed-ctl`.
 #[test]
 fn abandoned_after_beyond_the_abandonment_limit_is_an_error_at_its_value() {
     let text = EXAMPLE.replacen("abandoned_after = \"16s\"", "abandoned_after = \"20s\"", 1);
--- a/crates/tools/nickelshed-journal-tool/src/report.rs
+++ b/crates/tools/nickelshed-journal-tool/src/report.rs
@@ -55,7 +55,7 @@
     disk_mb.map(|mb| (mb * 1e6) as i64 - inspection.disk_bytes as i64)
 }
 
-/// `now_ms`: Unix time.
+/// Returns the open messages by class and destination, and the space that they take. `now_ms` is Unix time.
 pub fn inspect(inspection: &Inspection, now_ms: i64, disk_mb: Option<f64>) -> String {
     let mut report = String::new();
     let body_bytes: usize = inspection.live.iter().map(|live| live.message.body.len()).sum();
@@ -143,6 +143,7 @@
     }
 }
 
+/// Returns the state of the folder, and the records that cannot be read.
 pub fn verify(inspection: &Inspection) -> String {
     let mut report = format!(
         "{}: {} messages in {} segments\n",
@@ -216,6 +217,7 @@
         "body": base64::engine::general_purpose::STANDARD.encode(&message.body)})
 }
 
+/// Returns each open message as a JSON object on a line.
 pub fn export(inspection: &Inspection) -> String {
     inspection.live.iter().fold(String::new(), |mut report, live| {
         let _ = writeln!(report, "{}", message_json(live));
