--- a/crates/serve/nickelshed-journal/tests/space.rs
+++ b/crates/serve/nickelshed-journal/tests/space.rs
@@ -151,7 +151,7 @@
         assert_eq!(read_model(&workload.journal), workload.model);
         // Space is free again: the journal must accept messages without any external signal.
         disk.set_capacity(u64::MAX);
-        // The ballast file is retried once a second.
+        // The ballast file is retried once a second, and each commit advances the clock by 100 ms.
         for _ in 0..12 {
             let _ = workload.commit();
         }
@@ -257,14 +257,14 @@
     journal.write_outage_snapshot(b"shorter").unwrap();
     assert!(journal.write_outage_snapshot(&vec![7; max_bytes + 1]).is_err());
     assert_eq!(format!("{:?}", journal.stats().space), space_before, "its space is counted from the start");
-    for part in [0, 1, 100, 255] {
+    for part_256ths in [0, 1, 100, 255] {
         drop(journal);
         disk.restart_process();
         let (mut reopened, report) = open(&disk, options(Durability::Process));
         assert_eq!(reopened.read_outage_snapshot().unwrap(), b"shorter", "the previous snapshot");
         assert!(report.damage.is_empty());
         // Operation 0 opens the file; the crash happens in operation 1, the write.
-        disk.inject_fault(1, Fault::Crash(part));
+        disk.inject_fault(1, Fault::Crash(part_256ths));
         assert!(reopened.write_outage_snapshot(&[9; 300]).is_err());
         journal = reopened;
     }
--- a/crates/tools/nickelshed-config/tests/load.rs
+++ b/crates/tools/nickelshed-config/tests/load.rs
@@ -24,8 +24,8 @@
     assert_eq!(findings(EXAMPLE), []);
 }
 
-/// Users report two mistakes most; this is the message of one. The other, a port used by two sidecars, is a
-/// conflict between files and is tested with `nickelshed-ctl`.
+/// One of the two mistakes that users report most, with its full message. The other one, a port used by two
+/// sidecars, is a conflict between files and is tested with `nickelshed-ctl`.
 #[test]
 fn abandoned_after_beyond_the_abandonment_limit_is_an_error_at_its_value() {
     let text = EXAMPLE.replacen("abandoned_after = \"16s\"", "abandoned_after = \"20s\"", 1);
@@ -39,10 +39,10 @@
     assert!(finding.is_error());
 }
 
-/// Returns a `[fleet]` section with the keys of `more`, to be inserted in place of the line `[connections]`,
-/// which it repeats at its end.
-fn fleet_section(more: &str) -> String {
-    format!("[fleet]\nname = \"f\"\nlisten = \"127.0.0.1:7450\"\n{more}\n[connections]")
+/// Returns a `[fleet]` section with the lines `extra_keys`, to be inserted in place of the line
+/// `[connections]`, which it repeats at its end.
+fn fleet_section(extra_keys: &str) -> String {
+    format!("[fleet]\nname = \"f\"\nlisten = \"127.0.0.1:7450\"\n{extra_keys}\n[connections]")
 }
 
 #[test]
