--- a/crates/proof/nickelshed-judge/src/account.rs
+++ b/crates/proof/nickelshed-judge/src/account.rs
@@ -35,17 +35,19 @@
     Away,
 }
 
+/// Where the slot time and the latency of a run went.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TimeAccount {
     /// Slot time in microseconds, by the state of the destination when the call began, whether the call was
     /// the first attempt of all of its messages, and whether it delivered them.
     pub slot_time: BTreeMap<(DestinationState, bool, bool), Us>,
-    /// Number of messages late or not delivered, by the phase that took most of their time and the state of
-    /// the destination when that phase began.
+    /// Number of messages that were late or not delivered, by the phase that took most of their time and the
+    /// state of the destination when that phase began.
     pub late_causes: BTreeMap<(DestinationState, MessagePhase), usize>,
-    /// 99th percentile of the latency in milliseconds, over messages whose destination was available
-    /// throughout: submitted while no destination was unavailable, and submitted while any was. Infinite if
-    /// the percentile falls on a message that was never delivered.
+    /// 99th percentile of the latency in milliseconds, over messages whose destination was available and
+    /// warmed up throughout: first of those submitted while no destination was unavailable, then of those
+    /// submitted while any was. 0 without such messages; infinite if the percentile falls on a message that
+    /// was never delivered.
     pub healthy_p99_ms: (f64, f64),
 }
 
@@ -79,6 +81,7 @@
         }
     }
 
+    /// Records that a call or a connection attempt of a sender failed at a destination.
     fn record_failure(&mut self, sender: usize, dest: u64) {
         if self.in_outage.contains(&dest) {
             self.observed_by.insert((sender, dest));
@@ -102,7 +105,8 @@
 }
 
 impl Message {
-    /// Ends the current phase and attributes its time to `actual`, or to the phase itself if that is None.
+    /// Ends the current phase and begins `next`. Attributes the time of the ended phase to `actual`, or to
+    /// that phase itself if `actual` is None.
     fn change_phase(
         &mut self,
         at: Us,
@@ -110,8 +114,8 @@
         next: MessagePhase,
         state: DestinationState,
     ) {
-        let (phase, since, state_then) = self.phase;
-        *self.time_spent.entry((state_then, actual.unwrap_or(phase))).or_default() +=
+        let (phase, since, phase_state) = self.phase;
+        *self.time_spent.entry((phase_state, actual.unwrap_or(phase))).or_default() +=
             at.saturating_sub(since);
         self.phase = (next, at, state);
     }
@@ -126,8 +130,8 @@
     ids: &'a [String],
 }
 
-/// Accounts for a run. `classes` is indexed by the class number of the submissions; `slow_start` is the
-/// duration of a destination's slow start.
+/// Accounts for a run. The events must be in the order of their times. `classes` is indexed by the class
+/// number of the submissions; `slow_start` is the duration of a destination's slow start.
 pub fn account_time(events: &[Event], classes: &[ValueFunction], slow_start: Us) -> TimeAccount {
     let mut outages = OutageTracker::default();
     let mut messages: BTreeMap<u64, Message> = BTreeMap::new();
--- a/crates/proof/nickelshed-judge/src/event.rs
+++ b/crates/proof/nickelshed-judge/src/event.rs
@@ -48,11 +48,12 @@
     Closed,
 }
 
+/// What was observed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
 pub enum EventKind {
-    /// A client wrote the last byte of a submission. `message` stays the same when the client submits the
-    /// message again.
+    /// A client wrote the last byte of a submission. `id` is the id of this submission; `message` stays the
+    /// same when the client submits the message again under another id.
     HandedIn {
         sender: usize,
         id: String,
@@ -139,7 +140,7 @@
     },
     /// A sender received SIGTERM or SIGKILL.
     Going { sender: usize },
-    /// The process of a sender exited. Retry-after waits reported to it no longer apply.
+    /// The process of a sender exited. Retry-after waits reported to that process no longer apply.
     Ended { sender: usize },
     /// A sender's process is suspended for `duration`.
     Stopped {
@@ -151,6 +152,7 @@
     Up { sender: usize },
 }
 
+/// An observation and its time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Event {
     pub at: Us,
--- a/crates/proof/nickelshed-judge/src/rules.rs
+++ b/crates/proof/nickelshed-judge/src/rules.rs
@@ -1,4 +1,4 @@
-//! Checks the six delivery rules against a history of events.
+//! Checks a history of events against the six delivery rules, and for the recovery of unattempted messages.
 use crate::event::{CallEnd, DedupScope, Effect, Event, EventKind, Us};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -13,9 +13,10 @@
 /// Calls that begin within this time after a retry-after wait was written are allowed: the sender may not
 /// have received the response yet.
 const RETRY_AFTER_GRACE: Us = 100 * MS;
-/// Work within the overload window above which a destination in slow start collapses, for an `allowed` amount
-/// of work. The margin above `allowed` is twice the standard deviation of a Poisson-distributed sum, plus
-/// two, so that random bunching of arrivals alone rarely causes a collapse.
+
+/// Returns the amount of work within the overload window above which a destination in slow start collapses,
+/// if it is allowed the amount `allowed`. The margin above `allowed` is twice the standard deviation of a
+/// Poisson-distributed sum, plus two, so that random bunching of arrivals alone rarely causes a collapse.
 fn collapse_threshold(allowed: f64) -> f64 {
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
@@ -55,50 +56,54 @@
     }
 }
 
+/// The six delivery rules, and a check of what senders do with recovered messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// An accepted message has no outcome, or two; or a submission got no answer.
+    /// An accepted message has no outcome in time, or two different ones; or a submission got no answer.
     Lost,
-    /// A message took effect twice, or was repeated when its class does not allow it.
+    /// A message took effect twice, was repeated when its class does not allow it, or was returned when a
+    /// resubmission could make it take effect twice.
     Twice,
     /// Two attempts of one message were in flight at once.
     AtOnce,
     /// A call began at an endpoint that discovery had reported as draining or removed.
     Drain,
-    /// A recovering destination was overloaded, and more than two thirds of the work came from senders that had
-    /// observed its outage.
+    /// A recovering destination was overloaded, and more than two thirds of the work came from senders that
+    /// had observed its outage.
     Pushed,
     /// A call began during a retry-after wait.
     Wait,
     /// More than half of the accepted messages that restarts recovered, never attempted and not expired, got
-    /// no call.
+    /// no call. This is a check of its own beside the six delivery rules.
     Untried,
 }
 
-/// A violation of a rule. `events` are the indices of the events that show it.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
     pub rule: Rule,
     pub at: Us,
     #[serde(rename = "words")]
     pub description: String,
+    /// Indices of the events that show it.
     pub events: Vec<usize>,
 }
 
 /// An attempt of a message.
 struct Attempt {
     call: u64,
-    /// Site or endpoint that remembers the key of the message from this attempt on; 0 if the whole
-    /// destination does.
+    /// Site or endpoint that remembers the key of the message from this attempt on, according to the dedup
+    /// scope; 0 if all endpoints of the destination do.
     dedup_domain: usize,
-    event_number: usize,
+    /// Index of the event of its call.
+    call_event: usize,
     first_byte_at: Us,
     end: Option<(Us, CallEnd)>,
 }
 
 impl Attempt {
-    /// Whether the response proves that the attempt did not execute.
+    /// Whether the response proves that the attempt did not execute the message.
     fn never_ran(&self) -> bool {
         matches!(self.end, Some((_, CallEnd::Answered { status: 400 | 410 | 413 | 429 | 503 | 504, .. })))
     }
@@ -112,6 +117,7 @@
 }
 
 struct Message {
+    /// Index of the event of its submission.
     submission_event: usize,
     submitted_at: Us,
     sender: usize,
@@ -120,7 +126,9 @@
     accepted_at: Option<Us>,
     has_client_left: bool,
     attempts: Vec<Attempt>,
+    /// Index and time of the event of each notice, and whether the message was returned.
     notices: Vec<(usize, Us, bool)>,
+    /// Indices of the events at which the message took effect.
     execution_events: Vec<usize>,
 }
 
@@ -129,7 +137,7 @@
     outage_start: Option<Us>,
     /// End of the last outage, and the capacity when warmed up.
     recovery: Option<(Us, f64)>,
-    /// Senders whose calls failed there during the outage.
+    /// Senders whose calls or connection attempts failed there during the outage.
     aware_senders: BTreeSet<usize>,
     /// Calls since the recovery: time, sender, event index and work.
     recent_calls: VecDeque<(Us, usize, usize, f64)>,
@@ -182,8 +190,8 @@
         unattempted_at_exit: BTreeMap::new(),
         unattempted: Vec::new(),
     };
-    for number in 0..events.len() {
-        checker.apply(number);
+    for event_index in 0..events.len() {
+        checker.apply(event_index);
     }
     checker.check_finished();
     checker.check_unattempted();
@@ -196,13 +204,13 @@
         self.violations.push(Violation { rule, at, description, events });
     }
 
-    fn apply(&mut self, number: usize) {
+    fn apply(&mut self, event_index: usize) {
         let events: &'a [Event] = self.events;
-        let at = events[number].at;
-        match &events[number].kind {
+        let at = events[event_index].at;
+        match &events[event_index].kind {
             EventKind::HandedIn { sender, id, effect, lifetime, .. } => {
                 let message = Message {
-                    submission_event: number,
+                    submission_event: event_index,
                     submitted_at: at,
                     sender: *sender,
                     effect: *effect,
@@ -216,7 +224,7 @@
                 // A second submission of the same id on another connection is the same message.
                 self.messages.entry(id).or_insert(message);
             }
-            EventKind::Heard { id, status } => self.record_answer(number, at, id, *status),
+            EventKind::Heard { id, status } => self.record_answer(event_index, at, id, *status),
             EventKind::Left { id } => {
                 if let Some(m) = self.messages.get_mut(id.as_str()) {
                     m.has_client_left = true;
@@ -225,26 +233,27 @@
             EventKind::Call { call, sender, endpoint, dest, route, site, ids, work, first_byte } => {
                 let target = (*dest, *route);
                 self.calls.insert(*call, (*sender, target, ids));
-                self.check_drain(number, *sender, *endpoint, *first_byte);
-                self.check_retry_after(number, *sender, target, *first_byte);
+                self.check_drain(event_index, *sender, *endpoint, *first_byte);
+                self.check_retry_after(event_index, *sender, target, *first_byte);
                 let dedup_domain = match self.parameters.dedup_scope {
                     DedupScope::Everywhere => 0,
                     DedupScope::InTheRoom => *site,
                     DedupScope::AtTheEndpoint => *endpoint,
                 };
-                ids.iter().for_each(|id| self.check_attempt(number, *call, dedup_domain, id, *first_byte));
-                self.check_overload(number, at, *sender, target, *work);
+                ids.iter()
+                    .for_each(|id| self.check_attempt(event_index, *call, dedup_domain, id, *first_byte));
+                self.check_overload(event_index, at, *sender, target, *work);
                 if let Some((at, end)) = self.early_ends.remove(call) {
-                    self.record_call_end(number, at, *call, end);
+                    self.record_call_end(event_index, at, *call, end);
                 }
             }
             EventKind::Over { call, end } if !self.calls.contains_key(call) => {
                 _ = self.early_ends.insert(*call, (at, *end))
             }
-            EventKind::Over { call, end } => self.record_call_end(number, at, *call, *end),
+            EventKind::Over { call, end } => self.record_call_end(event_index, at, *call, *end),
             EventKind::Ran { id, .. } => {
                 let Some(m) = self.messages.get_mut(id.as_str()) else { return };
-                m.execution_events.push(number);
+                m.execution_events.push(event_index);
                 if m.execution_events.len() > 1 && m.effect != Effect::Safe {
                     let executions = m.execution_events.clone();
                     self.report(Rule::Twice, at, format!("{id} took effect twice"), executions);
@@ -260,7 +269,7 @@
                 if *accepts_calls {
                     self.draining.remove(&(*sender, *endpoint));
                 } else {
-                    self.draining.entry((*sender, *endpoint)).or_insert((at, number));
+                    self.draining.entry((*sender, *endpoint)).or_insert((at, event_index));
                 }
             }
             EventKind::OutageBegan { dest, route } => {
@@ -274,7 +283,7 @@
                 (dest.outage_start, dest.recovery) = (None, Some((at, *capacity)));
             }
             EventKind::FellOver { .. } => {}
-            EventKind::Notice { id, returned, .. } => self.check_notice(number, at, id, *returned),
+            EventKind::Notice { id, returned, .. } => self.check_notice(event_index, at, id, *returned),
             EventKind::Going { sender } => {
                 self.restart_windows.entry(*sender).or_default().push((at, Us::MAX))
             }
@@ -300,7 +309,8 @@
                 let unattempted = self.unattempted_at_exit.remove(sender).unwrap_or_default();
                 let is_unexpired =
                     |id: &&str| self.messages.get(id).is_some_and(|m| m.submitted_at + m.lifetime > at);
-                self.unattempted.extend(unattempted.into_iter().filter(is_unexpired).map(|id| (id, number)));
+                self.unattempted
+                    .extend(unattempted.into_iter().filter(is_unexpired).map(|id| (id, event_index)));
                 // A sender that receives SIGTERM and then SIGKILL has two `Going` events and one `Up`.
                 for (_, end) in self.restart_windows.get_mut(sender).into_iter().flatten() {
                     *end = (*end).min(at + RESTART_GRACE);
@@ -309,28 +319,28 @@
         }
     }
 
-    fn record_answer(&mut self, number: usize, at: Us, id: &str, status: u16) {
+    fn record_answer(&mut self, event_index: usize, at: Us, id: &str, status: u16) {
         let Some(m) = self.messages.get_mut(id) else { return };
         match status {
             200 | 202 => m.accepted_at = Some(at),
             0 if !m.has_client_left && !is_in_restart(&self.restart_windows, m.sender, at) => {
-                let events = vec![m.submission_event, number];
+                let events = vec![m.submission_event, event_index];
                 self.report(Rule::Lost, at, format!("{id} got no answer: its connection was closed"), events);
             }
             _ => {}
         }
     }
 
-    fn check_drain(&mut self, number: usize, sender: usize, endpoint: usize, first_byte: Us) {
+    fn check_drain(&mut self, event_index: usize, sender: usize, endpoint: usize, first_byte: Us) {
         let Some(&(notified_at, notification)) = self.draining.get(&(sender, endpoint)) else { return };
         if first_byte > notified_at + self.parameters.drain_grace + TIMING_TOLERANCE {
             let late_ms = (first_byte - notified_at) / MS;
             let description = format!("sender {sender} began a call at endpoint {endpoint} {late_ms} ms after it was notified that the endpoint accepts no new calls");
-            self.report(Rule::Drain, first_byte, description, vec![notification, number]);
+            self.report(Rule::Drain, first_byte, description, vec![notification, event_index]);
         }
     }
 
-    fn check_retry_after(&mut self, number: usize, sender: usize, route: Route, first_byte: Us) {
+    fn check_retry_after(&mut self, event_index: usize, sender: usize, route: Route, first_byte: Us) {
         let Some(&(wait_end, written_at, source)) =
             self.destinations.get(&route).and_then(|d| d.retry_after_waits.get(&sender))
         else {
@@ -342,16 +352,23 @@
             let description = format!(
                 "sender {sender} called {name} {early_ms} ms before the end of a requested retry-after wait"
             );
-            self.report(Rule::Wait, first_byte, description, vec![source, number]);
+            self.report(Rule::Wait, first_byte, description, vec![source, event_index]);
         }
     }
 
-    fn check_attempt(&mut self, number: usize, call: u64, dedup_domain: usize, id: &'a str, first_byte: Us) {
+    fn check_attempt(
+        &mut self,
+        event_index: usize,
+        call: u64,
+        dedup_domain: usize,
+        id: &'a str,
+        first_byte: Us,
+    ) {
         let window = self.parameters.dedup_window;
         let Some(m) = self.messages.get_mut(id) else { return };
         let mut violations = Vec::new();
-        // A call that was cancelled long before it arrived may arrive after a later attempt began. The two
-        // overlap only if the later attempt began before the cancellation.
+        // A call that its sender cancelled before its last byte arrived may arrive after a later attempt
+        // began. The two overlap only if the later attempt began before the cancellation.
         let cancelled_at = self.early_ends.get(&call).map(|(at, _)| *at);
         let overlaps = |a: &&Attempt| {
             a.end.is_none_or(|(at, _)| at > first_byte) && cancelled_at.is_none_or(|at| at > a.first_byte_at)
@@ -360,7 +377,7 @@
             violations.push((
                 Rule::AtOnce,
                 format!("{id} was sent while an earlier attempt was in flight"),
-                other.event_number,
+                other.call_event,
             ));
         }
         let possibly_executed = m.attempts.iter().find(|a| !a.never_ran());
@@ -369,15 +386,15 @@
             violations.push((
                 Rule::Twice,
                 format!("{id} was sent again where its key is not known"),
-                earlier.event_number,
+                earlier.call_event,
             ));
         }
         match (m.effect, possibly_executed) {
             (Effect::Unsafe, Some(earlier)) => {
                 violations.push((
                     Rule::Twice,
-                    format!("{id} may not run twice and was sent again although it may have run"),
-                    earlier.event_number,
+                    format!("{id} must not run twice and was sent again although it may have run"),
+                    earlier.call_event,
                 ));
             }
             (Effect::Keyed, Some(earlier))
@@ -387,7 +404,7 @@
                 violations.push((
                     Rule::Twice,
                     format!("{id} was sent again {late_ms} ms after its dedup window ended"),
-                    earlier.event_number,
+                    earlier.call_event,
                 ));
             }
             _ => {}
@@ -395,16 +412,16 @@
         m.attempts.push(Attempt {
             call,
             dedup_domain,
-            event_number: number,
+            call_event: event_index,
             first_byte_at: first_byte,
             end: None,
         });
         for (rule, description, earlier_event) in violations {
-            self.report(rule, first_byte, description, vec![earlier_event, number]);
+            self.report(rule, first_byte, description, vec![earlier_event, event_index]);
         }
     }
 
-    fn record_call_end(&mut self, number: usize, at: Us, call: u64, end: CallEnd) {
+    fn record_call_end(&mut self, event_index: usize, at: Us, call: u64, end: CallEnd) {
         let Some(&(sender, route, ids)) = self.calls.get(&call) else { return };
         for id in ids {
             let attempts = self.messages.get_mut(id.as_str()).map(|m| &mut m.attempts);
@@ -422,7 +439,7 @@
             if retry_after > 0 {
                 let longest = destination.retry_after_waits.entry(sender).or_insert((0, 0, 0));
                 if at + retry_after > longest.0 {
-                    *longest = (at + retry_after, at, number);
+                    *longest = (at + retry_after, at, event_index);
                 }
             }
         }
@@ -430,11 +447,11 @@
 
     /// Checks the work that a recovering destination received within the overload window that ends now
     /// against the work that it can serve in it.
-    fn check_overload(&mut self, number: usize, at: Us, sender: usize, route: Route, work: f64) {
+    fn check_overload(&mut self, event_index: usize, at: Us, sender: usize, route: Route, work: f64) {
         let p = self.parameters;
         let Some(dest) = self.destinations.get_mut(&route) else { return };
         let Some((since, capacity)) = dest.recovery.filter(|(t, _)| at < *t + p.slow_start) else { return };
-        dest.recent_calls.push_back((at, sender, number, work));
+        dest.recent_calls.push_back((at, sender, event_index, work));
         while dest.recent_calls.front().is_some_and(|(t, ..)| *t + p.overload_window < at) {
             dest.recent_calls.pop_front();
         }
@@ -462,14 +479,14 @@
         }
     }
 
-    fn check_notice(&mut self, number: usize, at: Us, id: &str, returned: bool) {
+    fn check_notice(&mut self, event_index: usize, at: Us, id: &str, returned: bool) {
         let Some(m) = self.messages.get_mut(id) else { return };
         let mut violations = Vec::new();
         if let Some((earlier_event, ..)) = m.notices.iter().find(|(.., other)| *other != returned) {
             violations.push((
                 Rule::Lost,
                 format!("{id} was both returned and failed"),
-                vec![*earlier_event, number],
+                vec![*earlier_event, event_index],
             ));
         }
         // If the client submits the message again, it may reach endpoints that do not know its key.
@@ -478,11 +495,11 @@
         if returned && (m.effect == Effect::Unsafe || is_key_partly_known) && m.notices.is_empty() {
             if let Some(earlier) = m.attempts.iter().find(|a| !a.never_ran()) {
                 let description =
-                    format!("{id} was returned although it may have run, and may then run twice");
-                violations.push((Rule::Twice, description, vec![earlier.event_number, number]));
+                    format!("{id} was returned although it may have run, and a resubmission may run twice");
+                violations.push((Rule::Twice, description, vec![earlier.call_event, event_index]));
             }
         }
-        m.notices.push((number, at, returned));
+        m.notices.push((event_index, at, returned));
         for (rule, description, events) in violations {
             self.report(rule, at, description, events);
         }
@@ -564,6 +581,7 @@
     }
 }
 
+/// Whether no deadline applies to a sender at a time, because of a restart or a suspension.
 fn is_in_restart(restart_windows: &BTreeMap<usize, Vec<(Us, Us)>>, sender: usize, at: Us) -> bool {
     restart_windows.get(&sender).into_iter().flatten().any(|(from, to)| (*from..*to).contains(&at))
 }
--- a/crates/proof/nickelshed-judge/src/score.rs
+++ b/crates/proof/nickelshed-judge/src/score.rs
@@ -13,22 +13,25 @@
     Held,
     /// In flight for at least half of its time.
     Out,
-    /// Queued between attempts for most of its time.
+    /// Queued for more than half of its time, and not rejected at the last attempt.
     Between,
-    /// Queued for most of its time, and rejected by its destination at the last attempt.
+    /// Queued for more than half of its time, and rejected by its destination at the last attempt.
     TurnedAway,
     /// The client received no response to its last submission.
     Unheard,
 }
 
+/// Score of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ScoreReport {
     pub messages: usize,
+    /// Messages delivered within their target latency.
     pub in_time: usize,
+    /// Messages delivered after their target latency.
     pub late: usize,
     /// Messages that were never delivered.
     pub lost: usize,
-    /// Value delivered, as a fraction of what it would be if every message met its target latency.
+    /// Value delivered, as a fraction of the value if every message met its target latency.
     #[serde(rename = "worth")]
     pub value: f64,
     pub calls: usize,
@@ -58,8 +61,8 @@
     was_answered: bool,
 }
 
-/// Value of a delivered message of a class: `full_value` within `target_latency`, halved by each further
-/// `target_latency`, and never less than the fraction `min_value_fraction` of `full_value`.
+/// Value of a delivered message of a class by its latency: `full_value` within `target_latency`, halved by
+/// each further `target_latency`, and never less than the fraction `min_value_fraction` of `full_value`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ValueFunction {
     pub target_latency: Us,
--- a/crates/proof/nickelshed-judge/tests/rules.rs
+++ b/crates/proof/nickelshed-judge/tests/rules.rs
@@ -31,10 +31,10 @@
 
     /// A call whose first byte is written 5 ms before its last byte arrives.
     fn call(self, ms: Us, call: u64, endpoint: usize, id: &str) -> History {
-        self.call_of(0, ms, call, endpoint, id)
+        self.call_from(0, ms, call, endpoint, id)
     }
 
-    fn call_of(self, sender: usize, ms: Us, call: u64, endpoint: usize, id: &str) -> History {
+    fn call_from(self, sender: usize, ms: Us, call: u64, endpoint: usize, id: &str) -> History {
         let ids = vec![id.into()];
         self.at(
             ms,
@@ -64,11 +64,11 @@
         self.at(ms, EventKind::Notice { sender: 0, id: id.into(), returned })
     }
 
-    fn rules(self) -> Vec<Rule> {
-        self.rules_with_scope(DedupScope::Everywhere)
+    fn violated_rules(self) -> Vec<Rule> {
+        self.violated_rules_with_scope(DedupScope::Everywhere)
     }
 
-    fn rules_with_scope(mut self, dedup_scope: DedupScope) -> Vec<Rule> {
+    fn violated_rules_with_scope(mut self, dedup_scope: DedupScope) -> Vec<Rule> {
         self.0.sort_by_key(|e| e.at);
         let parameters = RuleParameters { dedup_scope, ..RuleParameters::default() };
         judge(&self.0, parameters).into_iter().map(|v| v.rule).collect()
@@ -81,24 +81,24 @@
 
 #[test]
 fn a_message_without_an_outcome_is_lost_and_one_with_a_notice_in_time_is_not() {
-    assert_eq!(delivered("a").rules(), []);
+    assert_eq!(delivered("a").violated_rules(), []);
     let unfinished = || History::new().accepted(10, "a", Effect::Keyed, 1_000);
-    assert_eq!(unfinished().rules(), [Rule::Lost]);
+    assert_eq!(unfinished().violated_rules(), [Rule::Lost]);
     // Expiry at 1010 ms, plus 300 ms of grace and 50 ms of tolerance.
-    assert_eq!(unfinished().notice(1_360, "a", true).rules(), []);
-    assert_eq!(unfinished().notice(1_361, "a", true).rules(), [Rule::Lost]);
+    assert_eq!(unfinished().notice(1_360, "a", true).violated_rules(), []);
+    assert_eq!(unfinished().notice(1_361, "a", true).violated_rules(), [Rule::Lost]);
     // A message whose client has left is not checked.
-    assert_eq!(unfinished().at(20, EventKind::Left { id: "a".into() }).rules(), []);
+    assert_eq!(unfinished().at(20, EventKind::Left { id: "a".into() }).violated_rules(), []);
     // A restart extends the deadline to 1.5 s after the sender is ready again.
     let restart =
         || unfinished().at(1_300, EventKind::Going { sender: 0 }).at(3_000, EventKind::Up { sender: 0 });
-    assert_eq!(restart().notice(4_500, "a", true).rules(), []);
-    assert_eq!(restart().notice(4_501, "a", true).rules(), [Rule::Lost]);
+    assert_eq!(restart().notice(4_500, "a", true).violated_rules(), []);
+    assert_eq!(restart().notice(4_501, "a", true).violated_rules(), [Rule::Lost]);
     // A sender that gets SIGTERM and then SIGKILL has two `Going` events and one `Up`.
-    let twice =
+    let terminated_then_killed =
         unfinished().at(1_200, EventKind::Going { sender: 0 }).at(1_300, EventKind::Going { sender: 0 });
-    let twice = twice.at(3_000, EventKind::Up { sender: 0 });
-    assert_eq!(twice.notice(4_501, "a", true).rules(), [Rule::Lost]);
+    let terminated_then_killed = terminated_then_killed.at(3_000, EventKind::Up { sender: 0 });
+    assert_eq!(terminated_then_killed.notice(4_501, "a", true).violated_rules(), [Rule::Lost]);
     // A refused submission needs no outcome.
     let submission = EventKind::HandedIn {
         sender: 0,
@@ -113,11 +113,14 @@
         History::new()
             .at(1, submission.clone())
             .at(2, EventKind::Heard { id: "r".into(), status: 503 })
-            .rules(),
+            .violated_rules(),
         []
     );
     assert_eq!(
-        History::new().at(1, submission).at(2, EventKind::Heard { id: "r".into(), status: 0 }).rules(),
+        History::new()
+            .at(1, submission)
+            .at(2, EventKind::Heard { id: "r".into(), status: 0 })
+            .violated_rules(),
         [Rule::Lost]
     );
 }
@@ -125,8 +128,8 @@
 #[test]
 fn a_message_has_only_one_kind_of_outcome() {
     let unfinished = || History::new().accepted(10, "a", Effect::Keyed, 1_000);
-    assert_eq!(unfinished().notice(500, "a", true).notice(600, "a", true).rules(), []);
-    assert_eq!(unfinished().notice(500, "a", true).notice(600, "a", false).rules(), [Rule::Lost]);
+    assert_eq!(unfinished().notice(500, "a", true).notice(600, "a", true).violated_rules(), []);
+    assert_eq!(unfinished().notice(500, "a", true).notice(600, "a", false).violated_rules(), [Rule::Lost]);
 }
 
 #[test]
@@ -135,19 +138,19 @@
         History::new().accepted(10, "a", Effect::Unsafe, 9_000).call(20, 1, 3, "a").answered(30, 1, status)
     };
     for status in [429, 503, 504, 410, 400, 413] {
-        assert_eq!(first(status).call(50, 2, 3, "a").answered(60, 2, 200).rules(), [], "{status}");
+        assert_eq!(first(status).call(50, 2, 3, "a").answered(60, 2, 200).violated_rules(), [], "{status}");
     }
     for status in [500, 200, 418] {
         let retried = first(status).call(50, 2, 3, "a").answered(60, 2, 200);
-        assert_eq!(retried.rules(), [Rule::Twice], "{status}");
+        assert_eq!(retried.violated_rules(), [Rule::Twice], "{status}");
     }
     let connection_lost =
         || History::new().accepted(10, "a", Effect::Unsafe, 9_000).call(20, 1, 3, "a").closed(30, 1);
-    assert_eq!(connection_lost().notice(900, "a", false).rules(), []);
+    assert_eq!(connection_lost().notice(900, "a", false).violated_rules(), []);
     assert_eq!(
-        connection_lost().notice(900, "a", true).rules(),
+        connection_lost().notice(900, "a", true).violated_rules(),
         [Rule::Twice],
-        "a returned message is stated never to have run"
+        "returning a message states that it never ran"
     );
 }
 
@@ -155,20 +158,23 @@
 fn a_keyed_message_is_retried_only_within_the_dedup_window() {
     let first = || History::new().accepted(10, "a", Effect::Keyed, 20_000).call(25, 1, 3, "a").closed(30, 1);
     // The first byte was written at 20 ms; the dedup window is 15 s and the tolerance 50 ms.
-    assert_eq!(first().call(15_075, 2, 3, "a").answered(15_080, 2, 200).rules(), []);
-    assert_eq!(first().call(15_076, 2, 3, "a").answered(15_080, 2, 200).rules(), [Rule::Twice]);
+    assert_eq!(first().call(15_075, 2, 3, "a").answered(15_080, 2, 200).violated_rules(), []);
+    assert_eq!(first().call(15_076, 2, 3, "a").answered(15_080, 2, 200).violated_rules(), [Rule::Twice]);
     let ran = |ms| (ms, EventKind::Ran { id: "a".into(), message: 1 });
     let (one, two) = (ran(40), ran(50));
-    assert_eq!(delivered("a").at(one.0, one.1.clone()).rules(), []);
-    assert_eq!(delivered("a").at(one.0, one.1).at(two.0, two.1).rules(), [Rule::Twice]);
+    assert_eq!(delivered("a").at(one.0, one.1.clone()).violated_rules(), []);
+    assert_eq!(delivered("a").at(one.0, one.1).at(two.0, two.1).violated_rules(), [Rule::Twice]);
 }
 
 #[test]
 fn two_attempts_are_never_in_flight_at_once() {
     let first = || History::new().accepted(10, "a", Effect::Safe, 9_000).call(20, 1, 3, "a");
     // The second attempt begins at 45 ms, 5 ms before its last byte arrives, when the first has ended.
-    assert_eq!(first().closed(45, 1).call(50, 2, 4, "a").answered(60, 2, 200).rules(), []);
-    assert_eq!(first().call(50, 2, 4, "a").closed(55, 1).answered(60, 2, 200).rules(), [Rule::AtOnce]);
+    assert_eq!(first().closed(45, 1).call(50, 2, 4, "a").answered(60, 2, 200).violated_rules(), []);
+    assert_eq!(
+        first().call(50, 2, 4, "a").closed(55, 1).answered(60, 2, 200).violated_rules(),
+        [Rule::AtOnce]
+    );
     // The call began at 40 ms and arrived at 70 ms, after another attempt that began at 55 ms. Cancelled at
     // 45 ms, it did not overlap that attempt; cancelled at 60 ms, it did.
     let rules_if_cancelled_at = |at: Us| {
@@ -177,7 +183,7 @@
         if let Some(EventKind::Call { first_byte, .. }) = history.0.last_mut().map(|e| &mut e.kind) {
             *first_byte = 40 * MS;
         }
-        history.accepted(10, "a", Effect::Keyed, 1_000).rules()
+        history.accepted(10, "a", Effect::Keyed, 1_000).violated_rules()
     };
     assert_eq!((rules_if_cancelled_at(45), rules_if_cancelled_at(60)), (vec![], vec![Rule::AtOnce]));
 }
@@ -188,10 +194,13 @@
         let accepts = |accepts| EventKind::Told { sender: 0, endpoint: 3, accepts_calls: accepts };
         History::new().at(1, accepts(true)).at(100, accepts(false)).accepted(10, "a", Effect::Keyed, 9_000)
     };
-    assert_eq!(drain_notified().call(1_155, 1, 3, "a").answered(1_160, 1, 200).rules(), []);
-    assert_eq!(drain_notified().call(1_156, 1, 3, "a").answered(1_160, 1, 200).rules(), [Rule::Drain]);
+    assert_eq!(drain_notified().call(1_155, 1, 3, "a").answered(1_160, 1, 200).violated_rules(), []);
+    assert_eq!(
+        drain_notified().call(1_156, 1, 3, "a").answered(1_160, 1, 200).violated_rules(),
+        [Rule::Drain]
+    );
     assert_eq!(
-        drain_notified().call(1_156, 1, 4, "a").answered(1_160, 1, 200).rules(),
+        drain_notified().call(1_156, 1, 4, "a").answered(1_160, 1, 200).violated_rules(),
         [],
         "another endpoint"
     );
@@ -211,13 +220,13 @@
             .call(2_500, 3, 3, "a")
             .answered(2_510, 3, 200)
     };
-    assert_eq!(calls_at(135).rules(), [], "the response may still be on its way");
-    assert_eq!(calls_at(136).rules(), [Rule::Wait]);
-    assert_eq!(calls_at(1_984).rules(), [Rule::Wait]);
-    assert_eq!(calls_at(1_985).rules(), [], "50 ms before the end of the wait");
+    assert_eq!(calls_at(135).violated_rules(), [], "the response may still be on its way");
+    assert_eq!(calls_at(136).violated_rules(), [Rule::Wait]);
+    assert_eq!(calls_at(1_984).violated_rules(), [Rule::Wait]);
+    assert_eq!(calls_at(1_985).violated_rules(), [], "50 ms before the end of the wait");
     let rules_of_calls_after = |history: History| {
         let again = history.call(500, 2, 4, "b").answered(505, 2, 200);
-        again.call(2_500, 3, 3, "a").answered(2_510, 3, 200).rules()
+        again.call(2_500, 3, 3, "a").answered(2_510, 3, 200).violated_rules()
     };
     let restarted =
         |history: History| history.at(60, EventKind::Ended { sender: 0 }).at(70, EventKind::Up { sender: 0 });
@@ -257,9 +266,10 @@
                 dest: 7,
                 lifetime: 9_000 * MS,
             };
-            history = history.at(1_005, submission).call_of(sender, 1_010, i, 3, &id).answered(1_020, i, 200);
+            history =
+                history.at(1_005, submission).call_from(sender, 1_010, i, 3, &id).answered(1_020, i, 200);
         }
-        history.rules()
+        history.violated_rules()
     };
     assert_eq!(rules_of_recovery(&[(0, 15)]), []);
     assert_eq!(rules_of_recovery(&[(0, 16)]), [Rule::Pushed]);
@@ -291,12 +301,15 @@
 /// Endpoints 3 and 5 of the histories are at one site, endpoint 4 at another.
 #[test]
 fn a_repeat_is_allowed_only_where_its_key_is_known() {
-    let rules_of_retry = |endpoint: usize, first: u16| {
-        let first =
-            History::new().accepted(10, "a", Effect::Keyed, 9_000).call(20, 1, 3, "a").answered(30, 1, first);
+    let rules_of_retry = |endpoint: usize, first_status: u16| {
+        let first = History::new().accepted(10, "a", Effect::Keyed, 9_000).call(20, 1, 3, "a").answered(
+            30,
+            1,
+            first_status,
+        );
         move |dedup_scope| {
             let second = History(first.0.clone()).call(50, 2, endpoint, "a").answered(60, 2, 200);
-            second.rules_with_scope(dedup_scope)
+            second.violated_rules_with_scope(dedup_scope)
         }
     };
     let possibly_executed = 500;
@@ -313,7 +326,7 @@
     // A returned message may be submitted again and reach endpoints that do not know its key.
     let returned = |dedup_scope| {
         let history = History::new().accepted(10, "a", Effect::Keyed, 1_000).call(20, 1, 3, "a");
-        history.answered(30, 1, 500).notice(900, "a", true).rules_with_scope(dedup_scope)
+        history.answered(30, 1, 500).notice(900, "a", true).violated_rules_with_scope(dedup_scope)
     };
     assert_eq!(returned(DedupScope::Everywhere), []);
     assert_eq!(returned(DedupScope::InTheRoom), [Rule::Twice]);
@@ -337,7 +350,7 @@
             EventKind::Over { call: 1, end: CallEnd::Answered { status: 429, retry_after: 1_000 * MS } };
         let history =
             History::new().accepted(10, "a", Effect::Safe, 5_000).at(20, call(1, 20, 3, "a")).at(30, wait);
-        history.at(500, call(2, 500, endpoint, "a")).answered(510, 2, 200).rules()
+        history.at(500, call(2, 500, endpoint, "a")).answered(510, 2, 200).violated_rules()
     };
     assert_eq!(rules_of_call_to(3), [Rule::Wait]);
     assert_eq!(rules_of_call_to(4), []);
@@ -361,14 +374,14 @@
         for n in called..recovered {
             history = history.notice(1_000 + n, &id(n), returned);
         }
-        history.rules()
+        history.violated_rules()
     };
     let rules_of_safe_restart =
         |called, recovered, lifetime_ms| rules_of_restart(Effect::Safe, true, called, recovered, lifetime_ms);
     assert_eq!(rules_of_safe_restart(3, 6, 5_000), []);
     assert_eq!(rules_of_safe_restart(2, 6, 5_000), [Rule::Untried]);
-    assert_eq!(rules_of_safe_restart(0, 3, 5_000), [], "too few messages to judge by");
-    assert_eq!(rules_of_safe_restart(0, 6, 600), [], "they had expired when it started");
+    assert_eq!(rules_of_safe_restart(0, 3, 5_000), [], "too few messages for the rule to be evaluated");
+    assert_eq!(rules_of_safe_restart(0, 6, 600), [], "they had expired when the next process started");
     assert_eq!(rules_of_restart(Effect::Unsafe, true, 0, 6, 5_000), [Rule::Untried]);
     assert_eq!(rules_of_restart(Effect::Keyed, false, 0, 6, 5_000), [Rule::Untried]);
     assert_eq!(
--- a/crates/proof/nickelshed-model/src/destination.rs
+++ b/crates/proof/nickelshed-model/src/destination.rs
@@ -6,16 +6,18 @@
 use rand_distr::{Distribution, LogNormal};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Capacity at the start of slow start, as a fraction of the full capacity. The constants of slow start and
-/// overload have the values that the delivery rules state.
+// The constants of slow start and overload have the values that the delivery rules state.
+/// Capacity at the start of slow start, as a fraction of the full capacity.
 pub const START_CAPACITY: f64 = 0.26;
+/// Time in which the capacity rises linearly to the full capacity after a recovery.
 pub const SLOW_START_DURATION: Us = 9_500_000;
+/// A destination in slow start is allowed this multiple of its current capacity over `OVERLOAD_WINDOW`.
 const OVERLOAD_MULTIPLE: f64 = 1.5;
 const OVERLOAD_WINDOW: Us = 2_000_000;
 
-/// Work within the overload window above which a destination in slow start collapses, for an `allowed` amount
-/// of work. The margin above `allowed` is twice the standard deviation of a Poisson-distributed sum, plus
-/// two, so that random bunching of arrivals alone rarely causes a collapse.
+/// Returns the amount of work within the overload window above which a destination in slow start collapses,
+/// if it is allowed the amount `allowed`. The margin above `allowed` is twice the standard deviation of a
+/// Poisson-distributed sum, plus two, so that random bunching of arrivals alone rarely causes a collapse.
 pub fn collapse_threshold(allowed: f64) -> f64 {
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
@@ -30,11 +32,11 @@
     pub key: Option<String>,
 }
 
-/// Result of a call and of its messages, in their order.
+/// Result of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallResult {
-    /// For each message, when it completes and whether it takes effect (false for a dropped repeat); None if
-    /// it is not executed.
+    /// For each message in the order of the call, when it completes and whether it takes effect (false for a
+    /// dropped repeat); None if it is not executed.
     pub executions: Vec<Option<(Us, bool)>>,
     pub outcome: CallOutcome,
 }
@@ -62,6 +64,7 @@
 struct Route {
     /// Calls per second that it accepts; 0 for no limit.
     limit: f64,
+    /// Calls that it accepts at once, as of `refilled_at`.
     tokens: f64,
     refilled_at: Us,
     outage: Option<FaultKind>,
@@ -75,9 +78,11 @@
     loss_probability: f64,
     /// Divisor of the limit.
     limit_divisor: f64,
+    /// End of the last outage; None before the first.
     recovered_at: Option<Us>,
     /// Time and cost of the calls since the recovery, within the overload window.
     recent_work: VecDeque<(Us, f64)>,
+    /// Whether it was overloaded in slow start. It then answers no call until the end of the run.
     has_collapsed: bool,
 }
 
@@ -111,8 +116,9 @@
         }
     }
 
-    /// Records the cost of a call; the route collapses if a route in slow start with full capacity `capacity`
-    /// gets more than it can serve.
+    /// Records the cost of a call to a route in slow start. The route collapses if the cost of its calls
+    /// within the overload window exceeds the collapse threshold. `capacity` is its full capacity in messages
+    /// per second.
     fn record_work(&mut self, now: Us, work: f64, capacity: f64) {
         let Some(since) = self.recovered_at.filter(|t| now < t + SLOW_START_DURATION) else { return };
         self.recent_work.push_back((now, work));
@@ -140,6 +146,7 @@
         self.limit / self.limit_divisor
     }
 
+    /// Takes the token for a call. Returns false if the call is above the limit.
     fn take_token(&mut self, now: Us) -> bool {
         if self.limit == 0.0 {
             return true;
@@ -160,7 +167,8 @@
     endpoints: BTreeMap<usize, Endpoint>,
     /// By endpoint if endpoints are separate routes; otherwise a single entry under None.
     routes: BTreeMap<Option<usize>, Route>,
-    /// Time at which each key was first executed, by dedup domain and key.
+    /// Arrival time of the call that last executed each key, by dedup domain and key. The dedup domain is 0,
+    /// the site or the endpoint, according to the dedup scope.
     executed_keys: BTreeMap<(usize, String), Us>,
 }
 
@@ -258,8 +266,8 @@
         }
     }
 
-    /// Load report in the responses of an endpoint with a limit: the remaining fraction of the limit, and the
-    /// limit in calls per second.
+    /// Returns the load report that the responses of an endpoint carry: the remaining fraction of its limit,
+    /// and the limit in calls per second. None if the endpoint has no limit or has been removed.
     pub fn load_report(&mut self, now: Us, endpoint: usize) -> Option<(f64, f64)> {
         let route_id = self.route_of(endpoint);
         let route = self.routes.get_mut(&route_id)?;
@@ -268,6 +276,7 @@
         (limit > 0.0).then(|| ((route.tokens / limit.max(1.0)).clamp(0.0, 1.0), limit))
     }
 
+    /// Whether the route of an endpoint has collapsed under overload in slow start.
     pub fn has_collapsed(&self, endpoint: usize) -> bool {
         self.routes.get(&self.route_of(endpoint)).is_some_and(|r| r.has_collapsed)
     }
@@ -431,7 +440,7 @@
     }
 
     #[test]
-    fn a_repeat_is_dropped_within_the_window_and_runs_after_it() {
+    fn a_repeat_is_dropped_within_the_dedup_window_and_executed_after_it() {
         let mut destination = destination(&Scenario { limit_multiple: 0.0, ..Scenario::default() });
         let mut random = crate::random_stream(1, 1);
         assert!(destination.handle_call(0, 0, &[call("a")], &mut random).executions[0].unwrap().1);
@@ -485,8 +494,8 @@
     }
 
     #[test]
-    fn a_repeat_is_known_only_where_the_scope_says() {
-        let runs_again = |scope, first: usize, second: usize| {
+    fn a_repeat_is_dropped_only_within_its_dedup_scope() {
+        let executes_again = |scope, first: usize, second: usize| {
             let scenario =
                 Scenario { limit_multiple: 0.0, dedup_scope: scope, sites: 2, ..Scenario::default() };
             let mut destination = SimulatedDestination::new(&scenario, 10.0);
@@ -495,9 +504,9 @@
             destination.handle_call(0, first, &[call("a")], &mut random);
             destination.handle_call(10, second, &[call("a")], &mut random).executions[0].unwrap().1
         };
-        assert!(!runs_again(Scope::Destination, 0, 1));
-        assert!(runs_again(Scope::Zone, 0, 1) && !runs_again(Scope::Zone, 0, 2));
-        assert!(runs_again(Scope::Endpoint, 0, 2) && !runs_again(Scope::Endpoint, 1, 1));
+        assert!(!executes_again(Scope::Destination, 0, 1));
+        assert!(executes_again(Scope::Zone, 0, 1) && !executes_again(Scope::Zone, 0, 2));
+        assert!(executes_again(Scope::Endpoint, 0, 2) && !executes_again(Scope::Endpoint, 1, 1));
     }
 
     #[test]
--- a/crates/proof/nickelshed-model/src/lib.rs
+++ b/crates/proof/nickelshed-model/src/lib.rs
@@ -1,6 +1,6 @@
-//! Simulated destinations, the clients that submit messages, and their traffic, as pure state: limits,
-//! queues, outages and slow starts. The caller passes in the time; random numbers come from seeded streams.
-//! Does no I/O.
+//! The model of a run: scenarios, the messages that clients submit, and simulated destinations with their
+//! limits, queues, outages and slow starts. Does no I/O; the caller passes in the time, and random numbers
+//! come from seeded streams.
 mod destination;
 mod oracle;
 mod random_scenario;
@@ -18,6 +18,7 @@
 
 /// Microseconds since the start of the run.
 pub type Us = u64;
+/// Random generator of the model; seeded by [`random_stream`].
 pub type Random = ChaCha12Rng;
 
 /// Returns random stream `number` of a seed. Each part of a run draws from a stream of its own, so that the
--- a/crates/proof/nickelshed-model/src/oracle.rs
+++ b/crates/proof/nickelshed-model/src/oracle.rs
@@ -8,7 +8,7 @@
 use crate::traffic::{arrivals, traffic_shares, Arrival};
 use crate::Us;
 
-/// Faults that affect one destination.
+/// The scenario's faults as they affect one destination.
 struct FaultTimeline<'a> {
     scenario: &'a Scenario,
     dest: u64,
@@ -28,7 +28,7 @@
         self.active_faults(at).filter(|fault| fault.kind.is_outage()).map(|fault| fault.end()).max()
     }
 
-    /// Capacity at a time outside outages, as a fraction of the full capacity.
+    /// Capacity at a time at which there is no outage, as a fraction of the full capacity.
     fn capacity_fraction(&self, at: Us) -> f64 {
         let service_time_factor: f64 = self
             .active_faults(at)
@@ -87,7 +87,7 @@
             queue.retain(|a| delivered_at <= a.at + classes[a.class].1);
             let urgency = |a: &&Arrival| {
                 let target = a.at + classes[a.class].0;
-                // Messages in time sort by their target, late ones by their age.
+                // Messages in time sort by their target, late ones by their age with the youngest first.
                 (
                     delivered_at > target,
                     if delivered_at > target { Us::MAX - a.at } else { target },
@@ -140,8 +140,8 @@
             messages.iter().filter_map(|a| Some(a.at + latencies[a.message as usize]?)).collect();
         let service = 20_000 + 160_000;
         assert!(delivered_at.iter().all(|t| !(2_000_000 + service..8_000_000 + service).contains(t)));
-        // The four destinations together have 1.5 times the message rate, and about a quarter of that in the
-        // first second after the outage.
+        // The full capacity of the four destinations together is 1.5 times the message rate. In the first
+        // second after the outage they have about a quarter of it.
         let first_second = delivered_at.iter().filter(|t| (8_000_000..9_000_000).contains(*t)).count();
         assert!(first_second <= 30, "{first_second}");
         assert!(latencies.iter().any(Option::is_none) || latencies.iter().flatten().any(|t| *t > 3_000_000));
--- a/crates/proof/nickelshed-model/src/random_scenario.rs
+++ b/crates/proof/nickelshed-model/src/random_scenario.rs
@@ -1,4 +1,5 @@
-//! Random scenarios over the whole parameter space, to find failures that no hand-written scenario covers.
+//! Draws random scenarios from the whole parameter space, to find failures that no hand-written scenario
+//! covers.
 use crate::scenario::{FaultKind, InjectedFault, Scenario, TrafficClass};
 use crate::{random_stream, Random};
 use nickelshed_config::sidecar::{Effect, Scope};
@@ -13,7 +14,7 @@
     Period::ms(random.random_range(min..=max))
 }
 
-/// Scenario of a seed.
+/// Returns the random scenario of a seed.
 pub fn random_scenario(seed: u64) -> Scenario {
     let random = &mut random_stream(seed, 0);
     let length_ms = random.random_range(8_000..=30_000u64);
@@ -93,11 +94,11 @@
     scenario
 }
 
-/// Main fault of a large fleet, chosen by the seed modulo the number of entries.
+/// Main faults of large scenarios. The seed modulo their number selects one.
 const LARGE_FLEET_FAULTS: [&str; 6] = ["herd", "region", "split", "lowered", "lossy", "roll"];
 
-/// Scenario of a seed with 60 to 300 senders that share no state: one large fault that affects many of them,
-/// and one more of a random kind.
+/// Returns the random large scenario of a seed: 60 to 300 senders that share no state, one large fault that
+/// affects many of them, and one more of a random kind.
 pub fn random_large_scenario(seed: u64) -> Scenario {
     let random = &mut random_stream(seed, 6);
     let length_ms = random.random_range(9_000..=15_000u64);
--- a/crates/proof/nickelshed-model/src/scenario.rs
+++ b/crates/proof/nickelshed-model/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Description of a run, read from a TOML file.
+//! The description of a run, read from a TOML file.
 use crate::Us;
 use nickelshed_config::sidecar::{Effect, Scope};
 use nickelshed_config::units::{Percent, Period};
@@ -23,7 +23,8 @@
     /// How often a client submits a refused message again.
     #[serde(rename = "retries")]
     pub client_retries: u32,
-    /// Whether messages may take effect twice, and whether destinations drop repeats by key.
+    /// Whether messages may take effect twice, and whether they have a key by which destinations drop
+    /// repeats.
     pub effect: Effect,
     /// Target latency of a message.
     pub wanted_within: Period,
@@ -70,8 +71,8 @@
     pub service_time_sigma: f64,
     /// Calls that an endpoint serves concurrently.
     pub servers: u32,
-    /// Calls that may queue at an endpoint, estimated as its backlog divided by the median service time;
-    /// above that, calls are answered 503.
+    /// Calls that may wait for a server at an endpoint; above that, calls are answered 503. The number of
+    /// waiting calls is estimated as the endpoint's backlog divided by the median service time.
     #[serde(rename = "queue")]
     pub queue_capacity: u32,
     /// Rate limit of a destination as a multiple of its share of the traffic; 0 for no limit. Above it, the
@@ -197,6 +198,7 @@
     2.0
 }
 
+/// Kind of an injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
@@ -316,7 +318,7 @@
 }
 
 impl Scenario {
-    /// Returns the classes by number; a single default class if the scenario has none.
+    /// Returns the classes by number; a single class `alert` if the scenario has none.
     pub fn traffic_classes(&self) -> Vec<TrafficClass> {
         if !self.classes.is_empty() {
             return self.classes.clone();
@@ -331,7 +333,7 @@
         }]
     }
 
-    /// Longest time until a message of any class expires.
+    /// Returns the longest time after which a message of any class expires.
     pub fn max_message_lifetime(&self) -> std::time::Duration {
         self.traffic_classes()
             .iter()
@@ -340,12 +342,12 @@
             .unwrap_or(self.abandoned_after.0)
     }
 
-    /// Site of the endpoint or sender with this number.
+    /// Returns the site of the endpoint or sender with this number.
     pub fn site_of(&self, number: usize) -> usize {
         number % self.sites.max(1) as usize
     }
 
-    /// Checks that all values are in their ranges.
+    /// Checks that the numeric values are in their ranges.
     ///
     /// # Errors
     /// Returns a message that names the first key whose value is out of range.
--- a/crates/proof/nickelshed-model/src/traffic.rs
+++ b/crates/proof/nickelshed-model/src/traffic.rs
@@ -1,53 +1,60 @@
-//! Traffic that clients submit, with clumps and bursts. It is drawn in advance, so that it does not depend on
-//! the responses.
+//! The messages that clients submit, with clumps and bursts. They are drawn before the run, so that they do
+//! not depend on the responses.
 use crate::scenario::{FaultKind, Scenario};
 use crate::{random_stream, Us};
 use rand::RngExt;
 
+/// The first submission of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
     pub at: Us,
+    /// Number of the message, in the order of arrival from 0.
     pub message: u64,
+    /// Index of the sender that the message is submitted to.
     pub sender: usize,
-    /// Numbered from 1.
+    /// Number of the destination, from 1.
     pub dest: u64,
     /// Index into `Scenario::traffic_classes`.
     pub class: usize,
 }
 
-/// Fraction of the traffic that each destination gets, the largest first. The fractions add up to 1.
+/// Returns the fraction of the traffic that each destination gets, the largest first. The fractions add up to
+/// 1.
 pub fn traffic_shares(scenario: &Scenario) -> Vec<f64> {
     let weights: Vec<f64> = (1..=scenario.destinations).map(|i| f64::from(i).powf(-scenario.skew)).collect();
     let total: f64 = weights.iter().sum();
     weights.into_iter().map(|weight| weight / total).collect()
 }
 
-/// All messages of a run in the order of their times.
+/// Returns all messages of a run in the order of their times.
 pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let mut random = random_stream(seed, 1);
     let shares = traffic_shares(scenario);
     let random_destination = |random: &mut crate::Random| {
         let mut remaining: f64 = random.random();
-        let at = shares.iter().position(|share| {
+        let index = shares.iter().position(|share| {
             remaining -= share;
             remaining < 0.0
         });
-        at.unwrap_or(shares.len() - 1) as u64 + 1
+        index.unwrap_or(shares.len() - 1) as u64 + 1
     };
     let end = scenario.length.0.as_micros() as Us;
     let mut messages: Vec<Arrival> = Vec::new();
     let mut now = 0.0f64;
     while (now as Us) < end {
-        let burst = scenario.faults.iter().filter(|t| t.kind == FaultKind::Burst);
-        let rate_factor: f64 =
-            burst.filter(|t| (t.start()..t.end()).contains(&(now as Us))).map(|t| t.magnitude).product();
-        // Clump messages come in addition to the single arrivals, so their fraction is taken off the rate.
+        let burst = scenario.faults.iter().filter(|fault| fault.kind == FaultKind::Burst);
+        let rate_factor: f64 = burst
+            .filter(|fault| (fault.start()..fault.end()).contains(&(now as Us)))
+            .map(|fault| fault.magnitude)
+            .product();
+        // Messages in clumps are added to the single arrivals, so the rate of single arrivals is lower by
+        // their fraction.
         let rate = (scenario.rate * rate_factor * (1.0 - scenario.clumps.0)).max(0.01);
         now += -(1.0 - random.random::<f64>()).ln() / rate * 1e6;
         let sender = random.random_range(0..scenario.senders as usize);
         let dest = random_destination(&mut random);
         messages.push(Arrival { at: now as Us, message: 0, sender, dest, class: 0 });
-        // A clump has about as many messages as its destination gets in two seconds on average.
+        // A clump has about as many messages as its destination gets in two seconds on average, 2 ms apart.
         let clump_size = (2.0 * scenario.rate * shares[dest as usize - 1]).max(2.0);
         let clump_probability = scenario.clumps.0 / (1.0 - scenario.clumps.0).max(0.01) / clump_size;
         if random.random::<f64>() < clump_probability {
--- a/crates/proof/nickelshed-rig/src/ground_truth.rs
+++ b/crates/proof/nickelshed-rig/src/ground_truth.rs
@@ -3,13 +3,14 @@
 use nickelshed_fleet::Ns;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Members that could reach one another for this long have no reason to declare each other failed.
+/// Members that could reach one another for this long must not declare each other failed.
 const STABLE_AFTER: Ns = 12_000_000_000;
 
 #[derive(Debug, Default)]
 pub struct GroundTruth {
     running: BTreeSet<usize>,
     stalled: BTreeSet<usize>,
+    /// Pairs of sender and recipient whose datagrams are lost.
     cuts: BTreeSet<(usize, usize)>,
     /// Lowest number among the members that each running member can reach, also through others.
     component: BTreeMap<usize, usize>,
@@ -56,8 +57,8 @@
         self.cuts.contains(&(from, to))
     }
 
-    /// Returns whether it receives from others that do not receive from it; it may then list them as present
-    /// or not.
+    /// Returns whether a member receives from others but has a two-way connection to none of them. It may
+    /// then list them as present or not.
     #[must_use]
     pub fn is_receive_only(&self, number: usize) -> bool {
         let is_alone = self
@@ -79,8 +80,8 @@
             .map(|(other, _)| *other)
     }
 
-    /// Returns whether both ran within reach of each other for so long that neither may declare the other
-    /// failed.
+    /// Returns whether both members have run and reached each other for at least `STABLE_AFTER`, so that
+    /// neither may declare the other failed.
     #[must_use]
     pub fn were_long_connected(&self, a: usize, b: usize, now: Ns) -> bool {
         let is_stable = |n: usize| self.stable_since.get(&n).is_some_and(|at| now - at >= STABLE_AFTER);
--- a/crates/proof/nickelshed-rig/src/lib.rs
+++ b/crates/proof/nickelshed-rig/src/lib.rs
@@ -1,6 +1,6 @@
 //! Fleets of several members under scripted faults. `script` defines the faults, `simulation` runs them in
-//! virtual time, `ground_truth` knows who can reach whom, which the views of the members are checked against,
-//! and `measure` computes tables over many runs. `relay` is put between processes of the delivered program.
+//! virtual time and checks the views of the members against `ground_truth`, which knows who can reach whom,
+//! and `measure` computes tables over many runs. `relay` injects faults between real sender processes.
 mod ground_truth;
 pub mod measure;
 pub mod relay;
--- a/crates/proof/nickelshed-rig/src/measure.rs
+++ b/crates/proof/nickelshed-rig/src/measure.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// What happens to a fleet that is running.
+/// What happens to a running fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     Join,
@@ -16,7 +16,8 @@
     NoFault,
 }
 
-/// Returns a script with one such event, at 20 s.
+/// Returns a script in which the event happens at 20 s. `loss` is the fraction of datagrams that is lost
+/// throughout.
 #[must_use]
 pub fn single_event_script(members: usize, loss: f64, event: Event, seed: u64, length: Period) -> Script {
     let fault = |kind, targets: Vec<usize>, duration| Fault {
@@ -40,18 +41,19 @@
     Script { seed, members, sites: 2, length, loss: Percent(loss), faults, ..Script::default() }
 }
 
-/// Seconds from the last event until all views were right; `None` if they never were.
+/// Returns the seconds from the last start or end of a fault until all views matched the ground truth; `None`
+/// if they did not before the end of the run.
 #[must_use]
 pub fn convergence_seconds(report: &RunReport) -> Option<f64> {
     report
         .convergence
         .last()
-        .and_then(|(_, seconds)| *seconds)
+        .and_then(|(_, duration)| *duration)
         .map(|duration| duration as f64 / SECOND as f64)
 }
 
-/// Simulates a script for each of this many seeds, with `jobs` threads. Returns the reports in the order of
-/// the seeds.
+/// Simulates the scripts of the seeds from 1 to `seeds` on `jobs` threads. Returns the reports in the order
+/// of the seeds.
 pub fn simulate_seeds(seeds: u64, jobs: usize, script_for: impl Fn(u64) -> Script + Sync) -> Vec<RunReport> {
     let (next, reports) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
@@ -71,7 +73,7 @@
     reports.into_iter().map(|(_, report)| report).collect()
 }
 
-/// Returns the value below which the fraction `q` of the values lies; NaN if there are none.
+/// Returns the quantile `q`, from 0 to 1, of ascending values; NaN if there are none.
 #[must_use]
 pub fn quantile(sorted: &[f64], q: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
--- a/crates/proof/nickelshed-rig/src/relay.rs
+++ b/crates/proof/nickelshed-rig/src/relay.rs
@@ -18,6 +18,7 @@
 }
 
 struct Shared {
+    /// Sockets of the relay, one for each member.
     sockets: Vec<UdpSocket>,
     /// Addresses at which the members themselves listen.
     member_addresses: Vec<SocketAddr>,
@@ -63,7 +64,7 @@
         self.shared.member_addresses[number]
     }
 
-    /// Address at which other members reach it.
+    /// Address at which other members reach a member.
     ///
     /// # Panics
     /// Panics if the socket has no address.
@@ -90,6 +91,7 @@
         });
     }
 
+    /// Ends all cuts.
     pub fn heal(&self) {
         self.with_faults(|faults| faults.cut_links.clear());
     }
@@ -107,7 +109,8 @@
 }
 
 impl Shared {
-    /// Relays what arrives for one member, from the socket that stands for its sender.
+    /// Relays the datagrams for one member, each through the relay socket of its sender, so that the receiver
+    /// sees the address at which it reaches the sender.
     fn relay_datagrams(&self, receiver: usize) {
         let mut buffer = [0; 2_048];
         while !self.is_stopping.load(Ordering::Relaxed) {
@@ -118,14 +121,14 @@
                 self.relay_from_outside(receiver, source, &buffer[..length]);
                 continue;
             };
-            let (is_cut, copies) = {
+            let (is_dropped, copies) = {
                 let faults = self.faults.lock().expect("no thread panics while it holds the lock");
                 let sequence = self.received.load(Ordering::Relaxed).wrapping_mul(61);
                 let is_lost = sequence % 100 < faults.lost_percent;
                 (faults.cut_links.contains(&(sender, receiver)) || is_lost, 1 + usize::from(faults.duplicate))
             };
             self.received.fetch_add(1, Ordering::Relaxed);
-            for _ in 0..if is_cut { 0 } else { copies } {
+            for _ in 0..if is_dropped { 0 } else { copies } {
                 let _ = self.sockets[sender].send_to(&buffer[..length], self.member_addresses[receiver]);
             }
         }
@@ -133,7 +136,8 @@
 }
 
 impl Shared {
-    /// Relays a request from outside the fleet. The answer goes back from the socket that was asked.
+    /// Relays a request from outside the fleet. The answer goes back from the relay socket that received the
+    /// request.
     fn relay_from_outside(&self, receiver: usize, source: SocketAddr, bytes: &[u8]) {
         let (Ok(relay_socket), Ok(socket)) =
             (self.sockets[receiver].try_clone(), UdpSocket::bind("127.0.0.1:0"))
--- a/crates/proof/nickelshed-rig/src/script.rs
+++ b/crates/proof/nickelshed-rig/src/script.rs
@@ -16,8 +16,8 @@
     pub sites: usize,
     /// Number of members that all others use as seeds: the first ones.
     pub seeds: usize,
-    /// Shortest and longest latency of one direction, drawn for each datagram, so that datagrams overtake one
-    /// another.
+    /// Shortest and longest one-way latency. The latency of each datagram is drawn between them, so that
+    /// datagrams overtake one another.
     pub latency: [Period; 2],
     /// Fraction of datagrams that is lost.
     #[serde(rename = "lost")]
@@ -45,13 +45,14 @@
     }
 }
 
+/// A fault to inject: its kind, its time, the members that it affects and its extent.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     pub kind: FaultKind,
     #[serde(rename = "at")]
     pub start: Period,
-    /// Zero: until the end of the run.
+    /// How long the fault lasts; zero: until the end of the run.
     #[serde(default, rename = "lasts")]
     pub duration: Period,
     /// Members that the fault affects.
@@ -66,7 +67,7 @@
     /// For `lossy`: fraction of datagrams that is lost.
     #[serde(default, rename = "part")]
     pub loss: Percent,
-    /// For `slow`: greatest delay that is added.
+    /// For `slow`: maximum delay that is added to the latency of a datagram.
     #[serde(default, rename = "by")]
     pub extra_delay: Period,
     /// For `kill`: the state folder is lost too.
@@ -83,13 +84,13 @@
     Lossy,
     /// Datagrams to and from the members are delayed by up to `extra_delay` more.
     Slow,
-    /// The processes are stalled.
+    /// The processes are suspended, as by SIGSTOP.
     Stop,
     /// The processes are killed; they start again at the end of the fault, if it ends.
     Kill,
     /// The processes leave on purpose; they start again at the end of the fault, if it ends.
     Leave,
-    /// The members start only now; without this fault a member starts at the beginning.
+    /// The members start only at the time of the fault; all others start at the beginning of the run.
     Join,
     /// A second process starts under the name of each member, at another address.
     Double,
@@ -158,6 +159,7 @@
         Ok(script)
     }
 
+    /// Returns the site of a member.
     #[must_use]
     pub fn site(&self, member: usize) -> usize {
         member * self.sites.max(1) / self.members.max(1)
--- a/crates/proof/nickelshed-rig/src/simulation.rs
+++ b/crates/proof/nickelshed-rig/src/simulation.rs
@@ -10,10 +10,10 @@
 
 pub const MS: Ns = 1_000_000;
 pub const SECOND: Ns = 1_000 * MS;
-/// What each member may send.
+/// Limit on what each member sends.
 pub const RATE_BYTES_PER_S: u32 = 8_192;
-/// Datagrams that wait in the socket of a stalled process, at most.
-const SOCKET_BUFFER: usize = 400;
+/// Maximum number of datagrams queued at the socket of a stalled process. Further ones are dropped.
+const MAX_SOCKET_QUEUE: usize = 400;
 /// How often all views are checked.
 const CHECK_INTERVAL: Ns = 50 * MS;
 
@@ -26,13 +26,16 @@
     persisted_start: u32,
     fleet: Option<Fleet>,
     quota: LimitQuota,
+    /// Fraction of each limit that the member may use, from its quota; 0 while it does not run.
     share: f64,
     stalled_until: Ns,
     socket_queue: Vec<(SocketAddr, Vec<u8>)>,
+    /// Time of its next timer; `Ns::MAX` if none is scheduled.
     timer_at: Ns,
     /// Counters of its processes that have ended.
     past_counts: Counts,
     running_since: Ns,
+    /// Total time for which its processes ran.
     run_time: Ns,
 }
 
@@ -53,8 +56,7 @@
     pub observer: usize,
     pub subject: String,
     pub change: Change,
-    /// Whether the other member had been running and reachable for some seconds, so that a declared failure
-    /// is false.
+    /// Whether both members had been running and connected for 12 s, so that a declared failure is false.
     pub is_false: bool,
 }
 
@@ -62,8 +64,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct RunReport {
     pub observations: Vec<Observation>,
-    /// For each time at which a fault began or ended: how long until all views were right; `None` if that was
-    /// not before the next one.
+    /// For the start of the run and each time at which a fault began or ended: how long until all views
+    /// matched the ground truth; `None` if they did not before the next such time.
     pub convergence: Vec<(Ns, Option<Ns>)>,
     /// Greatest sum of the shares of the running members, and when.
     pub max_total_share: (f64, Ns),
@@ -72,10 +74,12 @@
     /// What each member sent per second while it ran.
     pub datagrams_per_s: Vec<f64>,
     pub bytes_per_s: Vec<f64>,
+    /// Datagrams that members received and dropped as invalid or not of their fleet.
     pub dropped: u64,
     pub name_conflicts: usize,
+    /// Failures that members declared, false ones included.
     pub failures_declared: u64,
-    /// What is still wrong at the end, as a message.
+    /// The first view that does not match the ground truth at the end, as a message; `None` if all match.
     pub final_mismatch: Option<String>,
 }
 
@@ -83,7 +87,10 @@
     /// Number of times that a running, reachable member was declared failed.
     #[must_use]
     pub fn false_failures(&self) -> usize {
-        self.observations.iter().filter(|s| s.change == Change::Gone && s.is_false).count()
+        self.observations
+            .iter()
+            .filter(|observation| observation.change == Change::Gone && observation.is_false)
+            .count()
     }
 }
 
@@ -91,7 +98,9 @@
     script: &'a Script,
     random: Random,
     now: Ns,
+    /// Events of the same time happen in the order in which they were scheduled.
     next_tie_break: u64,
+    /// Time, tie break and key of each scheduled event.
     queue: BinaryHeap<Reverse<(Ns, u64, usize)>>,
     pending_events: BTreeMap<usize, SimEvent>,
     next_event_key: usize,
@@ -99,9 +108,10 @@
     member_at: BTreeMap<SocketAddr, usize>,
     ground_truth: GroundTruth,
     report: RunReport,
-    /// Time of the last start or end of a fault, while the views are not all right since; `None` once they
-    /// are.
+    /// Time of the last start or end of a fault, if the views have not all matched the ground truth since;
+    /// `None` once they have.
     unconverged_since: Option<Ns>,
+    /// Fraction of each limit that no member uses.
     headroom: f64,
 }
 
@@ -232,7 +242,7 @@
             random_seed,
         };
         member.fleet = Some(Fleet::new(config, self.now));
-        // The settings of a deployment name the planned number of senders.
+        // As in a deployment, the settings give the planned number of senders.
         member.quota = LimitQuota::new(self.script.members, self.now);
         member.share = 1.0 / member.quota.sender_count();
         (member.stalled_until, member.running_since) = (0, self.now);
@@ -248,6 +258,7 @@
         self.ground_truth.end(number, self.now);
     }
 
+    /// Adds the counters of a member's current process to those of its past ones.
     fn collect_counts(&mut self, number: usize) {
         let now = self.now;
         let member = &mut self.members[number];
@@ -280,7 +291,7 @@
                 let Some(&number) = self.member_at.get(&to) else { return };
                 let member = &mut self.members[number];
                 if member.stalled_until > self.now {
-                    if member.socket_queue.len() < SOCKET_BUFFER {
+                    if member.socket_queue.len() < MAX_SOCKET_QUEUE {
                         member.socket_queue.push((from, bytes));
                     }
                     return;
@@ -300,8 +311,8 @@
                 }
                 let socket_queue = std::mem::take(&mut member.socket_queue);
                 self.ground_truth.resume(number, self.now);
-                // Its timers are due and its socket is full; which of them comes first depends on the
-                // runtime.
+                // Its timers are due and datagrams are queued at its socket. Which of them a real process
+                // handles first depends on its runtime; here it is the timer.
                 self.deliver(number, Input::Timer);
                 for (from, bytes) in socket_queue {
                     self.deliver(number, Input::Datagram { from, bytes: &bytes });
@@ -394,7 +405,7 @@
         self.update_cuts();
     }
 
-    /// Updates in the ground truth who can reach whom.
+    /// Updates in the ground truth which members can reach one another.
     fn update_cuts(&mut self) {
         let all = self.members.len();
         let faults: Vec<&Fault> =
@@ -488,7 +499,7 @@
                 }
                 Output::NameConflict { .. } => {
                     self.report.name_conflicts += 1;
-                    // An operator stops it, so it sends nothing any more.
+                    // An operator would stop this process, so it sends nothing from now on.
                     self.stop_process(number);
                 }
                 Output::Stalled { .. } => view_changed = true,
@@ -540,7 +551,7 @@
         }
     }
 
-    /// Checks whether all views are right, and sums up the shares.
+    /// Checks whether all views match the ground truth, and sums up the shares.
     fn check(&mut self) {
         if self.now % SECOND < CHECK_INTERVAL {
             for number in 0..self.members.len() {
@@ -570,7 +581,7 @@
         }
     }
 
-    /// Returns the first view that does not list exactly the members that it should.
+    /// Describes the first view that does not list exactly the members that its owner can reach.
     fn find_mismatch(&self) -> Option<String> {
         for (number, member) in self.members.iter().enumerate() {
             let Some(fleet) = &member.fleet else { continue };
--- a/crates/proof/nickelshed-rig/tests/scripts.rs
+++ b/crates/proof/nickelshed-rig/tests/scripts.rs
@@ -15,7 +15,8 @@
     (script, report)
 }
 
-/// Simulates a script with a few seeds. Checks what holds for all scripts here and the rest by `check`.
+/// Simulates a script with a few seeds. Checks that the views converge and that the shares stay within their
+/// bound, and runs `check` for what is particular to the script.
 fn run_seeds(name: &str, check: impl Fn(&Script, &RunReport)) {
     for seed in 1..=3 {
         let (script, report) = run(name, seed);
@@ -39,7 +40,8 @@
     assert_eq!(report.false_failures(), 0);
 }
 
-/// Checks that from this second on the shares of all running members add up to a sum within these bounds.
+/// Checks that the sum of the shares of all running members is within these bounds at every second from
+/// `from_second` on.
 fn assert_total_share(report: &RunReport, from_second: usize, min: f64, max: f64) {
     for (at, sum) in report.total_shares.iter().enumerate().skip(from_second) {
         assert!((min..=max).contains(sum), "shares add up to {sum} at {at} s");
@@ -108,8 +110,8 @@
 #[test]
 fn stalled_members_declare_no_failure() {
     run_seeds("stopped", |_, report| {
-        // A stall of 1 s is too short for a failure to be declared, stalls of 5 s and 30 s are long enough;
-        // the stalled members themselves declare none.
+        // A stall of 1 s is too short for a failure to be declared. Stalls of 5 s and 30 s, the first of
+        // which begins at 25 s, are long enough. The stalled members themselves declare no failure.
         assert!(report
             .observations
             .iter()
