--- a/crates/proof/nickelshed-lab/src/explore.rs
+++ b/crates/proof/nickelshed-lab/src/explore.rs
@@ -8,7 +8,7 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// The limit on runs while one failing case is minimized.
+/// Maximum number of runs while one failing case is minimized.
 const MAX_MINIMIZATION_RUNS: usize = 300;
 
 /// The kind of a failure. It has no details, so that a smaller scenario can show the same failure.
@@ -19,6 +19,7 @@
 }
 
 impl Failure {
+    /// Returns the name of the rule in lower case, or `crash`.
     pub fn name(self) -> String {
         match self {
             Failure::Violation(rule) => format!("{rule:?}").to_lowercase(),
@@ -49,6 +50,7 @@
     pub scenario: Scenario,
 }
 
+/// The result of an exploration.
 #[derive(Clone, Debug, Default)]
 pub struct Exploration {
     pub runs: u64,
@@ -63,8 +65,9 @@
 pub type ScenarioGenerator = fn(u64) -> Scenario;
 
 /// Runs the scenarios of these seeds on `jobs` threads, until all have been run or `time_limit` has passed.
+/// Runs in progress at that time are completed.
 pub fn explore(
-    draw: ScenarioGenerator,
+    generate: ScenarioGenerator,
     seeds: std::ops::Range<u64>,
     jobs: usize,
     time_limit: Duration,
@@ -78,7 +81,7 @@
             return;
         }
         let run_started = Instant::now();
-        let Ok(run) = run_scenario(&draw(seed), seed) else { continue };
+        let Ok(run) = run_scenario(&generate(seed), seed) else { continue };
         let run_failures = failures(&run);
         let mut explored = shared.lock().unwrap_or_else(|e| e.into_inner());
         explored.runs += 1;
@@ -100,10 +103,10 @@
 
 impl Exploration {
     /// Minimizes the first failing case of each failure.
-    pub fn minimized(&self, draw: ScenarioGenerator) -> Vec<FailingCase> {
+    pub fn minimized(&self, generate: ScenarioGenerator) -> Vec<FailingCase> {
         let first_cases =
             self.failures.iter().filter_map(|(failure, cases)| Some((*failure, cases.first()?.0)));
-        first_cases.map(|(failure, seed)| minimize(failure, seed, draw(seed))).collect()
+        first_cases.map(|(failure, seed)| minimize(failure, seed, generate(seed))).collect()
     }
 }
 
--- a/crates/proof/nickelshed-lab/src/fake_servers.rs
+++ b/crates/proof/nickelshed-lab/src/fake_servers.rs
@@ -1,5 +1,5 @@
-//! Fake servers and clients around the senders: endpoints, discovery agents, which also receive the senders'
-//! notices, and clients.
+//! The fake servers and clients around the senders: endpoints, clients, and discovery agents, which also
+//! receive the senders' notices.
 use crate::http::{HttpConnection, HttpMessage};
 use crate::mutation::Mutation;
 use crate::network::{LabHost, LabListener, LabStream};
@@ -19,13 +19,14 @@
 
 /// Time after which a client disconnects if it has no answer. Impatient clients wait a tenth of it.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Delay before a client resubmits a message, unless the answer has a `Retry-After`.
+/// Delay before a client resubmits a message, if the answer has no `Retry-After`.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Delay before an impatient client resubmits a message, whatever the `Retry-After`.
 const IMPATIENT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const CORRUPTED_ANSWER: &str = "HTP/1 ??? \u{1}\u{2} nothing that can be read\r\n\r\n";
 
-/// Starts a new endpoint of a destination, at an address of its own or at that of the endpoint it replaces.
+/// Starts a new endpoint of a destination, at an address of its own or at that of the endpoint that it
+/// replaces. Returns its number and its listing.
 pub async fn open_endpoint(
     sim: &Rc<Simulation>,
     dest: u64,
@@ -34,11 +35,11 @@
     let number = sim.next_endpoint.get();
     sim.next_endpoint.set(number + 1);
     let ip = loopback_ip(2, number);
-    let address = replaced.map_or(SocketAddr::from((ip, 5000)), |old| old.address);
+    let address = replaced.map_or(SocketAddr::from((ip, 5000)), |replaced| replaced.address);
     sim.network.close_listener(address);
-    let site = replaced.map_or(sim.scenario.site_of(number), |old| old.site);
+    let site = replaced.map_or(sim.scenario.site_of(number), |replaced| replaced.site);
     sim.endpoint_sites.borrow_mut().insert(number, site);
-    sim.destinations[&dest].system.borrow_mut().add_endpoint(number, site);
+    sim.destinations[&dest].model.borrow_mut().add_endpoint(number, site);
     listen(sim, dest, number, address).await;
     (number, ListedEndpoint { name: format!("e-{number}"), address, dest, site, lifecycle: "Ready" })
 }
@@ -93,9 +94,10 @@
         let call_id = sim.next_call.get();
         sim.next_call.set(call_id + 1);
         let is_batch = request.start_line.get(1).is_some_and(|path| path.ends_with(":batch"));
-        let (calls, sender) = if is_batch { batch_messages(&request.body) } else { single_message(&request) };
-        let ids: Vec<String> = calls.iter().map(|c| c.id.clone()).collect();
-        let route = sim.destinations[&dest].system.borrow().route_of(endpoint);
+        let (messages, sender) =
+            if is_batch { batch_messages(&request.body) } else { single_message(&request) };
+        let ids: Vec<String> = messages.iter().map(|c| c.id.clone()).collect();
+        let route = sim.destinations[&dest].model.borrow().route_of(endpoint);
         sim.record(EventKind::Call {
             call: call_id,
             sender,
@@ -104,40 +106,40 @@
             route,
             site: sim.endpoint_sites.borrow().get(&endpoint).copied().unwrap_or(0),
             ids: ids.clone(),
-            work: SimulatedDestination::call_cost(calls.len()),
+            work: SimulatedDestination::call_cost(messages.len()),
             first_byte: sim.to_us(request.first_byte),
         });
-        let outcome = {
+        let call_result = {
             let mut random = sim.random.borrow_mut();
-            let mut system = sim.destinations[&dest].system.borrow_mut();
-            let had_collapsed = system.has_collapsed(endpoint);
-            let outcome = system.handle_call(sim.now(), endpoint, &calls, &mut random);
-            if system.has_collapsed(endpoint) && !had_collapsed {
+            let mut model = sim.destinations[&dest].model.borrow_mut();
+            let had_collapsed = model.has_collapsed(endpoint);
+            let call_result = model.handle_call(sim.now(), endpoint, &messages, &mut random);
+            if model.has_collapsed(endpoint) && !had_collapsed {
                 sim.record(EventKind::FellOver { dest, route });
             }
-            outcome
+            call_result
         };
-        for (id, ran) in ids.iter().zip(&outcome.executions) {
-            let Some((at, true)) = *ran else { continue };
+        for (id, execution) in ids.iter().zip(&call_result.executions) {
+            let Some((at, true)) = *execution else { continue };
             let (sim, id, message) = (sim.clone(), id.clone(), message_number(id));
             spawn_local(async move {
                 sleep_until(sim.to_instant(at)).await;
                 sim.record(EventKind::Ran { id, message });
             });
         }
-        let at = match outcome.outcome {
+        let ends_at = match call_result.outcome {
             CallOutcome::Answered { at, .. } | CallOutcome::Corrupted { at } | CallOutcome::Reset { at } => {
                 sim.to_instant(at)
             }
             CallOutcome::NoAnswer => Instant::now() + Duration::from_secs(3_600),
         };
-        // A sender that has closed the connection has cancelled the call, even if the close has not reached
-        // the endpoint yet.
-        let record_end = |connection: &HttpConnection, how: CallEnd| {
+        // A sender that has closed the connection has cancelled the call, even if the end of the stream has
+        // not reached the endpoint yet.
+        let record_end = |connection: &HttpConnection, call_end: CallEnd| {
             let closed_at =
                 connection.stream.peer_ended_at().map(|at| sim.to_us(at)).filter(|at| *at <= sim.now());
-            let (at, how) = closed_at.map_or((sim.now(), how), |at| (at, CallEnd::Closed));
-            sim.record_at(at, EventKind::Over { call: call_id, end: how });
+            let (at, call_end) = closed_at.map_or((sim.now(), call_end), |at| (at, CallEnd::Closed));
+            sim.record_at(at, EventKind::Over { call: call_id, end: call_end });
         };
         tokio::select! {
             biased;
@@ -146,22 +148,22 @@
                 return connection.stream.reset();
             }
             () = connection.closed_by_peer() => return record_end(&connection, CallEnd::Closed),
-            () = sleep_until(at) => {}
+            () = sleep_until(ends_at) => {}
         }
-        match outcome.outcome {
-            CallOutcome::Answered { status, retry_after: wait, .. } => {
+        match call_result.outcome {
+            CallOutcome::Answered { status, retry_after: requested_wait, .. } => {
                 // An answer that a partition blocks reports no wait to the sender.
-                let wait = if connection.stream.is_partitioned() { 0 } else { wait };
-                record_end(&connection, CallEnd::Answered { status, retry_after: wait });
-                reported_wait =
-                    (wait > 0).then(|| (sim.last_event_index(), Instant::now() + sim.scenario.latency.0));
-                let report = sim.destinations[&dest].system.borrow_mut().load_report(sim.now(), endpoint);
+                let requested_wait = if connection.stream.is_partitioned() { 0 } else { requested_wait };
+                record_end(&connection, CallEnd::Answered { status, retry_after: requested_wait });
+                reported_wait = (requested_wait > 0)
+                    .then(|| (sim.last_event_index(), Instant::now() + sim.scenario.latency.0));
+                let report = sim.destinations[&dest].model.borrow_mut().load_report(sim.now(), endpoint);
                 let load_report = report.map_or(String::new(), |(x0, x1)| {
                     format!("Endpoint-Load-Metrics: TEXT x0={x0:.3}, x1={x1:.3}\r\n")
                 });
-                let sends_retry_after = wait > 0 && sim.mutation != Some(Mutation::IgnoresWaits);
+                let sends_retry_after = requested_wait > 0 && sim.mutation != Some(Mutation::IgnoresWaits);
                 let retry_after = if sends_retry_after {
-                    format!("Retry-After: {}\r\n", wait as f64 / 1e6)
+                    format!("Retry-After: {}\r\n", requested_wait as f64 / 1e6)
                 } else {
                     String::new()
                 };
@@ -201,11 +203,11 @@
 fn batch_messages(body: &[u8]) -> (Vec<CallMessage>, usize) {
     let messages: Vec<Value> = serde_json::from_slice(body).unwrap_or_default();
     let field = |message: &Value, name: &str| message.get(name).and_then(Value::as_str).map(str::to_string);
-    let parse_call =
+    let parse_message =
         |message: &Value| Some(CallMessage { id: field(message, "id")?, key: field(message, "key") });
     let first_body = messages.first().and_then(|message| field(message, "body")).unwrap_or_default();
     let first_body = base64::engine::general_purpose::STANDARD.decode(first_body).unwrap_or_default();
-    (messages.iter().filter_map(parse_call).collect(), sender_of_body(&first_body))
+    (messages.iter().filter_map(parse_message).collect(), sender_of_body(&first_body))
 }
 
 fn batch_answer(ids: &[String]) -> String {
@@ -308,8 +310,8 @@
     let is_full_list = requested_version.is_none();
     let since = requested_version.filter(|requested| *requested as usize <= generation).unwrap_or(0) as usize;
     let entries = sim.latest_entries(sender, since..generation, is_full_list);
-    for (endpoint, (_, open)) in &entries {
-        sim.record(EventKind::Told { sender, endpoint: *endpoint, accepts_calls: *open });
+    for (endpoint, (_, accepts_new_calls)) in &entries {
+        sim.record(EventKind::Told { sender, endpoint: *endpoint, accepts_calls: *accepts_new_calls });
     }
     agent.sent_version.set(generation);
     let instances: Vec<Value> = entries.into_values().map(|(entry, _)| entry).collect();
@@ -342,7 +344,9 @@
 }
 
 impl Clients {
-    /// Submits a message, and resubmits it after rejections and missing answers while it has time left.
+    /// Submits a message, and resubmits it after rejections and missing answers while it has time left. A
+    /// rejected message is resubmitted at most `client_retries` times, and any message at most three times.
+    /// Submissions for which the sender accepted no connection do not count.
     pub async fn submit(self: Rc<Self>, arrival: Arrival) {
         let sim = &self.simulation;
         let class = &self.classes[arrival.class];
@@ -379,6 +383,8 @@
         }
     }
 
+    /// Submits a message once. Returns the status, 0 without an answer, and the `Retry-After` of the answer;
+    /// None if the sender accepts no connection.
     async fn submit_once(
         &self,
         arrival: &Arrival,
--- a/crates/proof/nickelshed-lab/src/fault_points.rs
+++ b/crates/proof/nickelshed-lab/src/fault_points.rs
@@ -1,7 +1,7 @@
 //! Repeats a short scenario run with one fault injected at each fault point: just before or just after each
-//! interaction of a sender with its host. The process is visible and reachable from outside only through
-//! these interactions, so a fault that arrives between any two statements of the sender takes effect at one
-//! of these points.
+//! interaction of a sender with its host. The process affects its surroundings and is affected by them only
+//! in these interactions, so a fault that arrives between any two statements of the sender takes effect at
+//! one of these points.
 use crate::parallel_runs::{baseline_run, failures_at_each};
 use crate::process_run::FaultPoint;
 use crate::{RunOptions, ScenarioRun};
@@ -12,11 +12,11 @@
 pub enum FaultPointAction {
     /// SIGTERM, then SIGKILL at the end of the termination grace period.
     Terminate,
-    /// SIGKILL; the state folder is still there at the next start.
+    /// SIGKILL; the next process starts with the same state folder.
     Kill,
     /// SIGHUP, with a configuration that moves discovery to another address.
     Hangup,
-    /// The process is stopped long enough for answers, retry-after times and drains to arrive meanwhile.
+    /// The process is suspended long enough for answers, retry-after waits and drains to arrive meanwhile.
     Pause,
     /// All clients that wait for an answer close their connections.
     ClientsLeave,
@@ -58,7 +58,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultInjection {
     pub sender: usize,
+    /// Number of the step, counted over all processes of the sender from 0.
     pub step: u64,
+    /// Whether the fault is injected just after the step instead of just before it.
     pub after: bool,
     pub fault: FaultPointAction,
 }
@@ -74,6 +76,7 @@
 pub struct FaultPointReport {
     /// Steps of all senders in the run without an injected fault.
     pub steps: u64,
+    /// Runs with an injected fault.
     pub runs: usize,
     /// The injections that made a run fail, each with the description of its first failure.
     pub failures: Vec<(FaultInjection, String)>,
@@ -106,8 +109,8 @@
 ) -> Result<FaultPointReport, String> {
     let baseline = baseline_run(scenario, seed, "fault")?;
     let injections = list_injections(&baseline, every, first);
-    let manner_of = |injection| RunOptions { fault_point: Some(injection), ..RunOptions::default() };
-    let failures = failures_at_each(scenario, seed, &injections, manner_of, jobs);
+    let options_for = |injection| RunOptions { fault_point: Some(injection), ..RunOptions::default() };
+    let failures = failures_at_each(scenario, seed, &injections, options_for, jobs);
     Ok(FaultPointReport {
         steps: baseline.counters.iter().map(|counters| counters.steps).sum(),
         runs: injections.len(),
--- a/crates/proof/nickelshed-lab/src/files.rs
+++ b/crates/proof/nickelshed-lab/src/files.rs
@@ -31,7 +31,7 @@
     validated.map(|()| scenario)
 }
 
-/// Writes a scenario file, with `about` as a comment at its head.
+/// Writes a scenario file, with `about` as a comment at the top.
 ///
 /// # Errors
 /// If the scenario cannot be expressed in TOML or the file cannot be written.
--- a/crates/proof/nickelshed-lab/src/http.rs
+++ b/crates/proof/nickelshed-lab/src/http.rs
@@ -3,6 +3,7 @@
 use crate::network::LabStream;
 use tokio::time::Instant;
 
+/// A longer head is treated as invalid.
 const HEAD_BYTES_MAX: usize = 256 << 10;
 
 /// A request or a response.
@@ -16,10 +17,12 @@
 }
 
 impl HttpMessage {
+    /// Returns the value of the first header with this name, in any case of letters.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
+    /// Returns the status code of a response; 0 if it cannot be parsed.
     pub fn status(&self) -> u16 {
         self.start_line.get(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
@@ -87,7 +90,7 @@
         let _ = self.stream.read(&mut byte).await;
     }
 
-    /// Returns false if the connection has ended or was reset.
+    /// Writes a message. Returns false if the connection has ended or was reset.
     pub async fn write(&self, text: &str) -> bool {
         self.stream.write_all(text.as_bytes()).await.is_ok()
     }
--- a/crates/proof/nickelshed-lab/src/kill_points.rs
+++ b/crates/proof/nickelshed-lab/src/kill_points.rs
@@ -27,8 +27,8 @@
     let mut out = Vec::new();
     for (sender, counters) in run.counters.iter().enumerate() {
         let operations = (0..counters.operations).step_by(stride.operations.max(1) as usize);
-        // In 256ths: a write is in turn not done, half done and fully done; any other operation is done only
-        // at 256.
+        // In 256ths: of successive operations, a write is not done, half done or fully done in turn. Any
+        // operation other than a write is done only at 256.
         let write_parts = [0, 128, 256];
         out.extend(
             operations
@@ -53,8 +53,8 @@
 ) -> Result<KillReport, String> {
     let baseline = baseline_run(scenario, seed, "kill")?;
     let points = kill_points(&baseline, stride);
-    let manner_of = |kill| RunOptions { kill: Some(kill), ..RunOptions::default() };
-    let failures = failures_at_each(scenario, seed, &points, manner_of, jobs);
+    let options_for = |kill| RunOptions { kill: Some(kill), ..RunOptions::default() };
+    let failures = failures_at_each(scenario, seed, &points, options_for, jobs);
     let operations = points.iter().filter(|k| matches!(k.point, KillPoint::Operation(..))).count() as u64;
     Ok(KillReport { operations, bytes: points.len() as u64 - operations, failures })
 }
--- a/crates/proof/nickelshed-lab/src/lib.rs
+++ b/crates/proof/nickelshed-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! Runs whole senders in simulated time, over a simulated network and disk, against a model of the systems
-//! that they call, and has the checker verify each run.
+//! Runs complete senders in simulated time, over a simulated network and disk, against a model of the
+//! destinations that they call, and checks each run against the delivery rules.
 mod compare;
 mod explore;
 mod fake_servers;
--- a/crates/proof/nickelshed-lab/src/main.rs
+++ b/crates/proof/nickelshed-lab/src/main.rs
@@ -53,7 +53,7 @@
         #[arg(long, value_name = "FILE", default_value = "report.html")]
         out: PathBuf,
     },
-    /// Run random scenarios on all cores, search for violated rules and crashes, and minimize the failing
+    /// Run random scenarios on all cores, search for rule violations and crashes, and minimize the failing
     /// cases
     Explore {
         /// Seeds to run, for example 1..1000
@@ -85,7 +85,7 @@
         #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Run a scenario once for each disk operation and each byte sent, with the sender killed at that point
+    /// Run a scenario once for each disk operation and each byte sent, with a sender killed at that point
     Kills {
         scenario: PathBuf,
         /// [default: the file's own, or 1]
@@ -179,7 +179,7 @@
     );
     let slot_seconds =
         |key: (DestinationState, bool, bool)| account.slot_time.get(&key).copied().unwrap_or(0) as f64 / 1e6;
-    for s in [
+    for state in [
         DestinationState::Well,
         DestinationState::Unseen,
         DestinationState::Sick,
@@ -187,22 +187,22 @@
     ] {
         let [first_useful, first_wasted, retry_useful, retry_wasted] =
             [(true, true), (true, false), (false, true), (false, false)]
-                .map(|(first, useful)| slot_seconds((s, first, useful)));
+                .map(|(first, useful)| slot_seconds((state, first, useful)));
         if first_useful + first_wasted + retry_useful + retry_wasted > 0.0 {
             let _ = writeln!(
                 out,
                 "    {:<18} first attempts {first_useful:7.1} useful {first_wasted:7.1} wasted; retries {retry_useful:7.1} useful {retry_wasted:7.1} wasted",
-                state_label(s)
+                state_label(state)
             );
         }
     }
     let total: usize = account.late_causes.values().sum();
-    for ((s, doing), n) in &account.late_causes {
-        let percent = 100.0 * *n as f64 / total.max(1) as f64;
+    for ((state, phase), count) in &account.late_causes {
+        let percent = 100.0 * *count as f64 / total.max(1) as f64;
         let _ = writeln!(
             out,
-            "    late or not delivered, mostly {doing:?} while {}: {n} ({percent:.0}%)",
-            state_label(*s)
+            "    late or not delivered, mostly {phase:?} while {}: {count} ({percent:.0}%)",
+            state_label(*state)
         );
     }
     let (without_outage, during_outage) = account.healthy_p99_ms;
@@ -298,7 +298,7 @@
     Ok(run.is_clean())
 }
 
-/// Failures that are listed one by one.
+/// Maximum number of failures that are listed one by one.
 const MAX_LISTED_FAILURES: usize = 20;
 
 /// Prints the first failures, each with the name of its point. Returns whether there were none.
@@ -429,17 +429,17 @@
 }
 
 fn explore_and_save(
-    draw: ScenarioGenerator,
+    generate: ScenarioGenerator,
     seeds: Range<u64>,
     seconds: f64,
     jobs: usize,
     folder: Option<&Path>,
 ) -> Result<bool, String> {
     let started = Instant::now();
-    let exploration = explore(draw, seeds, jobs, Duration::from_secs_f64(seconds.clamp(0.0, 1e6)));
+    let exploration = explore(generate, seeds, jobs, Duration::from_secs_f64(seconds.clamp(0.0, 1e6)));
     print_stdout(&format_exploration(&exploration, jobs, started.elapsed()));
     let Some(folder) = folder else { return Ok(exploration.failures.is_empty()) };
-    for case in exploration.minimized(draw) {
+    for case in exploration.minimized(generate) {
         std::fs::create_dir_all(folder).map_err(|e| format!("cannot create {}: {e}", folder.display()))?;
         let path = folder.join(format!("{}-{}.toml", case.failure.name(), case.seed));
         let about = format!("Found by explore with seed {}, minimized.\n{}", case.seed, case.description);
@@ -462,8 +462,8 @@
     let (first, second) = (files::read(a)?, files::read(b)?);
     let pairs = seeds.flat_map(|seed| [(first.clone(), seed), (second.clone(), seed)]);
     let runs = run_all(&pairs.collect::<Vec<_>>(), jobs)?;
-    let worth = |run: &ScenarioRun| run.score.value;
-    let pairs: Vec<(f64, f64)> = runs.chunks(2).map(|pair| (worth(&pair[0]), worth(&pair[1]))).collect();
+    let value = |run: &ScenarioRun| run.score.value;
+    let pairs: Vec<(f64, f64)> = runs.chunks(2).map(|pair| (value(&pair[0]), value(&pair[1]))).collect();
     let mean =
         |value_of: fn(&(f64, f64)) -> f64| pairs.iter().map(value_of).sum::<f64>() / pairs.len() as f64;
     let failed_count =
@@ -500,7 +500,7 @@
     let mut cases = Vec::new();
     let values: Vec<&str> = values.split(',').collect();
     for value in &values {
-        // Values that are not valid TOML, such as durations with their unit, become strings.
+        // A value that is not valid TOML, such as a duration with its unit, becomes a string.
         let parsed = format!("v = {value}").parse::<toml::Table>().ok().and_then(|mut t| t.remove("v"));
         table.insert(key.to_string(), parsed.unwrap_or(toml::Value::String(value.to_string())));
         let text = toml::to_string(&table).map_err(|e| e.to_string())?;
@@ -533,8 +533,14 @@
         Command::Run { scenarios, seed, trace } => run_scenarios(&scenarios, seed, trace.as_deref()),
         Command::Report { scenario, seed, out } => report(&scenario, seed, &out),
         Command::Explore { seeds, large, seconds, jobs: requested_jobs, keep, no_cut } => {
-            let draw = if large { random_large_scenario } else { random_scenario };
-            explore_and_save(draw, seeds, seconds, thread_count(requested_jobs), (!no_cut).then_some(&keep))
+            let generate = if large { random_large_scenario } else { random_scenario };
+            explore_and_save(
+                generate,
+                seeds,
+                seconds,
+                thread_count(requested_jobs),
+                (!no_cut).then_some(&keep),
+            )
         }
         Command::Draw { seed, large, out } => {
             let scenario = if large { random_large_scenario(seed) } else { random_scenario(seed) };
--- a/crates/proof/nickelshed-lab/src/malformed_clients.rs
+++ b/crates/proof/nickelshed-lab/src/malformed_clients.rs
@@ -35,7 +35,8 @@
     "\u{16}\u{3}\u{1}\u{2}\0\u{1}\0\u{1}\u{fc}\u{3}\u{3} a handshake for somebody else",
 ];
 
-/// Sends `size` malformed requests to each sender every 100 ms while the fault lasts.
+/// Sends as many malformed requests as the fault's magnitude to each sender every 100 ms while the fault
+/// lasts.
 pub async fn send_malformed_requests(sim: Rc<Simulation>, fault: InjectedFault, seed: u64) {
     let mut random = random_stream(seed, 5);
     let until = sim.to_instant(fault.end());
@@ -44,8 +45,8 @@
         for sender in 0..sim.scenario.senders as usize {
             for _ in 0..fault.magnitude.round().max(1.0) as usize {
                 let bytes = random_request(&mut random, &class);
-                let ends_sending = random.random::<bool>();
-                spawn_local(send_malformed_request(sim.clone(), sender, bytes, ends_sending));
+                let half_closes = random.random::<bool>();
+                spawn_local(send_malformed_request(sim.clone(), sender, bytes, half_closes));
             }
         }
         sleep(ARRIVAL_INTERVAL).await;
@@ -65,9 +66,9 @@
     }
 }
 
-async fn send_malformed_request(sim: Rc<Simulation>, sender: usize, bytes: Vec<u8>, ends_sending: bool) {
+async fn send_malformed_request(sim: Rc<Simulation>, sender: usize, bytes: Vec<u8>, half_closes: bool) {
     let Ok(stream) = sim.network.host(None).connect(sender_address(sender)).await else { return };
-    if stream.write_all(&bytes).await.is_err() || ends_sending && stream.shutdown_write().is_err() {
+    if stream.write_all(&bytes).await.is_err() || half_closes && stream.shutdown_write().is_err() {
         return;
     }
     let mut connection = HttpConnection::new(stream);
--- a/crates/proof/nickelshed-lab/src/network.rs
+++ b/crates/proof/nickelshed-lab/src/network.rs
@@ -1,6 +1,5 @@
 //! The network that senders, fake servers and clients use: the simulated one, or real loopback sockets behind
 //! the same types.
-//! The machines of a day as its senders and stand-ins see them: over the simulated network, or over real sockets.
 use crate::process_run::ProcessRun;
 use crate::sim_network::{Partition, SimDatagrams, SimHost, SimListener, SimNetwork, SimStream};
 use crate::sockets::{ListenerRegistry, SocketHost, SocketListener, SocketStream};
@@ -38,7 +37,7 @@
         }
     }
 
-    /// Moves all wall clocks by `ms` milliseconds.
+    /// Moves all wall clocks forward by `ms` milliseconds.
     pub fn advance_wall_clocks(&self, ms: i64) {
         self.simulated.advance_wall_clocks(ms);
     }
@@ -48,7 +47,8 @@
         self.simulated.datagrams_sent()
     }
 
-    /// Starts a partition. It affects only the simulated network: traffic over real sockets still passes.
+    /// Starts a partition, in place of any earlier one. It affects only the simulated network: traffic over
+    /// real sockets still passes.
     pub fn set_partition(&self, partition: Partition) {
         self.simulated.set_partition(partition);
     }
@@ -58,6 +58,7 @@
         self.simulated.refused_connections()
     }
 
+    /// Start of the run.
     pub fn started_at(&self) -> tokio::time::Instant {
         self.simulated.started_at()
     }
@@ -71,6 +72,7 @@
     }
 }
 
+/// The network interface of one machine.
 #[derive(Clone)]
 pub enum LabHost {
     Simulated(SimHost),
@@ -177,6 +179,7 @@
         }
     }
 
+    /// Reads what has arrived; 0 bytes at the end of the stream.
     pub async fn read(&self, buffer: &mut [u8]) -> io::Result<usize> {
         match self {
             LabStream::Simulated(stream) => stream.read(buffer).await,
--- a/crates/proof/nickelshed-lab/src/parallel_runs.rs
+++ b/crates/proof/nickelshed-lab/src/parallel_runs.rs
@@ -24,7 +24,7 @@
     results.into_iter().map(|(_, result)| result).collect()
 }
 
-/// Runs the scenario unchanged; `variation` names what its other runs will have, for the error message.
+/// Runs the scenario without a variation. `variation` names what the other runs have, for the error message.
 ///
 /// # Errors
 /// If the scenario cannot be run, or the run fails.
@@ -42,11 +42,11 @@
     scenario: &Scenario,
     seed: u64,
     points: &[P],
-    manner_of: impl Fn(P) -> RunOptions + Sync,
+    options_for: impl Fn(P) -> RunOptions + Sync,
     jobs: usize,
 ) -> Vec<(P, String)> {
     let descriptions =
-        parallel_map(points, jobs, |point| match run_scenario_with(scenario, seed, manner_of(*point)) {
+        parallel_map(points, jobs, |point| match run_scenario_with(scenario, seed, options_for(*point)) {
             Ok(run) => failures(&run).into_values().next(),
             Err(error) => Some(error),
         });
--- a/crates/proof/nickelshed-lab/src/process.rs
+++ b/crates/proof/nickelshed-lab/src/process.rs
@@ -21,7 +21,7 @@
 
 /// File in which a sender persists the outages of its destinations.
 const OUTAGES_FILE: &str = "outages";
-/// Time from the end of a process to the next start.
+/// Time from the end of a process to the start of the next one.
 const RESTART_DELAY: Duration = Duration::from_millis(600);
 
 /// What happens to a sender's process from outside: signals and pauses.
@@ -36,7 +36,9 @@
 /// Handle through which injected faults reach a sender's process.
 pub struct ProcessHandle {
     pub control: mpsc::UnboundedSender<ProcessControl>,
+    /// The environment and configuration of the next start or reload.
     pub environment: Rc<RefCell<EnvironmentVariables>>,
+    /// Whether the current process has answered a health check.
     pub is_ready: Rc<Cell<bool>>,
 }
 
@@ -92,8 +94,8 @@
             }
             if let Some(until) = process_state.blocked_until() {
                 // A process that is blocked in a disk operation cannot even be killed.
-                let time = until.saturating_duration_since(Instant::now()).as_micros() as Us;
-                sim.record(EventKind::Stopped { sender, duration: time });
+                let stall_duration = until.saturating_duration_since(Instant::now()).as_micros() as Us;
+                sim.record(EventKind::Stopped { sender, duration: stall_duration });
                 sleep_until(until).await;
             }
             tokio::select! {
@@ -113,9 +115,9 @@
                         break None;
                     }
                     // Nothing of the process is polled during the pause.
-                    Some(ProcessControl::Pause(time)) => {
-                        sim.record(EventKind::Stopped { sender, duration: time.as_micros() as Us });
-                        sleep(time).await;
+                    Some(ProcessControl::Pause(pause_duration)) => {
+                        sim.record(EventKind::Stopped { sender, duration: pause_duration.as_micros() as Us });
+                        sleep(pause_duration).await;
                     }
                     Some(ProcessControl::Hangup) => _ = reload.try_send(()),
                 },
@@ -160,7 +162,7 @@
         if let Ok(stream) = host.connect(sender_address(sender)).await {
             let mut connection = crate::http::HttpConnection::new(stream);
             connection.write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").await;
-            if connection.read().await.is_some_and(|a| a.status() == 200) {
+            if connection.read().await.is_some_and(|answer| answer.status() == 200) {
                 is_ready.set(true);
                 return sim.record(EventKind::Up { sender });
             }
--- a/crates/proof/nickelshed-lab/src/process_run.rs
+++ b/crates/proof/nickelshed-lab/src/process_run.rs
@@ -9,7 +9,7 @@
 /// The point in the middle of an operation at which a process is killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KillPoint {
-    /// At this operation on the state folder, counted from 0, with this part of a write (in 256ths) done.
+    /// In this operation on the state folder, counted from 0, with this part of a write (in 256ths) done.
     Operation(u64, u16),
     /// After this many bytes sent over all connections.
     Byte(u64),
@@ -18,7 +18,9 @@
 /// What all processes of a sender did over a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessCounters {
+    /// Operations on the state folder.
     pub operations: u64,
+    /// Bytes sent over all connections and in datagrams.
     pub bytes: u64,
     /// Interactions with the host: accepting, opening or closing a connection, reading, writing, or using the
     /// disk.
@@ -35,6 +37,7 @@
     pub kills_process: bool,
 }
 
+/// The state of a sender's processes, one after another.
 #[derive(Default)]
 pub struct ProcessRun {
     /// The number of the sender.
@@ -62,7 +65,7 @@
     }
 
     /// Begins a step. Returns its number for [`end_step`](Self::end_step), or None if the process has been
-    /// killed, also by a fault point just before this step.
+    /// killed, including by a fault point just before this step.
     pub fn begin_step(&self) -> Option<u64> {
         if self.killed.get() {
             return None;
@@ -112,7 +115,7 @@
         self.blocked_until.set(None);
     }
 
-    /// Stalls the disk until then.
+    /// Stalls the disk until a time.
     pub fn stall_disk(&self, until: Instant) {
         self.disk_stalled_until.set(Some(until));
     }
--- a/crates/proof/nickelshed-lab/src/report/mod.rs
+++ b/crates/proof/nickelshed-lab/src/report/mod.rs
@@ -10,9 +10,9 @@
 use std::fmt::Write;
 
 const PAGE_TEMPLATE: &str = include_str!("page.html");
-/// Message histories on a page, the slowest first; each takes about 500 bytes.
+/// Maximum number of message histories on a page, the slowest first; each takes about 500 bytes.
 const MAX_HISTORIES: usize = 20_000;
-/// Violations listed one by one.
+/// Maximum number of violations that are listed one by one.
 const MAX_VIOLATIONS: usize = 50;
 /// Approximate number of buckets in a plot; a short run has fewer, each of `MIN_BUCKET_US`.
 const TARGET_BUCKETS: Us = 300;
@@ -42,7 +42,7 @@
         ("{{verdict}}", verdict(run)),
         ("{{table}}", summary_table(run)),
         ("{{plots}}", plots),
-        ("{{lives}}", histories),
+        ("{{histories}}", histories),
     ];
     Ok(fill_template(PAGE_TEMPLATE, &replacements))
 }
@@ -74,7 +74,9 @@
         return "<p class=\"kept\">All six rules were kept, and nothing crashed.</p>".into();
     }
     let mut out = String::from("<ul class=\"broken\">");
-    let line = |b: &Violation| format!("{:?} at {} ms: {}", b.rule, b.at / 1_000, b.description);
+    let line = |violation: &Violation| {
+        format!("{:?} at {} ms: {}", violation.rule, violation.at / 1_000, violation.description)
+    };
     let shown = run.violations.iter().take(MAX_VIOLATIONS).map(line);
     for line in shown.chain(run.crashes.iter().map(|c| format!("crash: {c}"))) {
         let _ = write!(out, "<li>{}</li>", escape_html(&line));
@@ -98,9 +100,9 @@
         ("calls".into(), score.calls.to_string()),
         ("calls rejected".into(), score.rejected.to_string()),
     ];
-    for (why, count) in &score.loss_reasons {
-        let why = format!("{why:?}").to_lowercase();
-        rows.push((format!("late or not delivered, main cause {why}"), count.to_string()));
+    for (reason, count) in &score.loss_reasons {
+        let reason = format!("{reason:?}").to_lowercase();
+        rows.push((format!("late or not delivered, main cause {reason}"), count.to_string()));
     }
     let row = |(name, value): (String, String)| {
         format!("<tr><td>{}</td><td class=\"n\">{}</td></tr>", escape_html(&name), escape_html(&value))
@@ -120,7 +122,7 @@
         (h.message, h.dest, class(h.class), h.latency, serde_json::json!(steps))
     };
     let text = serde_json::to_string(&histories.iter().map(history).collect::<Vec<_>>()).unwrap_or_default();
-    // Otherwise a text containing `</script>` would end the script element.
+    // A text containing `</script>` would otherwise end the script element.
     text.replace('<', "\\u003c")
 }
 
--- a/crates/proof/nickelshed-lab/src/report/plots.rs
+++ b/crates/proof/nickelshed-lab/src/report/plots.rs
@@ -5,7 +5,7 @@
 
 const WIDTH_PX: u32 = 960;
 const HEIGHT_PX: u32 = 230;
-/// Rows in the plot of intervals: a run with many drains has thousands of intervals.
+/// Maximum number of rows in the plot of intervals: a run with many drains has thousands of intervals.
 const MAX_ROWS: usize = 40;
 const ROW_HEIGHT_PX: u32 = 18;
 
@@ -101,6 +101,7 @@
     per_sender("Messages queued: accepted, not in flight, not finished", series, &series.queued)
 }
 
+/// Plots the calls that ended per second, by outcome.
 pub fn call_outcomes(series: &TimeSeries) -> Result<String, String> {
     let bucket = series.bucket as f64 / 1e6;
     let line =
--- a/crates/proof/nickelshed-lab/src/report/series.rs
+++ b/crates/proof/nickelshed-lab/src/report/series.rs
@@ -17,8 +17,8 @@
     pub const ALL: [CallOutcome; 4] =
         [CallOutcome::Served, CallOutcome::Rejected, CallOutcome::Failed, CallOutcome::NoAnswer];
 
-    fn from_result(how: &CallEnd) -> CallOutcome {
-        match how {
+    fn from_result(call_end: &CallEnd) -> CallOutcome {
+        match call_end {
             CallEnd::Answered { status: 200, .. } => CallOutcome::Served,
             CallEnd::Answered { status: 429 | 503, .. } => CallOutcome::Rejected,
             CallEnd::Answered { .. } | CallEnd::Spoilt => CallOutcome::Failed,
@@ -37,7 +37,7 @@
 }
 
 /// A labelled period of the run: an outage, a stalled or restarting sender, or an endpoint that accepts no
-/// new work.
+/// new calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Interval {
     pub label: String,
@@ -69,12 +69,13 @@
 /// The plotted values, in buckets of equal length from the start of the run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TimeSeries {
+    /// Length of a bucket.
     pub bucket: Us,
     /// Submissions in each bucket, retries by clients included.
     pub submitted: Vec<u32>,
     /// Messages first delivered in each bucket.
     pub delivered: Vec<u32>,
-    /// Ended calls in each bucket, indexed by `CallOutcome`.
+    /// Calls that ended in each bucket, indexed by `CallOutcome`.
     pub outcomes: [Vec<u32>; 4],
     /// For each sender, the highest number of calls in flight in each bucket.
     pub calls_in_flight: Vec<Vec<u32>>,
@@ -143,9 +144,9 @@
     let mut last_filled = 0;
     for event in events {
         let current = ((event.at / bucket) as usize).min(buckets - 1);
-        // Counts carry over into the buckets without events since the last one.
-        for empty in last_filled + 1..=current {
-            builder.record_peaks(empty);
+        // The buckets since the last event have none of their own: the current counts apply to them.
+        for skipped in last_filled + 1..=current {
+            builder.record_peaks(skipped);
         }
         last_filled = last_filled.max(current);
         builder.apply(event, current);
@@ -238,11 +239,11 @@
                 }
                 self.calls.insert(*call, CallInFlight { sender: *sender, ids: ids.clone(), steps });
             }
-            EventKind::Over { call, end: how } => self.end_call(*call, how, at, bucket),
-            EventKind::Notice { id, returned: handed_back, .. } => {
+            EventKind::Over { call, end: call_end } => self.end_call(*call, call_end, at, bucket),
+            EventKind::Notice { id, returned: is_returned, .. } => {
                 self.update_submission(id, |s| s.finished = true);
                 if let Some(message) = self.message_of(id) {
-                    let description = if *handed_back { "returned" } else { "failed" };
+                    let description = if *is_returned { "returned" } else { "failed" };
                     self.add_step(message, at, description.into());
                 }
             }
@@ -256,9 +257,9 @@
             EventKind::FellOver { dest, route } => {
                 self.begin_interval(format!("{} collapsed under overload", outage_label(*dest, *route)), at)
             }
-            EventKind::Told { sender, endpoint, accepts_calls: open } => {
+            EventKind::Told { sender, endpoint, accepts_calls: accepts_new_calls } => {
                 let label = format!("endpoint {endpoint} not ready, sender {sender}");
-                if *open {
+                if *accepts_new_calls {
                     self.end_interval(&label, at);
                 } else if !self.open_intervals.contains_key(&label) {
                     self.begin_interval(label, at);
@@ -271,20 +272,20 @@
                 }
             }
             EventKind::Up { sender } => self.end_interval(&format!("sender {sender} restarts"), at),
-            EventKind::Stopped { sender, duration: time } => {
+            EventKind::Stopped { sender, duration: stall } => {
                 let label = format!("sender {sender} stalled");
-                self.series.intervals.push(Interval { label, from: at, to: Some(at + time) });
+                self.series.intervals.push(Interval { label, from: at, to: Some(at + stall) });
             }
             EventKind::Unreached { .. } | EventKind::Ended { .. } => {}
         }
     }
 
-    fn end_call(&mut self, call: u64, how: &CallEnd, at: Us, bucket: usize) {
+    fn end_call(&mut self, call: u64, call_end: &CallEnd, at: Us, bucket: usize) {
         // A call that its sender closed before the endpoint received the last byte ends before its `Call`
         // event.
         let Some(call) = self.calls.remove(&call) else { return };
         self.calls_in_flight[call.sender] = self.calls_in_flight[call.sender].saturating_sub(1);
-        let outcome = CallOutcome::from_result(how);
+        let outcome = CallOutcome::from_result(call_end);
         self.series.outcomes[outcome as usize][bucket] += 1;
         for id in &call.ids {
             let served = outcome == CallOutcome::Served;
@@ -294,10 +295,10 @@
             let first_submitted = self.first_submitted.get(&message).copied().unwrap_or(at);
             let Some(history) = self.histories.get_mut(&message) else { continue };
             history.steps[step].until = Some(at);
-            let description = match how {
+            let description = match call_end {
                 CallEnd::Answered { status, retry_after: 0 } => format!(": {status}"),
-                CallEnd::Answered { status, retry_after: wait } => {
-                    format!(": {status}, retry after {} ms", wait / 1_000)
+                CallEnd::Answered { status, retry_after: requested_wait } => {
+                    format!(": {status}, retry after {} ms", requested_wait / 1_000)
                 }
                 CallEnd::Spoilt => ": corrupted".to_string(),
                 CallEnd::Closed => ": no answer".to_string(),
@@ -325,7 +326,7 @@
 
     fn series_of(events: Vec<(Us, EventKind)>) -> TimeSeries {
         let events: Vec<Event> =
-            events.into_iter().map(|(ms, what)| Event { at: ms * 1_000, kind: what }).collect();
+            events.into_iter().map(|(ms, event_kind)| Event { at: ms * 1_000, kind: event_kind }).collect();
         time_series(&events, 100_000)
     }
 
@@ -385,7 +386,11 @@
             (300, EventKind::OutageEnded { dest: 7, route: None, capacity: 1.0 }),
             (400, EventKind::Stopped { sender: 0, duration: 50_000 }),
         ]);
-        let intervals: Vec<_> = series.intervals.iter().map(|s| (s.label.as_str(), s.from, s.to)).collect();
+        let intervals: Vec<_> = series
+            .intervals
+            .iter()
+            .map(|interval| (interval.label.as_str(), interval.from, interval.to))
+            .collect();
         assert_eq!(
             intervals,
             [
--- a/crates/proof/nickelshed-lab/src/run_options.rs
+++ b/crates/proof/nickelshed-lab/src/run_options.rs
@@ -3,6 +3,7 @@
 use crate::mutation::Mutation;
 use crate::process_run::KillPoint;
 
+/// Options of a run; by default it is a plain run in simulated time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunOptions {
     /// The guard that is removed from the senders, if any.
@@ -15,6 +16,7 @@
     pub uses_real_sockets: bool,
 }
 
+/// A kill of one sender's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Kill {
     pub sender: usize,
--- a/crates/proof/nickelshed-lab/src/scenario_run.rs
+++ b/crates/proof/nickelshed-lab/src/scenario_run.rs
@@ -29,14 +29,14 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Time from SIGTERM to SIGKILL.
+/// Time from SIGTERM to the SIGKILL that follows it.
 const TERMINATION_GRACE: Duration = Duration::from_millis(3_700);
-/// After a configuration that moves discovery, the agent at the old address closes with this delay.
+/// Time from a reload that moves discovery until the agent at the old address stops listening.
 const OLD_AGENT_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
-/// Length of the pause that is injected at a fault point; long enough for a retry-after time to expire
+/// Length of the pause that is injected at a fault point; long enough for a retry-after wait to end
 /// meanwhile.
 const INJECTED_PAUSE: Duration = Duration::from_millis(700);
-/// How long a run goes on after the last message has expired, for pending notices and for work delayed by a
+/// How long a run continues after the last message has expired, for pending notices and for work delayed by a
 /// restart.
 const SETTLE_TIME: Duration = Duration::from_millis(8_000);
 
@@ -46,11 +46,13 @@
 /// The result of one run of a scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioRun {
+    /// In the order of their times.
     pub events: Vec<Event>,
     pub violations: Vec<Violation>,
     pub score: ScoreReport,
-    /// Errors and panics of senders that ended on their own, wholly or in part.
+    /// Panics, errors with which senders exited on their own, and malformed requests that senders accepted.
     pub crashes: Vec<String>,
+    /// Simulated time from the start of the run to its end; real time over real sockets.
     pub length: Duration,
     /// What the processes of each sender did on disk and network.
     pub counters: Vec<ProcessCounters>,
@@ -59,6 +61,7 @@
 }
 
 impl ScenarioRun {
+    /// Whether no rule was violated and nothing crashed.
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty() && self.crashes.is_empty()
     }
@@ -87,13 +90,13 @@
     PANICS.with(|p| *p.borrow_mut() = Some(Vec::new()));
 }
 
-/// The deployment settings of a sender, in the format of the platform. A mutation of the sender may falsify
-/// some of them.
+/// Returns the deployment settings of a sender, in the format of the platform. A mutation gives the sender
+/// wrong values for some of them.
 fn settings(scenario: &Scenario, mutation: Option<Mutation>, sender: usize) -> Value {
-    let ns = |p: nickelshed_config::units::Period| p.ns();
-    let figures = RuleParameters::default();
+    let ns = |period: nickelshed_config::units::Period| period.ns();
+    let rule_parameters = RuleParameters::default();
     let overload_multiple =
-        if mutation == Some(Mutation::KnowsNoCold) { 1_000.0 } else { figures.overload_multiple };
+        if mutation == Some(Mutation::KnowsNoCold) { 1_000.0 } else { rule_parameters.overload_multiple };
     let window_ns =
         if mutation == Some(Mutation::ForgetsWindow) { 3_600_000_000_000 } else { ns(scenario.dedup_window) };
     let dedup_scope = match scenario.dedup_scope {
@@ -119,19 +122,26 @@
         "FamilyInfo": {"CallsOut": scenario.slots, "Decay": "halves", "KindBatch": [scenario.batch], "SeparateRoutes": [scenario.separate_routes]},
         "Limits": {"Peers": scenario.membership_enabled, "MaxOpen": scenario.max_open_messages, "MaxAttempts": 8, "Cancel": true, "IdleCloseNs": 5_000_000_000u64,
             "DialTimeoutNs": 1_000_000_000, "MaxRetryAfterNs": 3_000_000_000u64},
-        "Safety": {"StartCapacity": figures.start_capacity, "ColdNs": figures.slow_start * 1_000,
-            "FallMultiple": overload_multiple, "OverloadForNs": figures.overload_window * 1_000},
+        "Safety": {"StartCapacity": rule_parameters.start_capacity, "ColdNs": rule_parameters.slow_start * 1_000,
+            "FallMultiple": overload_multiple, "OverloadForNs": rule_parameters.overload_window * 1_000},
         "Services": scenario.traffic_classes().iter().map(class).collect::<Vec<_>>()})
 }
 
-fn config(scenario: &Scenario, mutation: Option<Mutation>, sender: usize, home: u16, seed: u64) -> String {
+/// Returns the configuration of a sender as JSON. `port_offset` selects the port of its discovery agent.
+fn config(
+    scenario: &Scenario,
+    mutation: Option<Mutation>,
+    sender: usize,
+    port_offset: u16,
+    seed: u64,
+) -> String {
     // All senders list the same peers in the same order. Without `notes` the list is empty and unused.
     let peers: Vec<String> = (0..scenario.senders as usize)
         .filter(|_| scenario.membership_enabled)
         .map(|s| membership_address(s).to_string())
         .collect();
     json!({"name": format!("n{sender}"), "peers": peers, "peer_listen": membership_address(sender).to_string(), "seed": format!("{:x}", seed ^ (sender as u64) << 32),
-        "discovery": discovery_address(sender, home).to_string(),
+        "discovery": discovery_address(sender, port_offset).to_string(),
         "limits": {"memory_mb": 64, "sockets": 1_024, "disk_mb": scenario.disk_bytes as f64 / 1e6},
         // Replaced at each process start by the endpoint list that the machine had last.
         "known": {"generation": 0, "reset": true, "instances": []},
@@ -139,23 +149,25 @@
     .to_string()
 }
 
-/// The destinations that a fault affects, those with the most traffic first.
+/// Returns the destinations that a fault affects, those with the most traffic first.
 fn affected_destinations(sim: &Simulation, fault: &InjectedFault) -> Vec<u64> {
     (1..=u64::from(fault.affected_destinations(sim.scenario.destinations))).collect()
 }
 
-async fn inject_outage(sim: Rc<Simulation>, fault: InjectedFault) {
+/// Injects a fault that acts on destinations (see `FaultKind::affects_destinations`) and removes it at its
+/// end.
+async fn inject_destination_fault(sim: Rc<Simulation>, fault: InjectedFault) {
     let kind = fault.kind;
     for dest in affected_destinations(&sim, &fault) {
         let destination = &sim.destinations[&dest];
-        destination.system.borrow_mut().start_fault(kind, fault.magnitude, fault.end());
+        destination.model.borrow_mut().start_fault(kind, fault.magnitude, fault.end());
         if kind.is_outage() {
-            let routes = destination.system.borrow().routes();
+            let routes = destination.model.borrow().routes();
             routes.into_iter().for_each(|route| sim.record(EventKind::OutageBegan { dest, route }));
         }
         if kind == FaultKind::Refused {
-            for (_, p) in ready_endpoints(&sim, dest) {
-                sim.network.close_listener(p.address);
+            for (_, endpoint) in ready_endpoints(&sim, dest) {
+                sim.network.close_listener(endpoint.address);
             }
             destination.reset_signal.notify_waiters();
         }
@@ -163,31 +175,31 @@
     sleep_until(sim.to_instant(fault.end())).await;
     for dest in affected_destinations(&sim, &fault) {
         let destination = &sim.destinations[&dest];
-        destination.system.borrow_mut().end_fault(sim.now(), kind);
+        destination.model.borrow_mut().end_fault(sim.now(), kind);
         if kind.is_outage() {
-            let system = destination.system.borrow();
-            for route in system.routes() {
-                sim.record(EventKind::OutageEnded { dest, route, capacity: system.capacity(route) });
+            let model = destination.model.borrow();
+            for route in model.routes() {
+                sim.record(EventKind::OutageEnded { dest, route, capacity: model.capacity(route) });
             }
-            drop(system);
+            drop(model);
             // Calls that hung in the outage are reset with the connections of the failed destination.
             destination.reset_signal.notify_waiters();
         }
         if kind == FaultKind::Refused {
-            for (number, p) in ready_endpoints(&sim, dest) {
-                listen(&sim, dest, number, p.address).await;
+            for (number, endpoint) in ready_endpoints(&sim, dest) {
+                listen(&sim, dest, number, endpoint.address).await;
             }
         }
     }
 }
 
-/// The endpoints of a destination that are listed as ready, with their numbers.
+/// Returns the endpoints of a destination that are listed as ready, with their numbers.
 fn ready_endpoints(sim: &Simulation, dest: u64) -> Vec<(usize, ListedEndpoint)> {
     let mut latest: BTreeMap<usize, ListedEndpoint> = BTreeMap::new();
-    for (number, endpoint) in sim.listings.borrow().iter().filter(|(_, p)| p.dest == dest) {
+    for (number, endpoint) in sim.listings.borrow().iter().filter(|(_, listing)| listing.dest == dest) {
         latest.insert(*number, endpoint.clone());
     }
-    latest.into_iter().filter(|(_, p)| p.lifecycle == "Ready").collect()
+    latest.into_iter().filter(|(_, listing)| listing.lifecycle == "Ready").collect()
 }
 
 /// Announces changes to all discovery agents, after the scenario's discovery delay.
@@ -199,6 +211,8 @@
     });
 }
 
+/// Drains the first ready endpoint of each affected destination, opens a replacement, and removes the drained
+/// endpoint three seconds later.
 async fn drain_endpoints(sim: Rc<Simulation>, fault: InjectedFault) {
     for dest in affected_destinations(&sim, &fault) {
         let Some((number, endpoint)) = ready_endpoints(&sim, dest).into_iter().next() else { continue };
@@ -213,7 +227,7 @@
         let (sim, removed) = (sim.clone(), ListedEndpoint { lifecycle: "Gone", ..endpoint.clone() });
         spawn_local(async move {
             sleep(Duration::from_secs(3)).await;
-            sim.destinations[&dest].system.borrow_mut().remove_endpoint(number);
+            sim.destinations[&dest].model.borrow_mut().remove_endpoint(number);
             if !reuses_address {
                 sim.network.close_listener(removed.address);
             }
@@ -223,29 +237,32 @@
     }
 }
 
+/// Moves each sender's discovery agent to the next port and sends the sender SIGHUP with the new
+/// configuration.
 async fn move_discovery(sim: Rc<Simulation>, processes: Rc<Vec<ProcessHandle>>, seed: u64) {
     for (sender, process) in processes.iter().enumerate() {
-        let home = sim.agents[sender].port_offset.get() + 1;
-        sim.agents[sender].port_offset.set(home);
+        let port_offset = sim.agents[sender].port_offset.get() + 1;
+        sim.agents[sender].port_offset.set(port_offset);
         sim.agents[sender].moved_at.set(Some(sim.now()));
-        spawn_local(run_discovery_agent(sim.clone(), sender, home));
-        process.environment.borrow_mut().config = config(&sim.scenario, sim.mutation, sender, home, seed);
+        spawn_local(run_discovery_agent(sim.clone(), sender, port_offset));
+        process.environment.borrow_mut().config =
+            config(&sim.scenario, sim.mutation, sender, port_offset, seed);
         let _ = process.control.send(ProcessControl::Hangup);
         sim.agents[sender].changed.notify_waiters();
         let sim = sim.clone();
         spawn_local(async move {
             sleep(OLD_AGENT_CLOSE_DELAY).await;
-            sim.network.close_listener(discovery_address(sender, home - 1));
+            sim.network.close_listener(discovery_address(sender, port_offset - 1));
         });
     }
 }
 
-/// A fault that starts now and affects half of the destinations and all senders.
-fn fault_starting_now(sim: &Simulation, kind: FaultKind, lasts: u64) -> InjectedFault {
+/// Returns a fault that starts now and affects half of the destinations and all senders.
+fn fault_starting_now(sim: &Simulation, kind: FaultKind, duration_ms: u64) -> InjectedFault {
     InjectedFault {
         kind,
         at: Period::ms(sim.now() / 1_000),
-        duration: Period::ms(lasts),
+        duration: Period::ms(duration_ms),
         destination_fraction: Percent(0.5),
         sender_fraction: Percent(1.0),
         magnitude: 2.0,
@@ -261,7 +278,7 @@
 ) {
     sim.process_states[injection.sender].fault_point_reached().await;
     let control = &processes[injection.sender].control;
-    let (kind, lasts) = match injection.fault {
+    let (kind, duration_ms) = match injection.fault {
         // The fault point itself has killed the process.
         FaultPointAction::Kill => return,
         FaultPointAction::Terminate => {
@@ -288,10 +305,11 @@
         FaultPointAction::Shut => (FaultKind::Shut, 3_000),
         FaultPointAction::Silent => (FaultKind::Silent, 3_000),
     };
-    let fault = fault_starting_now(&sim, kind, lasts);
+    let fault = fault_starting_now(&sim, kind, duration_ms);
     inject_fault(sim, processes, fault, seed).await;
 }
 
+/// Waits until the start of a fault, then injects it.
 async fn inject_fault(
     sim: Rc<Simulation>,
     processes: Rc<Vec<ProcessHandle>>,
@@ -304,7 +322,7 @@
         (0..processes.len()).filter(is_affected).for_each(|s| _ = processes[s].control.send(control));
     };
     match fault.kind {
-        kind if kind.affects_destinations() => inject_outage(sim, fault).await,
+        kind if kind.affects_destinations() => inject_destination_fault(sim, fault).await,
         FaultKind::Drain | FaultKind::Replace => drain_endpoints(sim, fault).await,
         FaultKind::Restart => {
             send_to_affected(ProcessControl::Terminate);
@@ -316,8 +334,8 @@
         FaultKind::Cut => {
             let until = sim.to_instant(fault.end());
             let topology = sim.clone();
-            let is_severed = Box::new(move |sender, to| topology.is_partitioned_by_site(sender, to));
-            sim.network.set_partition(Partition { until, separates: is_severed });
+            let is_separated = Box::new(move |sender, to| topology.is_partitioned_by_site(sender, to));
+            sim.network.set_partition(Partition { until, separates: is_separated });
         }
         FaultKind::Impatient => sim.clients_impatient_until.set(fault.end()),
         FaultKind::Pause => send_to_affected(ProcessControl::Pause(fault.duration.0)),
@@ -333,7 +351,7 @@
             (0..processes.len()).filter(is_affected).for_each(|s| sim.process_states[s].stall_disk(until));
         }
         FaultKind::Rude => malformed_clients::send_malformed_requests(sim, fault, seed).await,
-        // All other kinds are part of the generated traffic.
+        // `Burst`, the only kind left, is part of the generated traffic.
         _ => {}
     }
 }
@@ -359,14 +377,14 @@
     terminating.iter().for_each(|p| _ = p.control.send(ProcessControl::Kill));
 }
 
-/// The faults of a scenario without those that conflict with an earlier one. Overlapping outages of a
-/// destination would be one outage of an undefined kind, so only the first is injected. The same holds for
-/// process faults, and for overlapping faults of one kind, because the end of the first would undo the
-/// second.
+/// Returns the faults of a scenario in the order of their starts, without those that conflict with an earlier
+/// one. Overlapping outages of a destination would be one outage of an undefined kind, so only the first is
+/// injected. The same applies to restarts, kills and pauses of processes, and to overlapping faults of kinds
+/// whose end would undo a second fault of the kind.
 fn without_conflicts(scenario: &Scenario) -> Vec<InjectedFault> {
     let mut faults = scenario.faults.clone();
     faults.sort_by_key(|fault| fault.start());
-    let mut systems_until: Us = 0;
+    let mut destinations_until: Us = 0;
     let mut processes_until: Us = 0;
     let slow_start = RuleParameters::default().slow_start;
     let mut kinds_until: BTreeMap<FaultKind, Us> = BTreeMap::new();
@@ -378,8 +396,8 @@
             return is_free;
         }
         if fault.kind.is_outage() || fault.kind == FaultKind::Slow {
-            let is_free = fault.start() >= systems_until;
-            systems_until = if is_free { fault.end() + slow_start } else { systems_until };
+            let is_free = fault.start() >= destinations_until;
+            destinations_until = if is_free { fault.end() + slow_start } else { destinations_until };
             return is_free;
         }
         if matches!(fault.kind, FaultKind::Restart | FaultKind::Kill | FaultKind::Pause | FaultKind::Roll) {
@@ -389,7 +407,7 @@
             } else {
                 4_300_000
             };
-            // Until the process runs again and has caught up with its recovered messages and notices.
+            // Until the processes run again and have handled their recovered messages and notices.
             processes_until = if is_free {
                 fault.end().max(fault.start() + duration_us) + 2_000_000
             } else {
@@ -402,7 +420,7 @@
     faults
 }
 
-/// The value of the messages of each class.
+/// Returns the value of a message of each class by its latency.
 fn class_values(scenario: &Scenario) -> Vec<ValueFunction> {
     let value_of_class = |c: &TrafficClass| ValueFunction {
         target_latency: c.wanted_within.0.as_micros() as Us,
@@ -412,9 +430,8 @@
     scenario.traffic_classes().iter().map(value_of_class).collect()
 }
 
-/// Returns the account of slots and message time, and the share of the value that the oracle reaches, which
-/// knows the state of every destination. Separate from the run, because runs that are only checked need
-/// neither.
+/// Returns the account of slot time and latency, and the fraction of the submitted value that the oracle
+/// schedule delivers. Separate from the run, because runs that are only checked need neither.
 pub fn account_with_oracle(scenario: &Scenario, seed: u64, run: &ScenarioRun) -> (TimeAccount, f64) {
     let class_values = class_values(scenario);
     (
@@ -435,9 +452,9 @@
     delivered / f64::max(submitted, 1e-9)
 }
 
-async fn simulate(scenario: Scenario, seed: u64, manner: RunOptions) -> ScenarioRun {
-    let mutation = manner.mutation;
-    let sim = Simulation::new(&scenario, seed, manner);
+async fn simulate(scenario: Scenario, seed: u64, options: RunOptions) -> ScenarioRun {
+    let mutation = options.mutation;
+    let sim = Simulation::new(&scenario, seed, options);
     let mut initial_list = Vec::new();
     for dest in 1..=u64::from(scenario.destinations) {
         for _ in 0..scenario.endpoints {
@@ -447,7 +464,7 @@
     }
     sim.publish(&initial_list);
     sim.agents.iter().for_each(|agent| agent.sent_version.set(initial_list.len()));
-    if let Some(injection) = manner.fault_point {
+    if let Some(injection) = options.fault_point {
         sim.process_states[injection.sender].set_fault_point(injection.fault_point());
     }
     let mut processes = Vec::new();
@@ -461,16 +478,22 @@
             config_path: "config.json".into(),
         }));
         let (control, control_receiver) = mpsc::unbounded_channel();
-        let up = Rc::new(Cell::new(false));
-        spawn_local(run_machine(sim.clone(), sender, environment.clone(), up.clone(), control_receiver));
-        processes.push(ProcessHandle { control, environment, is_ready: up });
+        let ready_flag = Rc::new(Cell::new(false));
+        spawn_local(run_machine(
+            sim.clone(),
+            sender,
+            environment.clone(),
+            ready_flag.clone(),
+            control_receiver,
+        ));
+        processes.push(ProcessHandle { control, environment, is_ready: ready_flag });
     }
     let processes = Rc::new(processes);
     let ready_deadline = Instant::now() + Duration::from_secs(5);
     while !processes.iter().all(|p| p.is_ready.get()) && Instant::now() < ready_deadline {
         sleep(Duration::from_millis(1)).await;
     }
-    if let Some(injection) = manner.fault_point {
+    if let Some(injection) = options.fault_point {
         spawn_local(inject_at_fault_point(sim.clone(), processes.clone(), injection, seed));
     }
     for fault in without_conflicts(&scenario) {
@@ -486,11 +509,15 @@
     }
     sleep_until(sim.to_instant(scenario.length.0.as_micros() as Us)).await;
     sleep(scenario.max_message_lifetime() + SETTLE_TIME).await;
-    let addresses: BTreeMap<_, _> =
-        sim.listings.borrow().iter().map(|(number, p)| (p.address, (*number, p.dest))).collect();
+    let addresses: BTreeMap<_, _> = sim
+        .listings
+        .borrow()
+        .iter()
+        .map(|(number, listing)| (listing.address, (*number, listing.dest)))
+        .collect();
     for (at, sender, to) in sim.network.refused_connections() {
         if let Some(&(number, dest)) = addresses.get(&to) {
-            let route = sim.destinations[&dest].system.borrow().route_of(number);
+            let route = sim.destinations[&dest].model.borrow().route_of(number);
             sim.record_at(sim.to_us(at), EventKind::Unreached { sender, dest, route });
         }
     }
@@ -502,11 +529,11 @@
         Scope::Endpoint => DedupScope::AtTheEndpoint,
     };
     let window = scenario.dedup_window.0.as_micros() as Us;
-    let figures = RuleParameters { dedup_window: window, dedup_scope, ..RuleParameters::default() };
+    let rule_parameters = RuleParameters { dedup_window: window, dedup_scope, ..RuleParameters::default() };
     let mut crashes = sim.crashes.borrow().clone();
     crashes.extend(PANICS.with(|p| p.borrow_mut().take()).unwrap_or_default());
     ScenarioRun {
-        violations: judge(&events, figures),
+        violations: judge(&events, rule_parameters),
         score: score(&events, &class_values(&scenario)),
         crashes,
         length: sim.network.started_at().elapsed(),
@@ -524,22 +551,22 @@
     run_scenario_with(scenario, seed, RunOptions::default())
 }
 
-/// Like [`run_scenario`], with the options in `manner`. A run over real sockets takes place in real time and
+/// Like [`run_scenario`], with the options in `options`. A run over real sockets takes place in real time and
 /// is not deterministic.
 ///
 /// # Errors
 /// If the scenario is invalid or the runtime cannot be created.
-pub fn run_scenario_with(scenario: &Scenario, seed: u64, manner: RunOptions) -> Result<ScenarioRun, String> {
+pub fn run_scenario_with(scenario: &Scenario, seed: u64, options: RunOptions) -> Result<ScenarioRun, String> {
     scenario.validate()?;
     capture_panics();
     let mut runtime = tokio::runtime::Builder::new_current_thread();
-    let runtime = match manner.uses_real_sockets {
+    let runtime = match options.uses_real_sockets {
         true => runtime.enable_all().build(),
         false => runtime.enable_time().start_paused(true).build(),
     };
     let runtime = runtime.map_err(|e| format!("cannot create the runtime: {e}"))?;
     let tasks = LocalSet::new();
-    let run = tasks.block_on(&runtime, simulate(scenario.clone(), seed, manner));
+    let run = tasks.block_on(&runtime, simulate(scenario.clone(), seed, options));
     // Tasks may hold handles into one another and into the runtime, so they are dropped before it.
     drop(tasks);
     Ok(run)
--- a/crates/proof/nickelshed-lab/src/sim_network.rs
+++ b/crates/proof/nickelshed-lab/src/sim_network.rs
@@ -20,6 +20,7 @@
 /// Unix time at the start of every run, in milliseconds.
 const WALL_CLOCK_START_MS: i64 = 1_700_000_000_000;
 
+/// Connections that a listener has not accepted yet.
 #[derive(Default)]
 struct AcceptQueue {
     pending: RefCell<VecDeque<SimStream>>,
@@ -37,6 +38,7 @@
     wall_clock_offset_ms: Cell<i64>,
     /// Refused connection attempts of senders: time, sender and target address.
     refused_connections: RefCell<Vec<(Instant, usize, SocketAddr)>>,
+    /// The latest partition; it may have ended.
     partition: RefCell<Option<Partition>>,
     datagram_queues: RefCell<BTreeMap<SocketAddr, Rc<DatagramQueue>>>,
     /// Number of datagrams put into a receiver's queue. Datagrams without a receiver and dropped ones are not
@@ -163,7 +165,7 @@
 }
 
 /// Runs `act` as one numbered step of a sender's process. Returns None without running it if the process has
-/// ended or is killed just before this step. Without a process state, `act` runs uncounted.
+/// ended or is killed just before this step. Without a process state, `act` runs as no step.
 fn as_step<T>(process_state: Option<&Rc<ProcessRun>>, act: impl FnOnce() -> T) -> Option<T> {
     let Some(process_state) = process_state else { return Some(act()) };
     let step = process_state.begin_step()?;
@@ -268,6 +270,7 @@
 
 #[derive(Default)]
 struct DatagramQueue {
+    /// Arrival time, source address and bytes of each datagram.
     pending: RefCell<VecDeque<(Instant, SocketAddr, Vec<u8>)>>,
     arrival: Notify,
 }
@@ -381,15 +384,18 @@
     bytes_in_flight: usize,
     /// When the writer ended the stream, and when that reaches the reader.
     end_of_stream: Option<(Instant, Instant)>,
+    /// When a reset reaches the reader.
     reset_at: Option<Instant>,
     /// Whether the reading end has been dropped.
     reader_closed: bool,
     reader_waker: Option<Waker>,
     writer_waker: Option<Waker>,
+    /// Wakes the reader at the next arrival.
     timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl Pipe {
+    /// When bytes, the end of the stream or a reset reach the reader next; None if none of them is under way.
     fn next_event_at(&self) -> Option<Instant> {
         let first = self.segments.front().map(|s| s.arrives_at).or(self.end_of_stream.map(|(_, at)| at));
         [first, self.reset_at].into_iter().flatten().min()
@@ -416,8 +422,9 @@
     last_sent_at: Cell<Instant>,
     /// State of the process that owns this end, if it is a sender's.
     process_state: Option<Rc<ProcessRun>>,
+    /// Whether the connection stays open at the peer after this end is dropped.
     is_leaked: bool,
-    /// None for connections that partitions do not affect.
+    /// The sender and endpoint that the connection joins. None for connections that partitions do not affect.
     flow: Option<Flow>,
 }
 
@@ -436,13 +443,13 @@
         (stream(&a, &b), stream(&b, &a))
     }
 
-    /// Time at which bytes written now leave the machine: later than now while the process is stalled on its
-    /// disk.
+    /// Returns when bytes written now leave the machine: later than now while the process is blocked in a
+    /// disk operation.
     fn departure_time(&self) -> Instant {
         self.process_state.as_ref().map_or_else(Instant::now, |process| process.departure_time())
     }
 
-    /// Time at which bytes sent at `sent` arrive: after the end of a current partition and the latency.
+    /// Returns when bytes sent at `sent_at` arrive: after the end of any current partition, plus the latency.
     fn arrival_time(&self, sent_at: Instant) -> Instant {
         self.flow.as_ref().and_then(Flow::partitioned_until).map_or(sent_at, |until| until.max(sent_at))
             + self.latency
--- a/crates/proof/nickelshed-lab/src/simulation.rs
+++ b/crates/proof/nickelshed-lab/src/simulation.rs
@@ -1,5 +1,4 @@
-//! Shared state of a run: the clock, the event history, the customer systems, and discovery's list of
-//! endpoints.
+//! Shared state of a run: the clock, the event history, the destinations, and discovery's list of endpoints.
 use crate::fake_servers::sender_of_membership_address;
 use crate::mutation::Mutation;
 use crate::network::Network;
@@ -30,6 +29,7 @@
     pub address: SocketAddr,
     pub dest: u64,
     pub site: usize,
+    /// `Ready`, `Terminating` or `Gone`, as in discovery's format.
     pub lifecycle: &'static str,
 }
 
@@ -51,9 +51,9 @@
     notified_version: Cell<usize>,
 }
 
-/// A customer system, with the signals for the connections of its endpoints.
+/// A simulated destination, with the signals for the connections of its endpoints.
 pub struct Destination {
-    pub system: RefCell<SimulatedDestination>,
+    pub model: RefCell<SimulatedDestination>,
     /// Estimated rate that the list gives for the destination, or for each of its routes, in messages per
     /// second.
     pub estimated_rate: f64,
@@ -64,6 +64,7 @@
     pub idle_close_signal: Notify,
 }
 
+/// The shared state of a run.
 pub struct Simulation {
     /// The guard that is removed from the senders, if any.
     pub mutation: Option<Mutation>,
@@ -72,10 +73,11 @@
     pub process_states: Vec<Rc<ProcessRun>>,
     pub scenario: Scenario,
     pub events: RefCell<Vec<Event>>,
+    /// Draws the outcomes of calls.
     pub random: RefCell<Random>,
-    /// Customer systems by destination number, which starts at 1.
+    /// Destinations by number, from 1.
     pub destinations: BTreeMap<u64, Destination>,
-    /// Every listing of every endpoint so far, in order.
+    /// Every listing of every endpoint so far, in order, each with the number of the endpoint.
     pub listings: RefCell<Vec<(usize, ListedEndpoint)>>,
     pub agents: Vec<DiscoveryAgent>,
     pub next_endpoint: Cell<usize>,
@@ -88,7 +90,7 @@
     pub new_connections_closed_until: Cell<Us>,
     /// Notified when all clients that wait for an answer are to disconnect.
     pub client_disconnect_signal: Notify,
-    /// Errors with which senders exited on their own, and malformed requests that a sender accepted.
+    /// Errors with which senders exited on their own, and malformed requests that senders accepted.
     pub crashes: RefCell<Vec<String>>,
 }
 
@@ -97,19 +99,19 @@
         let shares = traffic_shares(scenario);
         let mut random = random_stream(seed, 3);
         let destination = |(i, share): (usize, &f64)| {
-            let mut system = SimulatedDestination::new(scenario, scenario.rate * share);
+            let mut model = SimulatedDestination::new(scenario, scenario.rate * share);
             // Adds as many endpoints as the destination will have, to learn its capacity before they are
             // listed. They are removed again below.
-            (0..scenario.endpoints as usize).for_each(|e| system.add_endpoint(usize::MAX - e, 0));
-            let capacity: f64 = system.routes().into_iter().map(|r| system.capacity(r)).sum();
-            let routes = system.routes().len().max(1) as f64;
-            // The rate of one route, where each endpoint is a route of its own.
+            (0..scenario.endpoints as usize).for_each(|e| model.add_endpoint(usize::MAX - e, 0));
+            let capacity: f64 = model.routes().into_iter().map(|r| model.capacity(r)).sum();
+            let routes = model.routes().len().max(1) as f64;
+            // The rate of each route if endpoints are separate routes, otherwise of the destination.
             let estimated_rate = capacity / routes * random.random_range(0.8..1.25);
-            (0..scenario.endpoints as usize).for_each(|e| system.remove_endpoint(usize::MAX - e));
+            (0..scenario.endpoints as usize).for_each(|e| model.remove_endpoint(usize::MAX - e));
             (
                 i as u64 + 1,
                 Destination {
-                    system: RefCell::new(system),
+                    model: RefCell::new(model),
                     estimated_rate,
                     reset_signal: Notify::new(),
                     idle_close_signal: Notify::new(),
@@ -156,30 +158,31 @@
         self.network.started_at() + Duration::from_micros(at)
     }
 
-    pub fn record(&self, what: EventKind) {
-        self.record_at(self.now(), what);
+    pub fn record(&self, event_kind: EventKind) {
+        self.record_at(self.now(), event_kind);
     }
 
     pub fn are_clients_impatient(&self) -> bool {
         self.now() < self.clients_impatient_until.get()
     }
 
+    /// Index of the event that was recorded last.
     pub fn last_event_index(&self) -> usize {
         self.events.borrow().len().saturating_sub(1)
     }
 
     /// Clears the `Retry-After` wait of a recorded answer that did not reach its sender.
     pub fn clear_reported_wait(&self, event: usize) {
-        if let Some(EventKind::Over { end: CallEnd::Answered { retry_after: wait, .. }, .. }) =
+        if let Some(EventKind::Over { end: CallEnd::Answered { retry_after: reported_wait, .. }, .. }) =
             self.events.borrow_mut().get_mut(event).map(|e| &mut e.kind)
         {
-            *wait = 0;
+            *reported_wait = 0;
         }
     }
 
     /// Records an event at a given time. The history is sorted by time at the end of the run.
-    pub fn record_at(&self, at: Us, what: EventKind) {
-        self.events.borrow_mut().push(Event { at, kind: what });
+    pub fn record_at(&self, at: Us, event_kind: EventKind) {
+        self.events.borrow_mut().push(Event { at, kind: event_kind });
     }
 
     /// Adds a listing of an endpoint. Returns its index, which [`Simulation::publish`] sends to the agents.
@@ -189,8 +192,8 @@
         listings.len() - 1
     }
 
-    /// Sends changes to all agents. They count as notified to the sender of each agent that is not muted,
-    /// whether or not the sender asks for them.
+    /// Sends changes, given as indices into `listings`, to all agents. They count as notified to the sender
+    /// of each agent that is not muted, whether or not the sender asks for them.
     pub fn publish(&self, changes: &[usize]) {
         for (sender, agent) in self.agents.iter().enumerate() {
             agent.changes.borrow_mut().extend(changes);
@@ -213,22 +216,24 @@
         }
     }
 
+    /// Records that a sender was notified of changes: now, or `AGENT_MOVE_DELAY_US` after its agent moved if
+    /// that is later.
     fn record_notified(&self, sender: usize, changes: &[usize]) {
         let earliest = self.agents[sender].moved_at.get().map_or(0, |at| at + AGENT_MOVE_DELAY_US);
         for &change in changes {
-            let (endpoint, open) = {
+            let (endpoint, accepts_new_calls) = {
                 let listings = self.listings.borrow();
                 (listings[change].0, listings[change].1.lifecycle == "Ready")
             };
             self.record_at(
                 self.now().max(earliest),
-                EventKind::Told { sender, endpoint, accepts_calls: open },
+                EventKind::Told { sender, endpoint, accepts_calls: accepts_new_calls },
             );
         }
     }
 
     /// Returns the latest entry of each endpoint within a range of an agent's versions, and whether the
-    /// endpoint accepts new work. A full list leaves out endpoints that have been removed.
+    /// endpoint accepts new calls. A full list leaves out endpoints that have been removed.
     pub fn latest_entries(
         &self,
         sender: usize,
@@ -237,8 +242,8 @@
     ) -> BTreeMap<usize, (Value, bool)> {
         let mut latest = BTreeMap::new();
         for change in &self.agents[sender].changes.borrow()[versions] {
-            let (endpoint, entry, open) = self.discovery_entry(*change);
-            latest.insert(endpoint, (entry, open));
+            let (endpoint, entry, accepts_new_calls) = self.discovery_entry(*change);
+            latest.insert(endpoint, (entry, accepts_new_calls));
         }
         if is_full_list {
             latest.retain(|_, (entry, _)| entry["lifecycle"] != "Gone");
@@ -246,8 +251,8 @@
         latest
     }
 
-    /// Whether exactly one of the two is in the first site: the sender, or the endpoint or sender that
-    /// receives at `to`.
+    /// Whether a partition of the first site separates a sender from the endpoint or the other sender at the
+    /// address `to`: exactly one of the two is at the first site.
     pub fn is_partitioned_by_site(&self, sender: usize, to: SocketAddr) -> bool {
         let site = sender_of_membership_address(to).map(|other| self.scenario.site_of(other)).or_else(|| {
             let listings = self.listings.borrow();
@@ -256,9 +261,9 @@
         site.is_some_and(|site| (site == 0) != (self.scenario.site_of(sender) == 0))
     }
 
-    /// Returns the list with which a sender's next process starts: the version that the sender was sent last.
-    /// While the agent is muted, the list has all changes that count as notified, because a process that was
-    /// just ending when they came cannot learn them in any other way.
+    /// Returns the endpoint list with which a sender's next process starts: the version that the sender was
+    /// sent last. While the agent is muted, the list has all changes that count as notified, because a
+    /// process that was just ending when they came cannot learn them in any other way.
     pub fn known_list(&self, sender: usize) -> Value {
         let agent = &self.agents[sender];
         let version =
@@ -268,7 +273,7 @@
         json!({"generation": version, "reset": true, "instances": instances})
     }
 
-    /// Returns a listing as an endpoint, its entry in discovery's format, and whether it accepts new work.
+    /// Returns the endpoint of a listing, its entry in discovery's format, and whether it accepts new calls.
     fn discovery_entry(&self, change: usize) -> (usize, Value, bool) {
         let listings = self.listings.borrow();
         let (endpoint, listing) = &listings[change];
--- a/crates/proof/nickelshed-lab/src/sockets.rs
+++ b/crates/proof/nickelshed-lab/src/sockets.rs
@@ -1,7 +1,5 @@
 //! Real loopback sockets behind the addresses of the simulated machines: each simulated address maps to a
 //! port that the kernel assigns. The same fake servers and the same sender run over them in real time.
-//! Real loopback sockets under the names of the simulated machines: each address is a port that the kernel gave. The same
-//! stand-ins and the same sender run over them in real time.
 use crate::process_run::ProcessRun;
 use crate::sim_network::{is_endpoint_address, SimNetwork};
 use nickelshed_host::{Host, Stream, SystemHost};
@@ -18,6 +16,7 @@
 
 #[derive(Default)]
 struct OpenListener {
+    /// Real address that the simulated one maps to.
     bound_address: Option<SocketAddr>,
     is_closed: Cell<bool>,
     waker: RefCell<Option<Waker>>,
@@ -65,7 +64,7 @@
         if let (Err(_), Some(process)) = (&connected, &self.process_state) {
             self.network.record_refused_connection(process.sender, to);
         }
-        // The endpoint's end of the connection adds the latency.
+        // The endpoint's end of the connection delays reads and writes by the latency, so this end adds none.
         connected.map(|tcp| SocketStream::new(tcp, Duration::ZERO))
     }
 
@@ -143,7 +142,7 @@
         self.last_read_at.get()
     }
 
-    /// When the end of the peer's stream, or a read error, was first seen.
+    /// When a read first returned the end of the peer's stream or an error; None before that.
     pub fn peer_ended_at(&self) -> Option<Instant> {
         self.peer_ended_at.get()
     }
--- a/crates/proof/nickelshed-lab/src/state_folder.rs
+++ b/crates/proof/nickelshed-lab/src/state_folder.rs
@@ -17,7 +17,8 @@
         StateFolder { disk, run }
     }
 
-    /// Runs an operation that takes effect completely or not at all.
+    /// Runs an operation that takes effect completely or not at all. If the process is killed in it, it takes
+    /// effect only if the kill point is at its end (256 of 256 parts done).
     fn atomic<T>(&self, operation: impl FnOnce(&Disk) -> io::Result<T>) -> io::Result<T> {
         match self.run.on_operation()? {
             Some(part) if part < 256 => Err(io::Error::other("the process has been killed")),
--- a/crates/proof/nickelshed-lab/tests/scenarios.rs
+++ b/crates/proof/nickelshed-lab/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Runs of whole senders under the checker: reproducibility, scenarios, regression cases, kills, injected
-//! faults and removed guards.
+//! Runs of complete senders, checked against the delivery rules: reproducibility, scenarios, regression
+//! cases, kills, injected faults and removed guards.
 use nickelshed_config::sidecar::Effect;
 use nickelshed_config::units::{Percent, Period};
 use nickelshed_judge::{CallEnd, Event, EventKind, Rule};
@@ -64,14 +64,16 @@
         let scenario = files::read(&path).unwrap();
         for seed in [1, 3] {
             let run = run_scenario(&scenario, seed).unwrap();
-            let violations: Vec<Rule> = run.violations.iter().map(|b| b.rule).collect();
+            let violations: Vec<Rule> = run.violations.iter().map(|violation| violation.rule).collect();
             let expected = KNOWN_VIOLATIONS
                 .iter()
                 .filter(|(name, at, _)| path.ends_with(name) && *at == seed)
                 .map(|(.., rule)| *rule);
             let expected: Vec<Rule> = expected.collect();
-            let (crashes, descriptions) =
-                (&run.crashes, run.violations.iter().map(|b| &b.description).collect::<Vec<_>>());
+            let (crashes, descriptions) = (
+                &run.crashes,
+                run.violations.iter().map(|violation| &violation.description).collect::<Vec<_>>(),
+            );
             assert!(
                 crashes.is_empty() && violations == expected,
                 "{} seed {seed}: {crashes:?} {descriptions:?}",
@@ -96,7 +98,7 @@
     let min_datagrams = u64::from(scenario.senders) * (run.length.as_secs() - 10);
     assert!(
         without_membership.peer_datagrams == 0 && run.peer_datagrams > min_datagrams,
-        "{} notes",
+        "{} datagrams",
         run.peer_datagrams
     );
     assert!(event_trace(&run_scenario(&scenario, 1).unwrap()) == event_trace(&run));
@@ -116,10 +118,10 @@
 /// waits, and an outage that ends in slow start.
 #[test]
 fn kill_at_any_time_violates_no_rule() {
-    let fault = |kind, at: u64, lasts: u64| InjectedFault {
+    let fault = |kind, at: u64, duration_ms: u64| InjectedFault {
         kind,
         at: Period::ms(at),
-        duration: Period::ms(lasts),
+        duration: Period::ms(duration_ms),
         destination_fraction: Percent(0.5),
         sender_fraction: Percent(1.0),
         magnitude: 2.0,
@@ -185,7 +187,7 @@
     assert_eq!(real.crashes, [] as [String; 0]);
     assert_eq!(real.score.messages, simulated.score.messages);
     assert!(real.score.in_time > 0);
-    let violation = |rule| real.violations.iter().find(|b| b.rule == rule);
+    let violation = |rule| real.violations.iter().find(|violation| violation.rule == rule);
     assert_eq!((violation(Rule::AtOnce), violation(Rule::Twice)), (None, None));
 }
 
@@ -232,8 +234,10 @@
 fn every_removed_guard_is_detected() {
     for mutation in Mutation::ALL {
         let mut simulated_hours = 0.0;
-        let violates = |run: &ScenarioRun| run.violations.iter().any(|b| b.rule == mutation.violated_rule());
-        let caught = (1..=150).find(|&seed| {
+        let violates = |run: &ScenarioRun| {
+            run.violations.iter().any(|violation| violation.rule == mutation.violated_rule())
+        };
+        let detecting_seed = (1..=150).find(|&seed| {
             let run = run_scenario_with(
                 &random_scenario(seed),
                 seed,
@@ -244,8 +248,13 @@
             // The mutation is the cause: the same run without it does not violate the rule.
             violates(&run) && !violates(&run_scenario(&random_scenario(seed), seed).unwrap())
         });
-        println!("{mutation:?}: caught by seed {caught:?} after {simulated_hours:.2} simulated hours");
-        assert!(caught.is_some(), "{mutation:?} is not detected within {simulated_hours:.1} simulated hours");
+        println!(
+            "{mutation:?}: caught by seed {detecting_seed:?} after {simulated_hours:.2} simulated hours"
+        );
+        assert!(
+            detecting_seed.is_some(),
+            "{mutation:?} is not detected within {simulated_hours:.1} simulated hours"
+        );
     }
 }
 
@@ -302,7 +311,7 @@
             .counters
             .iter()
             .enumerate()
-            .flat_map(|(s, done)| (0..done.steps).step_by(4).map(move |n| (s, n)));
+            .flat_map(|(s, counters)| (0..counters.steps).step_by(4).map(move |n| (s, n)));
         let visible = points.filter(|&(sender, step)| {
             let after = step % 2 == 0;
             run(Some(FaultInjection { sender, step, after, fault })).events != baseline.events
@@ -311,8 +320,8 @@
     }
 }
 
-/// An endpoint that closes a connection right after accepting it counts as tried. The same attempt once
-/// connected to it again and again until the time of the call was over.
+/// An endpoint that closes a connection right after accepting it counts as tried. Guards against an attempt
+/// that reconnects to such an endpoint until the call times out.
 #[test]
 fn endpoint_that_closes_new_connections_is_not_retried_within_an_attempt() {
     let scenario =
@@ -321,7 +330,7 @@
         let run =
             run_scenario_with(&scenario, 1, RunOptions { fault_point, ..RunOptions::default() }).unwrap();
         assert!(run.is_clean(), "{:?}", run.violations);
-        run.counters.iter().map(|done| done.steps).sum::<u64>()
+        run.counters.iter().map(|counters| counters.steps).sum::<u64>()
     };
     let without_fault = steps(None);
     let with_fault =
@@ -335,8 +344,8 @@
 fn message_of_a_disconnected_client_is_not_sent() {
     let mut sent_calls = Vec::new();
     let baseline = run_scenario(&fault_point_scenario(), 1).unwrap();
-    for (sender, done) in baseline.counters.iter().enumerate() {
-        for (step, after) in (0..done.steps).flat_map(|n| [(n, false), (n, true)]) {
+    for (sender, counters) in baseline.counters.iter().enumerate() {
+        for (step, after) in (0..counters.steps).flat_map(|n| [(n, false), (n, true)]) {
             let fault_point = FaultInjection { sender, step, after, fault: FaultPointAction::ClientsLeave };
             let run = run_scenario_with(
                 &fault_point_scenario(),
@@ -370,7 +379,7 @@
 }
 
 /// An answer that is read just before the message's deadline may be too late to count as a delivery, so the
-/// sender writes a notice of the message's end.
+/// sender also writes a notice.
 #[test]
 fn message_answered_just_before_its_deadline_gets_a_notice() {
     let scenario = Scenario {
@@ -399,8 +408,8 @@
     };
     let mut late_answers = 0;
     for e in &run.events {
-        let EventKind::HandedIn { id, lifetime: expires, .. } = &e.kind else { continue };
-        let deadline = e.at + expires;
+        let EventKind::HandedIn { id, lifetime: lifetime_us, .. } = &e.kind else { continue };
+        let deadline = e.at + lifetime_us;
         let has_notice =
             run.events.iter().any(|n| matches!(&n.kind, EventKind::Notice { id: i, .. } if i == id));
         // The answer travels for 10 ms, so the sender reads it within the last 30 ms.
