--- a/crates/proof/nickelshed-testkit/src/discovery.rs
+++ b/crates/proof/nickelshed-testkit/src/discovery.rs
@@ -17,6 +17,7 @@
 }
 
 impl Discovery {
+    /// Starts the service. `instances` is the JSON array of the list's entries, at generation 1.
     pub fn new(instances: Value) -> Discovery {
         let state = Arc::new((Mutex::new((1, instances, false)), Condvar::new()));
         let shared = state.clone();
@@ -31,8 +32,8 @@
                 request.start_line.split_once("index=").and_then(|(_, rest)| rest.split(['&', ' ']).next());
             let index = index.and_then(|text| text.parse::<u64>().ok());
             if index.is_some_and(|index| index >= state.0) {
-                // The server runs its script for one request at a time: a long wait for a change would delay
-                // the notices.
+                // The wait for a change is short because the server runs its script for one request at a
+                // time: a long one would delay the answers to notices.
                 state = list_changed.wait_timeout(state, Duration::from_millis(20)).unwrap().0;
             }
             let is_newer = index.is_none_or(|index| index < state.0);
@@ -68,7 +69,8 @@
         notices(&self.server.received())
     }
 
-    /// Waits for a notice on the message with this trace id and returns the first one.
+    /// Waits for a notice on the message with this trace id and returns the first one. Panics if none comes
+    /// within `WAIT_TIMEOUT`.
     pub fn wait_for_notice(&self, id: &str) -> Value {
         let find = |requests: &[HttpMessage]| notices(requests).into_iter().find(|n| n["message"] == id);
         let received =
@@ -84,18 +86,20 @@
     lines.map(|line| serde_json::from_str(&line).unwrap()).collect()
 }
 
-/// An entry of the list for the destination `dest`.
+/// An entry of the list for an endpoint of the destination `dest`. `kind` is `plain` or `many` (several
+/// messages in a call); `lifecycle` is `Ready`, `Terminating` or `Gone`.
 pub fn instance(name: &str, address: SocketAddr, dest: u64, kind: &str, lifecycle: &str) -> Value {
     json!({"instanceId": name, "hostPort": address.to_string(), "zone": "z", "machineType": kind,
         "cell": dest, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
-/// An entry for a ready endpoint of kind `plain`, which gets one message in a call.
+/// An entry for a ready endpoint of kind `plain`, which gets one message per call.
 pub fn ready_instance(name: &str, address: SocketAddr, dest: u64) -> Value {
     instance(name, address, dest, "plain", "Ready")
 }
 
-/// An entry that makes a destination known without an endpoint that accepts calls.
+/// An entry that makes a destination known but gives it no endpoint to call: messages for it are accepted and
+/// stay queued.
 pub fn terminating_instance(dest: u64) -> Value {
     let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
     instance(&format!("closed-{dest}"), unused_address, dest, "plain", "Terminating")
--- a/crates/proof/nickelshed-testkit/src/disk.rs
+++ b/crates/proof/nickelshed-testkit/src/disk.rs
@@ -1,6 +1,6 @@
 //! An in-memory implementation of the journal's storage with fault injection. Each operation can be made to
-//! fail, to be done in part, or to be the last one of the process. A simulated power loss drops a random part
-//! of the changes that have not been synced.
+//! fail, to be done only in part, or to be the last one before the process ends. A simulated power loss drops
+//! a random part of the changes that have not been synced.
 use nickelshed_journal::{FileHandle, Storage};
 use std::collections::BTreeMap;
 use std::io;
@@ -9,12 +9,14 @@
 /// A fault to inject into one operation, or into all operations from one on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process ends during this operation. The number is the part of it, in 256ths, that has been done: a
-    /// write stores that part of its bytes, any other operation is done at 256 and not done below that.
+    /// The process ends during this operation, and every later operation fails. The number is the part of it,
+    /// in 256ths, that takes effect: a write stores that part of its bytes and returns an error; any other
+    /// operation takes effect and succeeds at 256, and fails without an effect below that.
     Crash(u16),
-    /// This operation fails. The number is the part of it, in 256ths, that has been done, as for `Crash`.
+    /// This operation fails with this kind of error after a part of it, in 256ths, has taken effect, as for
+    /// `Crash`. The process continues.
     Fail(u16, io::ErrorKind),
-    /// From this operation on, every operation that changes files or names fails and does nothing, until the
+    /// From this operation on, every operation that changes files or names fails without an effect, until the
     /// fault is cleared.
     FailChangesFrom(io::ErrorKind),
 }
@@ -39,16 +41,20 @@
 struct State {
     inodes: Vec<Inode>,
     names: BTreeMap<String, usize>,
+    /// Names that survive a power loss.
     durable_names: BTreeMap<String, usize>,
     /// Names changed since the folder's last sync, each with its new inode or `None` if it was removed. The
     /// inner list holds the changes of one operation, which a power loss keeps or drops together.
     unsynced_names: Vec<Vec<(String, Option<usize>)>>,
     locked: bool,
+    /// Number of operations that have begun.
     operations: u64,
+    /// The injected fault, and the number of the operation at which it occurs.
     fault: Option<(u64, Fault)>,
     process_ended: bool,
     /// Limit on the bytes of all files together.
     capacity: u64,
+    /// Names of the operations that have begun, in order.
     trace: Vec<&'static str>,
 }
 
@@ -59,6 +65,7 @@
     inode: Option<usize>,
 }
 
+/// An in-memory folder with its files. Clones share it, as two processes on one machine do.
 #[derive(Clone)]
 pub struct Disk {
     state: Arc<Mutex<State>>,
@@ -160,8 +167,8 @@
         self.state.lock().unwrap()
     }
 
-    /// Injects a fault into the operation that follows after `operations_from_now` others. Replaces an
-    /// earlier fault.
+    /// Injects a fault into a later operation: 0 is the next one, 1 the one after it. Replaces an earlier
+    /// fault.
     pub fn inject_fault(&self, operations_from_now: u64, fault: Fault) {
         let mut state = self.state();
         state.fault = Some((state.operations + operations_from_now, fault));
@@ -171,6 +178,7 @@
         self.state().fault = None;
     }
 
+    /// Number of operations that have begun so far.
     pub fn operation_count(&self) -> u64 {
         self.state().operations
     }
@@ -180,6 +188,7 @@
         self.state().trace.clone()
     }
 
+    /// Whether a `Crash` fault has ended the process since its last start.
     pub fn has_crashed(&self) -> bool {
         self.state().process_ended
     }
@@ -200,8 +209,8 @@
         (state.process_ended, state.locked, state.fault) = (false, false, None);
     }
 
-    /// Simulates a power loss: each unsynced change may be kept or lost, independently of earlier ones; of a
-    /// write, each sector.
+    /// Simulates a power loss and the next start. Each unsynced change is kept or lost at random, whether or
+    /// not earlier ones are kept; a write is kept or lost sector by sector. Clears the fault and the lock.
     pub fn lose_power(&self, random: &mut fastrand::Rng) {
         let mut state = self.state();
         let state = &mut *state;
@@ -241,10 +250,12 @@
         (state.process_ended, state.locked, state.fault) = (false, false, None);
     }
 
+    /// Names of all files as processes see them, sorted.
     pub fn file_names(&self) -> Vec<String> {
         self.state().names.keys().cloned().collect()
     }
 
+    /// Contents of a file as processes read them; `None` if there is no such file.
     pub fn file_bytes(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.state();
         state.names.get(name).map(|&i| state.inodes[i].visible.clone())
--- a/crates/proof/nickelshed-testkit/src/fake_server.rs
+++ b/crates/proof/nickelshed-testkit/src/fake_server.rs
@@ -13,7 +13,7 @@
     pub start_line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
-    /// Number of the server's connection that it came over, counted from 0.
+    /// Number of the server's connection that it arrived on, counted from 0.
     pub connection: usize,
     pub received_at: Instant,
 }
@@ -25,13 +25,14 @@
     }
 }
 
-/// Returns `None` if the connection ends before the message is complete.
+/// Reads one request or response with its body. `connection` is the number to record in it. Returns `None` if
+/// the connection ends before the message is complete.
 pub fn read_http_message(reader: &mut BufReader<TcpStream>, connection: usize) -> Option<HttpMessage> {
     let mut line = String::new();
     if reader.read_line(&mut line).ok()? == 0 {
         return None;
     }
-    let first = line.trim_end().to_string();
+    let start_line = line.trim_end().to_string();
     let mut headers = HashMap::new();
     loop {
         let mut line = String::new();
@@ -44,9 +45,11 @@
     let length = headers.get("content-length").map_or(0, |value| value.parse().unwrap());
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
-    Some(HttpMessage { start_line: first, headers, body, connection, received_at: Instant::now() })
+    Some(HttpMessage { start_line, headers, body, connection, received_at: Instant::now() })
 }
 
+/// A complete response. `status` is its code and reason, such as `200 OK`; each line of `headers` ends with
+/// `\r\n`.
 pub fn http_reply(status: &str, headers: &str, body: &str) -> Reply {
     Reply::Bytes(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()))
 }
@@ -74,8 +77,9 @@
     script: Mutex<Script>,
     received: Mutex<Vec<HttpMessage>>,
     request_received: Condvar,
+    /// Number of connections accepted so far.
     connections: AtomicUsize,
-    /// Numbers of the connections that the sender has closed.
+    /// Numbers of the connections that the client has closed.
     closed_connections: Mutex<Vec<usize>>,
 }
 
@@ -87,6 +91,8 @@
 }
 
 impl FakeServer {
+    /// Starts a server on a free loopback port. The script runs for one request at a time, over all
+    /// connections.
     pub fn new(script: impl Fn(&HttpMessage) -> Reply + Send + Sync + 'static) -> FakeServer {
         FakeServer::with_listener(TcpListener::bind("127.0.0.1:0").unwrap(), script)
     }
@@ -135,7 +141,7 @@
         self.shared.connections.load(Ordering::SeqCst)
     }
 
-    /// Whether the sender has closed this connection.
+    /// Whether the client has closed this connection.
     pub fn is_connection_closed(&self, connection: usize) -> bool {
         self.shared.closed_connections.lock().unwrap().contains(&connection)
     }
--- a/crates/proof/nickelshed-testkit/src/sender_process.rs
+++ b/crates/proof/nickelshed-testkit/src/sender_process.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// Sends bytes to an address on a new connection and reads one response. Returns `None` if the connection
-/// fails or none comes.
+/// fails or no complete response arrives.
 pub fn send_request(address: SocketAddr, bytes: &[u8]) -> Option<HttpMessage> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
@@ -20,7 +20,8 @@
     read_http_message(&mut BufReader::new(stream), 0)
 }
 
-/// The bytes of a request by which a client submits a message.
+/// The request with which a client of the tenant `acme` submits a message. `id` is its trace id; its
+/// idempotency key is `key-` followed by `id`.
 pub fn submission_request(class: &str, id: &str, dest: u64, expires_ms: u64, body: &[u8]) -> Vec<u8> {
     let mut bytes = format!(
         "POST /{class} HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: {id}\r\nX-Qos: {class}\r\n\
@@ -35,17 +36,17 @@
 
 static PROCESS_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// The folder for test data, inside the build's target folder: it is on a disk, not on a memory file system,
-/// and `cargo clean` removes it.
+/// The folder for test data. It is inside the build's target folder so that it is on a disk, not on a memory
+/// file system, and `cargo clean` removes it.
 fn scratch_folder(program: &str) -> PathBuf {
     let target_folder = Path::new(program).ancestors().nth(2).expect("the program is in the target folder");
     target_folder.join("tmp")
 }
 
 /// The address at which a sender listens: a loopback address of its own and a port below the ephemeral range,
-/// which the kernel assigns to no socket. A port that was obtained from the kernel and released could be
-/// taken again before the sender starts: by another test's sender, by an outgoing connection, or by a child
-/// process that has inherited the listener.
+/// so that the kernel assigns it to no other socket. A port that was obtained from the kernel and released
+/// could be taken again before the sender starts: by another test's sender, by an outgoing connection, or by
+/// a child process that has inherited the listener.
 fn unique_address(number: usize) -> SocketAddr {
     let process = std::process::id();
     let ip = [127, 100 + (process % 100) as u8, (process / 100 % 250) as u8, 1 + (number % 250) as u8];
@@ -60,8 +61,10 @@
     pub address: SocketAddr,
     discovery: Option<SocketAddr>,
     child: Option<Child>,
+    /// The platform's configuration; `Null` for a sidecar. It is written to the file at each start.
     pub config: Value,
-    /// Text of the sidecar's configuration file; `None` for a sender configured by the platform.
+    /// Text of the sidecar's configuration file, which is written at each start; `None` for a sender
+    /// configured by the platform.
     pub sidecar_config: Option<String>,
     environment: Vec<(String, String)>,
     arguments: Vec<String>,
@@ -76,8 +79,8 @@
         SenderProcess::start_with(program, discovery, json!([]), |_| {})
     }
 
-    /// Like `start`, with a list that is known before discovery answers, and after `change` has edited the
-    /// configuration.
+    /// Like `start`, with the entries `known` as the list until discovery answers, and with the configuration
+    /// as edited by `change`.
     pub fn start_with(
         program: &str,
         discovery: &Discovery,
@@ -135,7 +138,7 @@
     /// Creates the folder without starting the process.
     pub fn new(program: &str) -> SenderProcess {
         let number = PROCESS_COUNT.fetch_add(1, Ordering::SeqCst);
-        let folder = scratch_folder(program).join(format!("node-{}-{number}", std::process::id()));
+        let folder = scratch_folder(program).join(format!("sender-{}-{number}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         SenderProcess {
@@ -181,7 +184,7 @@
         self.signal("-HUP");
     }
 
-    /// Stops the process with SIGSTOP until `resume`.
+    /// Suspends the process with SIGSTOP until `resume`.
     pub fn pause(&self) {
         self.signal("-STOP");
     }
@@ -215,7 +218,7 @@
         command
     }
 
-    /// Sets an environment variable for later starts.
+    /// Sets an environment variable of later starts.
     pub fn set_environment(&mut self, name: &str, value: &str) {
         self.environment.retain(|(other, _)| other != name);
         self.environment.push((name.to_string(), value.to_string()));
@@ -234,6 +237,8 @@
         (output.status.success(), String::from_utf8_lossy(&output.stderr).into_owned())
     }
 
+    /// Starts the process, which must not be running, and waits until it is ready. Panics if it exits
+    /// instead.
     pub fn restart(&mut self) {
         assert!(self.try_start(), "exited before it was ready: {}", self.log());
     }
@@ -287,17 +292,18 @@
         response.start_line.split(' ').nth(1)?.parse().ok()
     }
 
-    /// Sends bytes on a new connection and reads one response.
+    /// Sends bytes on a new connection and reads one response. Returns `None` if no complete response
+    /// arrives.
     pub fn send_request(&self, bytes: &[u8]) -> Option<HttpMessage> {
         send_request(self.address, bytes)
     }
 
-    /// Submits a message and returns the status of the response.
+    /// Submits a message and returns the status of the response. Panics if there is none.
     pub fn submit(&self, class: &str, id: &str, dest: u64, expires_ms: u64, body: &[u8]) -> u16 {
         self.submit_with_headers(class, id, dest, expires_ms, body).0
     }
 
-    /// Submits a message and returns the status and headers of the response.
+    /// Submits a message and returns the status and headers of the response. Panics if there is none.
     pub fn submit_with_headers(
         &self,
         class: &str,
--- a/crates/serve/nickelshed/benches/sidecar.rs
+++ b/crates/serve/nickelshed/benches/sidecar.rs
@@ -53,7 +53,7 @@
 }
 
 fn wait_until_ready(listen: SocketAddr) {
-    while !send_request(listen, HEALTH_REQUEST).is_some_and(|a| a.start_line.contains(" 200")) {
+    while !send_request(listen, HEALTH_REQUEST).is_some_and(|response| response.start_line.contains(" 200")) {
         std::thread::sleep(Duration::from_micros(200));
     }
 }
--- a/crates/serve/nickelshed/tests/bad_input.rs
+++ b/crates/serve/nickelshed/tests/bad_input.rs
@@ -39,8 +39,8 @@
     let truncated =
         format!("{}\r\nConnection: close\r\n\r\n{{\"generation\":9,\"reset\":true,\"inst", "HTTP/1.1 200 OK");
     let invalid_responses = [
-        // The stated length is longer than the body: the response never ends, and the next one is read as its
-        // rest.
+        // The stated length is longer than the body, so the response never ends, and the next response is
+        // read as the rest of its body.
         valid.replace("Content-Length: ", "Content-Length: 9"),
         truncated,
         ok_response("{\"generation\":9,\"reset\":true,\"instances\":[{\"instanceId\":\"e-1\""),
@@ -66,7 +66,7 @@
 }
 
 /// If the sender repeated the request at once, it would send requests as fast as discovery answers them, and
-/// use all processor time of its event loop.
+/// keep a processor core busy.
 #[test]
 fn watches_that_return_early_without_a_change_are_rate_limited_and_still_deliver_changes() {
     let (endpoint, other) = (FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply()));
@@ -202,7 +202,8 @@
         if fair_share > 1.0 {
             assert_delivers(&sender, &endpoint, "second");
         } else {
-            // Its next call is due in most of an hour: the message is returned to the client at its deadline.
+            // The fair share delays the next call by most of an hour, so the message is returned to the
+            // client at its deadline.
             assert_eq!(sender.submit("order", "second", 7, 500, b"x"), 202);
             assert_eq!(discovery.wait_for_notice("second")["outcome"], "handed_back");
         }
@@ -266,8 +267,8 @@
     }
 }
 
-/// Without a class no message can be accepted, and without an attempt none can be sent: the start fails with
-/// an error.
+/// Without a class no message can be accepted, and without an attempt none can be sent. With such settings,
+/// or with a value that is out of range, the start fails with an error.
 #[test]
 fn unusable_settings_fail_the_start_with_the_name_of_the_setting() {
     type SettingsCase = (&'static str, fn(&mut Value));
--- a/crates/serve/nickelshed/tests/fleet.rs
+++ b/crates/serve/nickelshed/tests/fleet.rs
@@ -60,6 +60,7 @@
         fleet +=
             &format!("[[destination]]\nname = \"gmina-{i}\"\nnumber = {i}\nendpoints = [\"{endpoint}\"]\n");
     }
+    // Three spare ports, because the kernel may return the ports of the three endpoints again.
     let ports = free_ports(APPLICATION_COUNT + 3)
         .into_iter()
         .filter(|port| endpoints.iter().all(|e| e.port() != *port));
@@ -111,7 +112,7 @@
 #[test]
 fn each_of_twenty_mistakes_in_one_of_thirty_files_is_found() {
     let loopback = |port| SocketAddr::from(([127, 0, 0, 1], port));
-    let scratch_folder = ScratchFolder::new("slips");
+    let scratch_folder = ScratchFolder::new("mistakes");
     let endpoint_ports = free_ports(3);
     let files = write_fleet(
         &scratch_folder.0,
--- a/crates/serve/nickelshed/tests/members.rs
+++ b/crates/serve/nickelshed/tests/members.rs
@@ -1,5 +1,5 @@
 //! Tests of several sender processes as one fleet, with a UDP relay on each link. Links, processes and state
-//! folders fail, and each test checks from the logs how the members see one another.
+//! folders fail, and each test checks the membership views that the members log.
 use nickelshed_rig::Relay;
 use nickelshed_testkit::*;
 use std::net::{SocketAddr, UdpSocket};
@@ -153,7 +153,7 @@
         assert_eq!(
             fleet.last_logged(n, "each limit is shared among", "senders"),
             Some(5),
-            "the others reclaim at most half a share"
+            "the others reclaim a tenth of all shares, half a share of five, and the count is rounded up"
         );
     }
     // The state folder is lost, and with it the start number. The others remember the old one, and the member
@@ -185,7 +185,7 @@
         assert_eq!(
             fleet.last_logged(n, "each limit is shared among", "senders"),
             Some(5),
-            "n{n} reclaims nothing"
+            "n{n} reclaims less than one share"
         );
     }
     fleet.relay.heal();
@@ -195,6 +195,7 @@
 #[test]
 fn one_way_and_single_link_cuts_do_not_lead_to_a_declared_failure() {
     let fleet = Fleet::new(4);
+    // First only from n1 to n2, then also both ways between n0 and n3.
     fleet.relay.cut(&[1], &[2], true);
     fleet.wait_for_datagrams(400);
     fleet.relay.cut(&[0], &[3], false);
@@ -219,6 +220,7 @@
 #[test]
 fn datagram_loss_duplication_and_floods_do_not_lead_to_a_declared_failure() {
     let fleet = Fleet::new(4);
+    // Drops 20 % of the datagrams and sends all others twice.
     fleet.relay.impair(20, true);
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     for number in 0..4_000u32 {
--- a/crates/serve/nickelshed/tests/peers.rs
+++ b/crates/serve/nickelshed/tests/peers.rs
@@ -11,7 +11,8 @@
     UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// Starts the sender with this number, whose settings name two senders.
+/// Starts the sender with this number, its index in `peers`. Its settings name two senders, and hold
+/// `peers_allowed` as the permission to send datagrams to others.
 fn start_sender(
     discovery: &Discovery,
     number: usize,
@@ -68,10 +69,13 @@
     let (own, other) = (free_address(), free_address());
     let both = json!([own.to_string(), other.to_string()]);
     let cases = [
+        // No permission: false, absent, or not a boolean.
         (&both, 0, json!(false)),
         (&both, 0, json!(null)),
         (&both, 0, json!("yes")),
+        // The list has no entry at the sender's index.
         (&both, 2, json!(true)),
+        // The list has no other sender, has an invalid address, or is not a list.
         (&json!([own.to_string()]), 0, json!(true)),
         (&json!([own.to_string(), "nowhere"]), 0, json!(true)),
         (&json!({"n0": own.to_string()}), 0, json!(true)),
--- a/crates/serve/nickelshed/tests/race_conditions.rs
+++ b/crates/serve/nickelshed/tests/race_conditions.rs
@@ -10,7 +10,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nickelshed");
 
-/// Blocks `wait` until `open` is called.
+/// `wait` blocks until `open` has been called, for `WAIT_TIMEOUT` at most.
 #[derive(Clone, Default)]
 struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
@@ -27,8 +27,8 @@
 }
 
 /// A message that expires leaves its call, which continues for the others. The message with the most time
-/// left is listed first in a batch: a platform was observed to count nothing of a response if the first
-/// message had left the call.
+/// left is listed first in a batch: a platform was observed to ignore the whole response if the message
+/// listed first had left the call.
 #[test]
 fn a_batch_lists_the_message_with_most_time_left_first_and_delivers_it_after_another_has_expired() {
     let gate = Gate::default();
@@ -43,7 +43,7 @@
         http_reply("200 OK", "", &json!(results).to_string())
     });
     let discovery = Discovery::new(json!([instance("e-1", endpoint.address, 7, "many", "Ready")]));
-    // The most valuable message, with the nearest deadline: the policy lists it first.
+    // Class `brief` has the highest value and the shortest deadline, so the policy puts its message first.
     let mut sender = SenderProcess::start_with(PROGRAM, &discovery, json!([]), |config| {
         let services = config["settings"]["Services"].as_array_mut().unwrap();
         let mut brief = services[1].clone();
@@ -58,7 +58,7 @@
     {
         assert_eq!(sender.submit(class, id, 7, expires, id.as_bytes()), 202);
     }
-    // The message has left its call, which is still in flight: the response has not begun.
+    // The message has left its call. The call is still in flight: the response has not begun.
     assert_eq!(discovery.wait_for_notice("short")["outcome"], "given_up");
     gate.open();
     let received =
@@ -86,7 +86,7 @@
     sender.set_environment("RUST_LOG", "debug");
     sender.restart();
     for n in 0..18 {
-        assert_eq!(sender.submit("order", &format!("held-{n}"), 7, 16_000, b"x"), 202);
+        assert_eq!(sender.submit("order", &format!("queued-{n}"), 7, 16_000, b"x"), 202);
     }
     sender
 }
@@ -98,8 +98,8 @@
 }
 
 /// Above the limit of open messages a submission is answered only after the admission wait. If the same
-/// message is submitted twice meanwhile, both requests get the same answer. A message that is shed leaves no
-/// notice and no record in the journal.
+/// message is submitted twice during that wait, both requests get the same answer. A message that is shed
+/// leaves no notice and no record in the journal.
 #[test]
 fn a_message_shed_after_the_admission_wait_leaves_no_record() {
     let (draining, available) = (FakeServer::new(|_| ok_reply()), FakeServer::new(|_| ok_reply()));
@@ -148,14 +148,14 @@
     let discovery = Discovery::new(list("Terminating"));
     let mut sender = start_at_open_limit(&discovery);
     let mut client = TcpStream::connect(sender.address).unwrap();
-    client.write_all(&submission_request("order", "waits", 7, 16_000, b"x")).unwrap();
-    sender.wait_until("the submission has arrived", || sender.log().contains("trace=\"waits\""));
+    client.write_all(&submission_request("order", "waiting", 7, 16_000, b"x")).unwrap();
+    sender.wait_until("the submission has arrived", || sender.log().contains("trace=\"waiting\""));
     sender.kill();
     discovery.set_instances(list("Ready"));
     sender.restart();
     endpoint.wait_until("all queued messages", |received| received.len() >= 18);
-    assert_eq!(sender.submit("order", "waits", 7, 16_000, b"x"), 202);
-    assert_eq!(endpoint.wait_for_message("waits", 1).len(), 1);
+    assert_eq!(sender.submit("order", "waiting", 7, 16_000, b"x"), 202);
+    assert_eq!(endpoint.wait_for_message("waiting", 1).len(), 1);
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
 
@@ -167,8 +167,8 @@
     let discovery = Discovery::new(json!([instance("e-1", endpoint.address, 7, "plain", "Terminating")]));
     let mut sender = start_at_open_limit(&discovery);
     let mut client = TcpStream::connect(sender.address).unwrap();
-    client.write_all(&submission_request("order", "waits", 7, 16_000, b"x")).unwrap();
-    sender.wait_until("the submission has arrived", || sender.log().contains("trace=\"waits\""));
+    client.write_all(&submission_request("order", "waiting", 7, 16_000, b"x")).unwrap();
+    sender.wait_until("the submission has arrived", || sender.log().contains("trace=\"waiting\""));
     sender.terminate();
     let response = read_http_message(&mut BufReader::new(client), 0).unwrap();
     assert!(response.start_line.contains(" 503 "), "{response:?}");
@@ -221,7 +221,9 @@
     sender.pause();
     for n in 0..5 {
         let mut client = TcpStream::connect(sender.address).unwrap();
-        client.write_all(&submission_request("order", &format!("gone-{n}"), 7, 16_000, b"x")).unwrap();
+        client
+            .write_all(&submission_request("order", &format!("disconnected-{n}"), 7, 16_000, b"x"))
+            .unwrap();
     }
     sender.resume();
     assert_eq!(sender.submit("alert", "after", 7, 16_000, b"x"), 202);
@@ -245,7 +247,7 @@
         instance("e-1", endpoint.address, 7, "plain", "Terminating"),
         ready_instance("e-2", other.address, 7)
     ]));
-    // Two requests that began during the silence: the second one shows that the first has timed out.
+    // Of three more requests two began during the silence: the second one shows that the first has timed out.
     let watch_requests =
         |received: &[HttpMessage]| received.iter().filter(|r| r.start_line.contains("index=")).count();
     let count_before = watch_requests(&discovery.server.received());
--- a/crates/serve/nickelshed/tests/sender.rs
+++ b/crates/serve/nickelshed/tests/sender.rs
@@ -11,10 +11,12 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nickelshed");
 
-/// A server that replies with `first` to the first call and with 200 to all others.
-fn first_then_ok(first: impl Fn() -> Reply + Send + Sync + 'static) -> FakeServer {
+/// A server that replies with `first_reply` to the first call and with 200 to all others.
+fn first_then_ok(first_reply: impl Fn() -> Reply + Send + Sync + 'static) -> FakeServer {
     let calls = AtomicUsize::new(0);
-    FakeServer::new(move |_| if calls.fetch_add(1, Ordering::SeqCst) == 0 { first() } else { ok_reply() })
+    FakeServer::new(
+        move |_| if calls.fetch_add(1, Ordering::SeqCst) == 0 { first_reply() } else { ok_reply() },
+    )
 }
 
 fn start_with_one_endpoint(endpoint: &FakeServer) -> (Discovery, SenderProcess) {
@@ -138,11 +140,11 @@
 fn retry_after_applies_to_every_message_of_the_destination() {
     let endpoint = first_then_ok(|| http_reply("429 Wait", "Retry-After: 1.2\r\n", ""));
     let (_discovery, sender) = start_with_one_endpoint(&endpoint);
-    assert_eq!(sender.submit("alert", "told", 7, 16_000, b"x"), 202);
-    let limited_at = endpoint.wait_for_message("told", 1).remove(0).received_at;
+    assert_eq!(sender.submit("alert", "limited", 7, 16_000, b"x"), 202);
+    let limited_at = endpoint.wait_for_message("limited", 1).remove(0).received_at;
     assert_eq!(sender.submit("alert", "other", 7, 16_000, b"x"), 202);
     let (retried_at, other_at) = (
-        endpoint.wait_for_message("told", 2).remove(1).received_at,
+        endpoint.wait_for_message("limited", 2).remove(1).received_at,
         endpoint.wait_for_message("other", 1).remove(0).received_at,
     );
     assert!(retried_at.min(other_at) - limited_at >= Duration::from_millis(1_200));
@@ -235,8 +237,8 @@
     assert!(discovery.notices().is_empty());
 }
 
-/// Two large messages go in one call as two requests. The first hangs for longer than the second message's
-/// deadline.
+/// Two large messages go in one call as two requests. The first request hangs until after the deadline of the
+/// second message.
 #[test]
 fn a_message_that_expires_while_another_request_of_its_call_is_in_flight_is_returned_at_once() {
     let endpoint = FakeServer::new(|_| Reply::Hang);
@@ -296,7 +298,7 @@
         discovery.notices().is_empty(),
         "accepted messages are not displaced by others of the same value"
     );
-    assert_eq!(sender.submit("alert", "worth-more", 8, 16_000, b"x"), 202);
+    assert_eq!(sender.submit("alert", "more-valuable", 8, 16_000, b"x"), 202);
     let received = discovery.server.wait_until("a notice of a returned message", |requests| {
         requests.iter().any(|r| r.start_line.contains("/reports"))
     });
@@ -304,7 +306,7 @@
     let notices = discovery.notices();
     assert!(notices.iter().all(|n| n["outcome"] == "handed_back"), "{notices:?}");
     assert!(notices.iter().all(|n| n["retry_in_ms"].as_u64().is_some_and(|ms| ms > 0)), "{notices:?}");
-    assert!(notices.iter().all(|n| n["message"] != "worth-more"), "{notices:?}");
+    assert!(notices.iter().all(|n| n["message"] != "more-valuable"), "{notices:?}");
 }
 
 #[test]
@@ -417,7 +419,7 @@
     sender.restart();
     for i in 0..20 {
         assert_eq!(sender.submit("order", &format!("m{i}"), 7, 16_000, b"x"), 202);
-        assert_eq!(sender.submit("order", &format!("held{i}"), 9, 16_000, b"y"), 202);
+        assert_eq!(sender.submit("order", &format!("queued{i}"), 9, 16_000, b"y"), 202);
     }
     (0..20).for_each(|i| _ = endpoint.wait_for_message(&format!("m{i}"), 1));
     wait_until_settled(&sender, &endpoint);
@@ -428,7 +430,7 @@
     ]));
     sender.restart();
     for i in 0..20 {
-        assert_eq!(endpoint.wait_for_message(&format!("held{i}"), 1)[0].body, b"y");
+        assert_eq!(endpoint.wait_for_message(&format!("queued{i}"), 1)[0].body, b"y");
     }
     assert_eq!(sender.submit("order", "short", 7, 600, b"x"), 202);
     endpoint.wait_for_message("short", 1);
@@ -456,7 +458,7 @@
     let endpoint = FakeServer::new(|_| ok_reply());
     let discovery = Discovery::new(json!([terminating_instance(7)]));
     let mut sender = SenderProcess::start(PROGRAM, &discovery);
-    for id in ["whole", "torn"] {
+    for id in ["intact", "torn"] {
         assert_eq!(sender.submit("order", id, 7, 16_000, &[7; 300]), 202);
     }
     sender.kill();
@@ -465,7 +467,7 @@
     std::fs::write(&path, &bytes[..bytes.len() - 5]).unwrap();
     discovery.set_instances(json!([ready_instance("e-1", endpoint.address, 7)]));
     sender.restart();
-    endpoint.wait_for_message("whole", 1);
+    endpoint.wait_for_message("intact", 1);
     wait_until_settled(&sender, &endpoint);
     assert!(!endpoint.received().iter().any(|r| r.message_id() == "torn"));
     // Records that are written after the cut can be read again.
@@ -479,11 +481,11 @@
     discovery.set_instances(json!([ready_instance("e-1", endpoint.address, 7)]));
     sender.restart();
     endpoint.wait_for_message("later", 1);
-    assert_eq!(endpoint.wait_for_message("whole", 1).len(), 1);
+    assert_eq!(endpoint.wait_for_message("intact", 1).len(), 1);
 }
 
 /// An attempt record in the middle of the journal is corrupted. The journal assumes that the attempt was
-/// made: an unsafe message fails and is not sent again, and the records behind the damage survive.
+/// made: an unsafe message fails and is not sent again, and the records after the damage survive.
 #[test]
 fn a_corrupted_attempt_record_does_not_let_an_unsafe_message_run_twice() {
     let endpoint = first_then_ok(|| Reply::Hang);
@@ -500,7 +502,7 @@
     sender.kill();
     let path = sender.segments().pop().unwrap();
     let mut bytes = std::fs::read(&path).unwrap();
-    // Past the header of the frame that holds the attempt record.
+    // Offset 26 is past the header of the frame that holds the attempt record.
     bytes[length_before_attempt + 26] ^= 1;
     std::fs::write(&path, bytes).unwrap();
     discovery.set_instances(json!([
@@ -538,7 +540,8 @@
     let mut sender = SenderProcess::start_with(PROGRAM, &discovery, json!([]), |config| {
         config["limits"]["disk_mb"] = json!(0.4)
     });
-    // In sum far more than the limit: it holds only if records of finished messages are dropped.
+    // Together they are far larger than the limit, which is kept only if compaction drops the records of
+    // finished messages.
     for i in 0..60 {
         let id = format!("m{i}");
         assert_eq!(sender.submit("alert", &id, 7, 16_000, &[1; 20_000]), 202);
@@ -548,7 +551,7 @@
     // Open messages are not dropped: these wait until the list has an endpoint for their destination.
     let mut queued = Vec::new();
     loop {
-        let id = format!("held{}", queued.len());
+        let id = format!("queued{}", queued.len());
         match sender.submit("order", &id, 9, 16_000, &[2; 20_000]) {
             202 => queued.push(id),
             status => break assert_eq!(status, 503),
@@ -564,7 +567,7 @@
     for id in &queued {
         assert_eq!(endpoint.wait_for_message(id, 1)[0].body, [2; 20_000]);
     }
-    assert_eq!(sender.submit("order", "room again", 7, 16_000, b"x"), 202);
+    assert_eq!(sender.submit("order", "after-restart", 7, 16_000, b"x"), 202);
     assert!(sender.disk_usage() <= limit);
 }
 
@@ -582,14 +585,14 @@
     let discovery =
         Discovery::new(json!([ready_instance("e-1", endpoint.address, 7), terminating_instance(9)]));
     let mut sender = SenderProcess::start(PROGRAM, &discovery);
-    assert_eq!(sender.submit("order", "out", 7, 16_000, b"x"), 202);
-    assert_eq!(sender.submit("order", "held", 9, 16_000, b"x"), 202);
+    assert_eq!(sender.submit("order", "in-flight", 7, 16_000, b"x"), 202);
+    assert_eq!(sender.submit("order", "queued", 9, 16_000, b"x"), 202);
     sender.wait_until("the call is in flight", || arrived.load(Ordering::SeqCst) == 1);
     sender.terminate();
     // For a while after SIGTERM new connections are still accepted and served.
     assert_eq!(sender.submit("order", "late", 9, 16_000, b"x"), 202);
     release.send(()).unwrap();
-    endpoint.wait_for_message("out", 1);
+    endpoint.wait_for_message("in-flight", 1);
     assert!(sender.wait_for_exit().success(), "{}", sender.log());
     discovery.set_instances(json!([
         ready_instance("e-1", endpoint.address, 7),
@@ -597,10 +600,10 @@
     ]));
     drop(release);
     sender.restart();
-    endpoint.wait_for_message("held", 1);
+    endpoint.wait_for_message("queued", 1);
     endpoint.wait_for_message("late", 1);
     wait_until_settled(&sender, &endpoint);
-    assert_eq!(endpoint.wait_for_message("out", 1).len(), 1);
+    assert_eq!(endpoint.wait_for_message("in-flight", 1).len(), 1);
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
 
@@ -623,7 +626,8 @@
     let sender = SenderProcess::start_with(PROGRAM, &discovery, json!([]), |config| {
         config["limits"]["sockets"] = json!(64)
     });
-    // Of the 64, 40 are left for connections: 15 for calls, 23 for clients and two that only answer 503.
+    // Of 64 sockets, 40 are available for connections: 15 for calls, 23 for clients, and 2 for further
+    // clients that only get a 503.
     let occupied: Vec<TcpStream> = (0..23).map(|_| TcpStream::connect(sender.address).unwrap()).collect();
     let (status, headers) = sender.submit_with_headers("alert", "one more", 7, 16_000, b"x");
     assert_eq!((status, headers.get("connection").map(String::as_str)), (503, Some("close")), "{headers:?}");
@@ -660,7 +664,7 @@
     assert!(sender.wait_for_exit().success());
 }
 
-/// An address at which new connections hang: the backlog of its listener is full until `accept_connections`.
+/// A listener whose backlog is full, so that new connections to its address hang until `accept_connections`.
 struct HangingListener {
     runtime: tokio::runtime::Runtime,
     listener: tokio::net::TcpListener,
@@ -759,8 +763,8 @@
         |config: &mut Value| config["settings"]["Limits"]["DialTimeoutNs"] = json!(20_000_000_000u64);
     let sender = SenderProcess::start_with(PROGRAM, &discovery, json!([]), set_dial_timeout);
     assert_eq!(sender.submit("order", "connecting", 7, 16_000, b"x"), 202);
-    assert_eq!(sender.submit("order", "told", 7, 16_000, b"x"), 202);
-    let limited_at = other.wait_for_message("told", 1).remove(0).received_at;
+    assert_eq!(sender.submit("order", "limited", 7, 16_000, b"x"), 202);
+    let limited_at = other.wait_for_message("limited", 1).remove(0).received_at;
     let hanging = hanging.accept_connections();
     sender.wait_until("the connection is established", || hanging.connection_count() > 0);
     let call_times = |id: &str| {
@@ -768,7 +772,7 @@
         all.filter(|r| r.message_id() == id).map(|r| r.received_at).collect::<Vec<_>>()
     };
     sender.wait_until("both are delivered", || {
-        call_times("connecting").len() == 1 && call_times("told").len() == 2
+        call_times("connecting").len() == 1 && call_times("limited").len() == 2
     });
     assert!(call_times("connecting")[0] - limited_at >= Duration::from_secs(3));
 }
@@ -936,7 +940,7 @@
             "{length_headers}: {response}"
         );
     }
-    // Rejected before its body is read.
+    // This request is rejected before its body is read.
     let bytes = message_request("outer", "Content-Length: 70000\r\n") + &smuggled;
     assert!(read_until_closed(&sender, bytes.as_bytes()).expect("closed").starts_with("HTTP/1.1 413"));
     wait_until_settled(&sender, &endpoint);
@@ -961,8 +965,8 @@
 fn idle_client_connections_do_not_keep_new_clients_out() {
     let endpoint = FakeServer::new(|_| ok_reply());
     let discovery = Discovery::new(json!([ready_instance("e-1", endpoint.address, 7)]));
-    // 23 client connections. When more than three quarters of them are in use, each response closes its
-    // connection.
+    // This allows 23 client connections. While more than three quarters of them are in use, the sender closes
+    // each connection after its response.
     let sender = SenderProcess::start_with(PROGRAM, &discovery, json!([]), |config| {
         config["limits"]["sockets"] = json!(64)
     });
@@ -980,7 +984,8 @@
         let (status, headers) = sender.submit_with_headers("alert", &format!("n{i}"), 7, 16_000, b"x");
         assert_eq!((status, headers.get("connection").map(String::as_str)), (202, Some("close")));
     }
-    // Connections without a request take all that is left: the one that has been idle longest is closed.
+    // Connections without a request use up all that are left: the sender closes the one that has been idle
+    // longest.
     let _silent: Vec<TcpStream> = (0..6).map(|_| TcpStream::connect(sender.address).unwrap()).collect();
     sender.wait_until("a connection is free", || sender.submit("alert", "settle", 7, 16_000, b"x") == 202);
     let mut last = &idle[16];
@@ -1039,8 +1044,8 @@
     sender.wait_until("there is memory for a large body again", || submit_large(99).0 == 202);
 }
 
-/// For a call with one message a status line with 200 counts as delivered, whatever follows. After any other
-/// corrupted response the message may have been executed.
+/// A message that was sent alone in its call counts as delivered if the status line says 200, whatever
+/// follows. After any other corrupted response the message may have been executed.
 #[test]
 fn a_corrupted_response_is_a_failure_unless_its_status_line_says_200() {
     let cases = [
--- a/crates/serve/nickelshed/tests/sidecar.rs
+++ b/crates/serve/nickelshed/tests/sidecar.rs
@@ -63,7 +63,8 @@
 fn a_notice_stays_pending_until_the_file_and_the_http_receiver_have_it() {
     let receiver = FakeServer::new(|_| http_reply("503 Not now", "", ""));
     let mut sender = SenderProcess::start_sidecar(PROGRAM, |listen| {
-        let notices = format!("{NOTICES_TO_FILE}\nhttp = \"http://{}/told?by=us\"", receiver.address);
+        let notices =
+            format!("{NOTICES_TO_FILE}\nhttp = \"http://{}/notices?from=sidecar\"", receiver.address);
         sidecar_config(listen, &[unused_address()], &notices)
     });
     assert_eq!(sender.submit("order", "m", 7, 500, b"x"), 202);
@@ -74,7 +75,7 @@
     let count_before = receiver.received().len();
     sender.restart();
     let received = receiver.wait_until("the notice again", |received| received.len() > count_before);
-    assert_eq!(received[count_before].start_line, "POST /told?by=us HTTP/1.1");
+    assert_eq!(received[count_before].start_line, "POST /notices?from=sidecar HTTP/1.1");
     let notice: Value = serde_json::from_slice(&received[count_before].body).unwrap();
     assert_eq!((&notice["message"], &notice["outcome"]), (&"m".into(), &"handed_back".into()));
     // The file gets the notice a second time, and after that it is no longer pending.
@@ -126,16 +127,16 @@
     old.wait_for_message("second", 1);
     sender.reload(&sidecar_config(sender.address, &[new.address], NOTICES_TO_FILE));
     sender.wait_until("the reload is logged", || sender.log().contains("was read again"));
-    // The reload is logged before the list is queued for the core, and the list is queued before any later
-    // message: from here on the new list is in effect.
+    // The reload is logged before the list is queued for the event loop. The list is queued before any later
+    // message, so it is in effect for the following ones.
     for id in ["third", "fourth", "fifth"] {
         assert_eq!(sender.submit("alert", id, 7, 9_000, b"x"), 202);
         new.wait_for_message(id, 1);
     }
     assert!(old.received().iter().all(|r| ["first", "second"].contains(&r.message_id())));
     // A change from configured endpoints to discovery needs a restart.
-    let endpoints_offset = sender.sidecar_config.as_ref().unwrap().find("[[destination]]").unwrap();
-    let text = sidecar_config(sender.address, &[], NOTICES_TO_FILE)[..endpoints_offset].to_string();
+    let destinations_offset = sender.sidecar_config.as_ref().unwrap().find("[[destination]]").unwrap();
+    let text = sidecar_config(sender.address, &[], NOTICES_TO_FILE)[..destinations_offset].to_string();
     sender.reload(&(text + &format!("[discovery]\naddress = \"{}\"\n", unused_address())));
     sender.wait_until("the needed restart is logged", || sender.log().contains("needs a new start"));
     assert_eq!(sender.submit("alert", "sixth", 7, 9_000, b"x"), 202);
@@ -148,8 +149,8 @@
     let discovery = Discovery::new(serde_json::json!([ready_instance("e-1", endpoint.address, 7)]));
     let sender = SenderProcess::start_sidecar(PROGRAM, |listen| {
         let text = sidecar_config(listen, &[], NOTICES_TO_FILE);
-        let endpoints_offset = text.find("[[destination]]").unwrap();
-        format!("{}[discovery]\naddress = \"{}\"\n", &text[..endpoints_offset], discovery.server.address)
+        let destinations_offset = text.find("[[destination]]").unwrap();
+        format!("{}[discovery]\naddress = \"{}\"\n", &text[..destinations_offset], discovery.server.address)
     });
     sender.wait_until("the list has arrived", || sender.submit("alert", "m", 7, 9_000, b"x") == 202);
     endpoint.wait_for_message("m", 1);
@@ -211,7 +212,7 @@
         // Skips files with another listen address or state folder, which may not belong to this test.
         if validated
             .as_ref()
-            .is_ok_and(|settings| settings.listen != sender.address || settings.state != Path::new("state"))
+            .is_ok_and(|sidecar| sidecar.listen != sender.address || sidecar.state != Path::new("state"))
         {
             continue;
         }
