--- a/bench/journal-compare/src/main.rs
+++ b/bench/journal-compare/src/main.rs
@@ -2,9 +2,9 @@
 //! commit accepts eight messages of 1 KiB and finishes the eight that were accepted a hundred commits before.
 //!
 //! Run it with `cargo run --release` in this folder. With durability `process` a commit leaves its data in
-//! the page cache; with `machine` each commit is synced. redb has no commit that survives the process without
-//! a sync, so its `process` row uses commits that may be lost (Durability::None), a weaker guarantee than that
-//! of the others.
+//! the page cache; with `machine` each commit is synced. redb has no commit that survives the end of the
+//! process without a sync, so its `process` row uses commits that may be lost (Durability::None), a weaker
+//! guarantee than that of the others.
 use bytes::Bytes;
 use nickelshed_budget::Budget;
 use nickelshed_journal as nj;
@@ -16,6 +16,7 @@
 use std::time::{Duration, Instant};
 
 const MESSAGES_PER_COMMIT: u64 = 8;
+/// Number of commits after which the messages of a commit are finished.
 const COMMITS_UNTIL_FINISHED: u64 = 100;
 const BODY_BYTES: usize = 1_024;
 
@@ -56,8 +57,8 @@
     dest: u64,
     trace: String,
     key: Option<String>,
-    since: i64,
-    end: i64,
+    accepted_at_ms: i64,
+    deadline_ms: i64,
     #[serde(with = "serde_bytes")]
     body: Vec<u8>,
 }
@@ -70,8 +71,8 @@
         dest: id % 30,
         trace: format!("{id:016x}"),
         key: None,
-        since: 0,
-        end: 16_000,
+        accepted_at_ms: 0,
+        deadline_ms: 16_000,
         body: body(id).to_vec(),
     };
     postcard::to_stdvec(&message).unwrap()
@@ -150,6 +151,7 @@
     }
 }
 
+/// The database, and whether each commit is synced.
 struct Redb(Database, bool);
 
 const MESSAGES_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("held");
@@ -178,6 +180,7 @@
     }
 }
 
+/// The engine, and whether each commit is synced.
 struct Raft(Engine, bool);
 
 fn open_raft(path: &Path, sync_commits: bool) -> Raft {
@@ -196,7 +199,7 @@
         accepted.for_each(|id| batch.put(1, id.to_be_bytes().to_vec(), encoded(id)).unwrap());
         finished.for_each(|id| batch.delete(1, id.to_be_bytes().to_vec()));
         self.0.write(&mut batch, self.1).unwrap();
-        // raft-engine has no background thread for this, so its user must call it regularly.
+        // raft-engine has no background thread that purges files, so its user must call this regularly.
         self.0.purge_expired_files().unwrap();
     }
 
@@ -224,9 +227,9 @@
 fn append(store: &mut dyn Store, duration: Duration) -> f64 {
     let (started_at, mut commits) = (Instant::now(), 0);
     while started_at.elapsed() < duration {
-        let finished = commits.max(COMMITS_UNTIL_FINISHED) - COMMITS_UNTIL_FINISHED;
+        let finished_commit = commits.max(COMMITS_UNTIL_FINISHED) - COMMITS_UNTIL_FINISHED;
         let finished = if commits >= COMMITS_UNTIL_FINISHED {
-            finished * MESSAGES_PER_COMMIT..(finished + 1) * MESSAGES_PER_COMMIT
+            finished_commit * MESSAGES_PER_COMMIT..(finished_commit + 1) * MESSAGES_PER_COMMIT
         } else {
             0..0
         };
--- a/crates/tools/nickelshed-ctl/src/doctor.rs
+++ b/crates/tools/nickelshed-ctl/src/doctor.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Time-out of a connection attempt.
+/// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_CONCURRENT_CONNECTS: usize = 32;
 
@@ -18,7 +18,7 @@
 }
 
 /// Returns a finding for each condition of this host that would prevent the sidecar from starting or working.
-/// Relative paths of the configuration start at `folder`, the folder of its file.
+/// Resolves relative paths of the configuration against `folder`, the folder of its file.
 pub fn examine(sidecar: &Sidecar, source: &Source, folder: &Path) -> Vec<Finding> {
     let mut findings = Vec::new();
     if let Err(error) = TcpListener::bind(sidecar.listen) {
@@ -96,6 +96,7 @@
     fs::remove_file(test_file)
 }
 
+/// Opens the file for appending or, if it does not exist, checks that it could be created.
 fn check_file_writable(path: &Path) -> io::Result<()> {
     if path.exists() {
         fs::OpenOptions::new().append(true).open(path).map(|_| ())
--- a/crates/tools/nickelshed-ctl/src/files.rs
+++ b/crates/tools/nickelshed-ctl/src/files.rs
@@ -21,7 +21,7 @@
 }
 
 /// Reads at most one byte more than `MAX_FILE_BYTES`, enough to detect a file that is too large. The limit is
-/// needed because a path may name an endless device such as /dev/zero.
+/// needed because a path may name an endless device such as /dev/zero. A read error is returned as a finding.
 pub fn read(path: &Path) -> (FileContent, Option<Finding>) {
     let mut bytes = Vec::new();
     let read = File::open(path).and_then(|f| f.take(MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes));
@@ -38,7 +38,7 @@
     pub contents: Vec<FileContent>,
     /// One entry for each file; `None` if its syntax or types are invalid.
     pub parsed: Vec<Option<(Sidecar, Source)>>,
-    /// After `check_conflicts` sorted by file, then by position in the file.
+    /// `check_conflicts` sorts them by file, then by position in the file.
     pub findings: Vec<Finding>,
 }
 
@@ -127,8 +127,7 @@
         if overwrite {
             fs::rename(&temporary, path)
         } else {
-            // Unlike a rename, this fails if the file exists, also if another process has created it
-            // meanwhile.
+            // Unlike a rename, this fails if the file exists, even if another process has just created it.
             fs::hard_link(&temporary, path)
         }
     });
--- a/crates/tools/nickelshed-ctl/src/lib.rs
+++ b/crates/tools/nickelshed-ctl/src/lib.rs
@@ -98,8 +98,8 @@
     /// List the members in the view of one member, with state, time in that state, version and settings
     #[command(
         after_help = "Exit codes: 0 all present members have the same view without suspect or gone members; 1 otherwise;
-2 invalid arguments; 3 no member answers. The tool asks the own member of the file first, then its seeds.
-It does not join the fleet."
+2 invalid arguments; 3 no member answers. The tool queries the member that the file configures, then its
+seeds, until one answers. It does not join the fleet."
     )]
     Members {
         #[arg(value_name = "FILE")]
@@ -134,7 +134,7 @@
     Code(u8),
 }
 
-/// Prints to standard output. Ignores errors because the reader may have closed the pipe early.
+/// Prints to standard output. Ignores errors because the reader may have closed the pipe.
 fn print(text: &str) {
     let mut out = std::io::stdout().lock();
     let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
@@ -196,7 +196,7 @@
     Ok(())
 }
 
-/// Reads a configuration. Prints its findings and returns `None` if its syntax or types are invalid.
+/// Reads a configuration. If its syntax or types are invalid, prints its findings and returns `None`.
 fn load_sidecar(path: &Path) -> Option<Sidecar> {
     let mut checked = check(std::slice::from_ref(&path.to_path_buf()));
     let file = checked.parsed.pop().flatten();
@@ -262,7 +262,7 @@
     outcome_of(&checked.findings, false)
 }
 
-/// Prints the state of a fleet: once if `watch_for` is `None`, else on each change until that time has
+/// Prints the state of a fleet: once if `watch_for` is `None`, otherwise at each change until that time has
 /// passed.
 fn fleet(path: &Path, json: bool, watch_for: Option<Duration>) -> Result<Outcome, String> {
     let Some(sidecar) = load_sidecar(path) else { return Ok(Outcome::HasFindings) };
--- a/crates/tools/nickelshed-ctl/src/members.rs
+++ b/crates/tools/nickelshed-ctl/src/members.rs
@@ -7,9 +7,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// A member that sends nothing for this time counts as unreachable, or its view as incomplete.
+/// If a member sends nothing for this time, it counts as unreachable, or its view as incomplete if a part has
+/// been received.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval of the requests to one member. A large view takes several requests.
+/// Time between two requests to one member. A large view takes several requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,14 +25,14 @@
 /// The state of a fleet as reported by the first member that answered.
 pub struct FleetReport {
     pub health: FleetHealth,
-    /// Address of the member that answered.
+    /// Address of the member that answered; `None` if none did.
     pub queried: Option<SocketAddr>,
     pub members: Vec<ReportedMember>,
-    /// Names of present members with a different view, or without an answer.
+    /// Names of present members that have a different view or did not answer.
     pub differing: Vec<String>,
 }
 
-/// Reads the key of the configured fleet, and returns the authenticator for its datagrams.
+/// Returns the authenticator for the datagrams of the configured fleet. Without a key file the key is empty.
 ///
 /// # Errors
 /// If the file has no `[fleet]`, or its key file cannot be read.
@@ -49,8 +50,8 @@
     Ok(Authenticator::new(&fleet.name, &key))
 }
 
-/// Requests the view of one member until it is complete or nothing more is received. Without `full`, returns
-/// as soon as the digest of the view is known. Returns `None` if no digest was received.
+/// Requests the view of one member until it is complete or nothing more is received. If `full` is false,
+/// returns as soon as the digest of the view is known. Returns `None` if no digest was received.
 fn fetch_view(
     authenticator: &Authenticator,
     member_address: SocketAddr,
@@ -81,8 +82,9 @@
     Ok(observer.view_digest().is_some().then_some(observer))
 }
 
-/// Reports the state of the fleet that a sidecar belongs to. Queries the own member of the configuration
-/// first, then the seeds, until one answers; then compares the view digests of all present members.
+/// Reports the state of the fleet that a sidecar belongs to. Queries the member of the sidecar itself first,
+/// then its seeds, until one answers; then compares the view digests of all present members. A
+/// relative path of the key file is resolved against `folder`.
 ///
 /// # Errors
 /// If the configuration has no usable `[fleet]`, or no socket can be opened.
--- a/crates/tools/nickelshed-ctl/src/new.rs
+++ b/crates/tools/nickelshed-ctl/src/new.rs
@@ -35,7 +35,8 @@
     /// Folder for the journal of accepted messages [default: state/APPLICATION]
     #[arg(long, value_name = "FOLDER")]
     state: Option<PathBuf>,
-    /// A class, NAME:WANTED:ABANDONED:EFFECT, for example alert:3s:16s:keyed; keyed classes may add :WINDOW
+    /// A class, NAME:WANTED:ABANDONED:EFFECT, for example alert:3s:16s:keyed; keyed classes may add :WINDOW,
+    /// which is ABANDONED if omitted
     #[arg(long, value_name = "CLASS", value_parser = parse_class)]
     class: Vec<Class>,
     /// A destination, NAME:NUMBER=ADDRESS,ADDRESS, for example gmina-lipno:7=127.0.0.1:7501
@@ -89,8 +90,8 @@
 fn parse_destination(text: &str) -> Result<Destination, String> {
     let usage =
         || "expected NAME:NUMBER=ADDRESS,ADDRESS, for example gmina-lipno:7=127.0.0.1:7501".to_string();
-    let (head, endpoints) = text.split_once('=').ok_or_else(usage)?;
-    let (name, number) = head.split_once(':').ok_or_else(usage)?;
+    let (name_and_number, endpoints) = text.split_once('=').ok_or_else(usage)?;
+    let (name, number) = name_and_number.split_once(':').ok_or_else(usage)?;
     let number = number.parse().map_err(|_| format!("`{number}` is not a number"))?;
     let address = |text: &str| {
         text.parse()
@@ -160,6 +161,11 @@
         })
     }
 
+    /// Returns the sidecars of the fleet file, or only that of the named application. The inner `Err` holds
+    /// the findings of an invalid file.
+    ///
+    /// # Errors
+    /// If the fleet has no application of that name.
     fn sidecars_from_fleet_file(&self, path: &Path) -> Result<Result<Vec<Sidecar>, CheckedFiles>, String> {
         let failure = |content: FileContent, findings: Vec<Finding>| {
             let mut checked = CheckedFiles::default();
@@ -170,12 +176,13 @@
         if let Some(finding) = error {
             return Ok(Err(failure(content, vec![finding])));
         }
-        let read = match source::text(&content.bytes) {
-            Ok(content) => source::read::<Fleet>(content),
+        let parsed = match source::text(&content.bytes) {
+            Ok(text) => source::read::<Fleet>(text),
             Err(finding) => return Ok(Err(failure(content, vec![*finding]))),
         };
-        let (Some(fleet), Some(source), true) = (&read.value, &read.source, read.findings.is_empty()) else {
-            return Ok(Err(failure(content, read.findings)));
+        let (Some(fleet), Some(source), true) = (&parsed.value, &parsed.source, parsed.findings.is_empty())
+        else {
+            return Ok(Err(failure(content, parsed.findings)));
         };
         let sidecars = match fleet::sidecars(fleet, source, |port| is_free(fleet.listen_at, port)) {
             Ok(sidecars) => sidecars,
@@ -190,11 +197,12 @@
         }
     }
 
-    /// Writes the files and returns their paths. Writes none of them if one would have errors, or exists and
-    /// `--force` is not given. The inner `Err` holds the findings.
+    /// Writes the files and returns their paths. Writes none of them if one would have errors, or if one
+    /// exists and `--force` is not given. The inner `Err` holds the findings.
     ///
     /// # Errors
-    /// If flags are missing, a file exists without `--force`, or a file cannot be written.
+    /// If flags are missing, the fleet has no such application, a file exists and `--force` is not given, or
+    /// a file cannot be written.
     pub fn run(&self) -> Result<Result<Vec<PathBuf>, CheckedFiles>, String> {
         let sidecars = match (&self.fleet, &self.application) {
             (Some(fleet), _) => match self.sidecars_from_fleet_file(fleet)? {
@@ -216,13 +224,13 @@
         if checked.error_count() > 0 {
             return Ok(Err(checked));
         }
-        if let Some(existing) = checked.contents.iter().find(|t| !self.force && t.path.exists()) {
+        if let Some(existing) = checked.contents.iter().find(|content| !self.force && content.path.exists()) {
             return Err(format!("{} already exists; use --force to overwrite it", existing.path.display()));
         }
         for content in &checked.contents {
             let result = files::write(&content.path, content.as_str(), self.force);
             result.map_err(|e| format!("cannot write {}: {e}", content.path.display()))?;
         }
-        Ok(Ok(checked.contents.into_iter().map(|t| t.path).collect()))
+        Ok(Ok(checked.contents.into_iter().map(|content| content.path).collect()))
     }
 }
--- a/crates/tools/nickelshed-ctl/src/report.rs
+++ b/crates/tools/nickelshed-ctl/src/report.rs
@@ -7,21 +7,21 @@
 use serde_json::{json, Value};
 use std::io::IsTerminal;
 
-/// Lines of a span that are shown at most.
-const MAX_LINES: usize = 3;
-/// Bytes of an excerpt that are shown at most, as a whole file may be a single line.
-const MAX_LINE_BYTES: usize = 400;
+/// Maximum number of lines in an excerpt.
+const MAX_EXCERPT_LINES: usize = 3;
+/// Maximum length of an excerpt: a whole file may be a single line.
+const MAX_EXCERPT_BYTES: usize = 400;
 
-/// Returns the start and end offset of the lines with the span, `MAX_LINES` at most, and the number of the
-/// first line.
-fn lines(text: &str, span: &Span) -> (usize, usize, usize) {
+/// Returns the start and end offset of the lines that contain the span, `MAX_EXCERPT_LINES` at most, and the
+/// number of the first line.
+fn excerpt_lines(text: &str, span: &Span) -> (usize, usize, usize) {
     let mut span_start = span.start.min(text.len());
     while !text.is_char_boundary(span_start) {
         span_start -= 1;
     }
     let first_line_start = text[..span_start].rfind('\n').map_or(0, |newline| newline + 1);
     let mut lines_end = first_line_start;
-    for line in text[first_line_start..].split_inclusive('\n').take(MAX_LINES) {
+    for line in text[first_line_start..].split_inclusive('\n').take(MAX_EXCERPT_LINES) {
         lines_end += line.len();
         if lines_end >= span.end {
             break;
@@ -30,6 +30,7 @@
     (first_line_start, lines_end, position(text, span_start).0)
 }
 
+/// Returns an excerpt of the file with the span marked and labelled.
 fn snippet<'a>(
     content: &'a FileContent,
     span: &Span,
@@ -37,10 +38,10 @@
     label: &'a str,
 ) -> Snippet<'a, annotate_snippets::Annotation<'a>> {
     let source = content.as_str();
-    let (lines_start, lines_end, line_number) = lines(source, span);
+    let (lines_start, lines_end, line_number) = excerpt_lines(source, span);
     let mut excerpt = &source[lines_start..lines_end];
-    if excerpt.len() > MAX_LINE_BYTES {
-        let mut length = MAX_LINE_BYTES;
+    if excerpt.len() > MAX_EXCERPT_BYTES {
+        let mut length = MAX_EXCERPT_BYTES;
         while !excerpt.is_char_boundary(length) {
             length -= 1;
         }
@@ -96,7 +97,7 @@
     (errors, findings.len() - errors)
 }
 
-/// Formats all findings as JSON.
+/// Formats all findings as JSON, with the numbers of files, errors and warnings.
 pub fn format_json(findings: &[Finding], contents: &[FileContent]) -> Value {
     let location = |file: usize, span: &Span| {
         let content = &contents[file];
--- a/crates/tools/nickelshed-ctl/tests/ctl.rs
+++ b/crates/tools/nickelshed-ctl/tests/ctl.rs
@@ -71,7 +71,7 @@
     );
 }
 
-/// Compares the whole output of two errors that users have named, because operators act on that text.
+/// Compares the whole output for two errors that users have named, because operators act on that text.
 #[test]
 fn a_port_conflict_and_a_deadline_after_abandonment_are_reported_in_full() {
     let folder = TestFolder::new("full-output");
--- a/crates/tools/nickelshed-quickstart/src/main.rs
+++ b/crates/tools/nickelshed-quickstart/src/main.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 const EXAMPLE: &str = include_str!("../../../../deploy/sidecar.toml");
-/// Time-out for the start of the sidecar, and for the outcome of one alert.
+/// Timeout for the start of the sidecar, and for the outcome of one alert.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Starts the sidecar of deploy/sidecar.toml with fake customer systems, submits a few alerts and prints the
@@ -117,7 +117,7 @@
             servers.push(fake_server(&destination.name, destination.number, listener, attempt_log.clone()));
         }
     }
-    // The listener is closed at once so that the sidecar can use the port.
+    // This listener is closed at once so that the sidecar can use its port.
     sidecar.listen = listener(sidecar.listen)?.local_addr()?;
     sidecar.state = "state".into();
     sidecar.notices.file = Some("notices.jsonl".into());
@@ -174,15 +174,15 @@
 /// is open.
 fn outcome_of(alert: &Alert, attempt_log: &AttemptLog, notices: &Path) -> Option<String> {
     let (attempts, executed) = attempt_log.get(&alert.id);
-    let plural = if attempts == 1 { "try" } else { "tries" };
+    let noun = if attempts == 1 { "try" } else { "tries" };
     if executed {
-        return Some(format!("delivered after {attempts} {plural}"));
+        return Some(format!("delivered after {attempts} {noun}"));
     }
     let notices_text = fs::read_to_string(notices).unwrap_or_default();
     let mut notice_values = notices_text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
     let notice = notice_values.find(|value| value["message"] == alert.id.as_str())?;
     Some(format!(
-        "{} after {attempts} {plural}, according to {}",
+        "{} after {attempts} {noun}, according to {}",
         notice["outcome"].as_str()?,
         notices.display()
     ))
--- a/crates/tools/nickelshed-simhost/src/adapter.rs
+++ b/crates/tools/nickelshed-simhost/src/adapter.rs
@@ -7,9 +7,12 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
+/// An entry of a table on the wire.
 #[derive(Clone)]
 struct WireEntry {
+    /// The name of the endpoint on the wire.
     name: String,
+    /// Its `endpoint` is 0: each sender numbers the endpoints itself.
     entry: Entry,
 }
 
@@ -18,8 +21,8 @@
     reference: String,
     /// Attempts in flight.
     in_flight: u32,
-    /// The message has ended by an action, a withdrawal or an attempt. It is kept until no attempt is in
-    /// flight.
+    /// The message has ended by an action, a withdrawal or an attempt. This entry is kept until no attempt is
+    /// in flight.
     finished: bool,
 }
 
@@ -27,7 +30,8 @@
     sender: Sender,
     deployment: DeploymentContext,
     events: Vec<Event>,
-    endpoints: HashMap<String, EndpointId>,
+    endpoint_ids: HashMap<String, EndpointId>,
+    /// Names on the wire, by endpoint id.
     endpoint_names: Vec<String>,
     ids_by_reference: HashMap<String, MsgId>,
     open_messages: HashMap<MsgId, OpenMessage>,
@@ -36,12 +40,14 @@
     has_events: bool,
 }
 
+/// The senders of one simulation, by their numbers on the wire, and the state of the current batch of lines.
 #[derive(Default)]
 pub struct Adapter {
     /// Time of the current batch; `None` between batches.
     now: Option<Ns>,
     current_sender: Option<u64>,
     instances: BTreeMap<u64, SenderInstance>,
+    /// Complete tables by slot.
     tables: HashMap<u64, Rc<Vec<WireEntry>>>,
     /// A table whose entries are not all read: its slot, the number of missing entries, and the entries read
     /// so far.
@@ -94,6 +100,9 @@
 
 impl Adapter {
     /// Handles one line. Returns true if it ends a batch; `reply` then holds the answer.
+    ///
+    /// # Errors
+    /// If the line is malformed or not valid at this point of the batch.
     pub fn handle_line(&mut self, line: &str, reply: &mut String) -> Result<bool, String> {
         if line.is_empty() {
             return Ok(false);
@@ -138,6 +147,7 @@
             "LAUNCH" => {
                 let sender_number = self.current_sender.ok_or("LAUNCH without an INSTANCE line")?;
                 let seed = fields.parse::<u64>("Prng")?;
+                // The value of `Conf` extends to the end of the line.
                 let configuration =
                     text.find("Conf=").map(|at| &text[at + 5..]).ok_or("LAUNCH field Conf is missing")?;
                 let configuration = serde_json::from_str(configuration)
@@ -191,7 +201,7 @@
             sender,
             deployment,
             events: Vec::new(),
-            endpoints: HashMap::new(),
+            endpoint_ids: HashMap::new(),
             endpoint_names: Vec::new(),
             ids_by_reference: HashMap::new(),
             open_messages: HashMap::new(),
@@ -290,11 +300,11 @@
     }
 
     fn endpoint(&mut self, name: &str) -> EndpointId {
-        if let Some(&id) = self.endpoints.get(name) {
+        if let Some(&id) = self.endpoint_ids.get(name) {
             return id;
         }
         let id = self.endpoint_names.len() as EndpointId;
-        self.endpoints.insert(name.to_string(), id);
+        self.endpoint_ids.insert(name.to_string(), id);
         self.endpoint_names.push(name.to_string());
         id
     }
--- a/crates/tools/nickelshed-simhost/tests/adapter.rs
+++ b/crates/tools/nickelshed-simhost/tests/adapter.rs
@@ -15,7 +15,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("cannot start the adapter");
-    // The adapter exits on malformed input before it has read everything, which may fail this write.
+    // The adapter exits on malformed input before it has read everything, and this write may then fail.
     let _ = child.stdin.take().expect("stdin is not piped").write_all(input.as_bytes());
     child.wait_with_output().expect("cannot wait for the adapter")
 }
