--- a/crates/decide/nickelshed-budget/src/limits.rs
+++ b/crates/decide/nickelshed-budget/src/limits.rs
@@ -1,5 +1,5 @@
-//! Capacities that follow from the limits of a process. The sender divides its resources by them, and the
-//! configuration checks compute with the same code.
+//! Capacities that follow from the resource limits of a process. The sender divides its resources with this
+//! code, and the configuration checks use it to predict what fits.
 use crate::{MAX_MESSAGE_DIVISOR, MESSAGE_MEMORY_FRACTION, MESSAGE_OVERHEAD_BYTES};
 
 /// File descriptors reserved for the listener, the discovery watch, notices and files.
@@ -17,9 +17,9 @@
 }
 
 impl SocketAllocation {
-    /// Calls get enough for their slots where possible, a sixteenth is for clients that are only told to
-    /// retry later, and the remainder is for served clients, because some clients open hundreds of
-    /// connections.
+    /// Divides what `RESERVED_SOCKETS` leaves. Calls get two connections per slot and 32 more, but at least a
+    /// quarter and at most three eighths. A sixteenth is for clients that are only told to retry later. The
+    /// remainder is for served clients, because some clients open hundreds of connections.
     pub fn divide(sockets: usize, slots: usize) -> SocketAllocation {
         let sockets = sockets.saturating_sub(RESERVED_SOCKETS);
         let calls = slots.saturating_mul(2).saturating_add(32).max(sockets / 4).min(sockets * 3 / 8);
@@ -37,11 +37,12 @@
     }
 }
 
-/// Number of open messages with bodies of `body` bytes that fit into a memory limit of `memory` bytes.
-pub fn max_messages_in_memory(memory: u64, body: usize) -> u64 {
-    let message_bytes = (body + MESSAGE_OVERHEAD_BYTES) as u64;
-    let budget_bytes = (memory as f64 * MESSAGE_MEMORY_FRACTION) as u64;
-    // The last message, too, may reserve only its fraction of what is then free.
+/// Number of open messages with bodies of `body_bytes` bytes that fit into a memory limit of `memory_bytes`
+/// bytes.
+pub fn max_messages_in_memory(memory_bytes: u64, body_bytes: usize) -> u64 {
+    let message_bytes = (body_bytes + MESSAGE_OVERHEAD_BYTES) as u64;
+    let budget_bytes = (memory_bytes as f64 * MESSAGE_MEMORY_FRACTION) as u64;
+    // The last message, like any other, may reserve only its fraction of what is still free.
     budget_bytes
         .checked_sub(MAX_MESSAGE_DIVISOR as u64 * message_bytes)
         .map_or(0, |remaining| remaining / message_bytes + 1)
@@ -53,7 +54,7 @@
     /// Fraction of the disk limit left for records after partly filled blocks, record framing and the ballast
     /// (1/32).
     pub const USABLE_DISK_FRACTION: f64 = 0.93 - 1.0 / 32.0;
-    /// A segment is one part in this many of the usable space, within the two bounds below. One segment is
+    /// The usable space divided by this is the size of a segment, within the two bounds below. One segment is
     /// kept free, and two more where a 202 waits for a sync.
     pub const SEGMENT_DIVISOR: u64 = 16;
     pub const MIN_SEGMENT_BYTES: u64 = 16 << 10;
@@ -70,25 +71,26 @@
 /// Size in bytes of each of the two copies of the list of unavailable routes: a sixty-fourth of the disk
 /// limit, which at 3 MB holds 1,024 routes with names of 32 bytes. At least 2 KiB, at most 96 KiB, rounded
 /// down to whole blocks.
-pub fn outage_list_bytes(disk: u64) -> u64 {
+pub fn outage_list_bytes(disk_bytes: u64) -> u64 {
     const DISK_DIVISOR: u64 = 64;
     const MIN_BYTES: u64 = 2 << 10;
     const MAX_BYTES: u64 = 96 << 10;
     const BLOCK_BYTES: u64 = 512;
-    (disk / DISK_DIVISOR).clamp(MIN_BYTES, MAX_BYTES) / BLOCK_BYTES * BLOCK_BYTES
+    (disk_bytes / DISK_DIVISOR).clamp(MIN_BYTES, MAX_BYTES) / BLOCK_BYTES * BLOCK_BYTES
 }
 
-/// Number of open messages with bodies of `body` bytes that a journal with a disk limit of `disk` bytes can
-/// hold, with space for every record that may follow for them. `synced`: a 202 waits for a sync of the disk.
-pub fn max_messages_on_disk(disk: u64, body: u64, attempts: u32, synced: bool) -> u64 {
-    let usable_bytes = (disk as f64 * journal::USABLE_DISK_FRACTION) as u64;
+/// Number of open messages with bodies of `body_bytes` bytes that a journal with a disk limit of `disk_bytes`
+/// bytes can hold, with space for every record that may follow for them. `is_synced`: a 202 waits for a sync
+/// of the disk.
+pub fn max_messages_on_disk(disk_bytes: u64, body_bytes: u64, attempts: u32, is_synced: bool) -> u64 {
+    let usable_bytes = (disk_bytes as f64 * journal::USABLE_DISK_FRACTION) as u64;
     let segment_bytes = (usable_bytes / journal::SEGMENT_DIVISOR)
         .clamp(journal::MIN_SEGMENT_BYTES, journal::MAX_SEGMENT_BYTES);
-    let record_bytes = journal::MESSAGE_RECORD_BYTES + body;
+    let record_bytes = journal::MESSAGE_RECORD_BYTES + body_bytes;
     // The two copies of the list of unavailable routes, and as much again for what rounding to whole segments
     // loses.
-    let outage_lists_bytes = 4 * outage_list_bytes(disk);
-    let reserved_bytes = segment_bytes * if synced { 3 } else { 1 }
+    let outage_lists_bytes = 4 * outage_list_bytes(disk_bytes);
+    let reserved_bytes = segment_bytes * if is_synced { 3 } else { 1 }
         + 6 * record_bytes
         + journal::HEADERS_BYTES
         + outage_lists_bytes;
--- a/crates/decide/nickelshed-settings/src/lib.rs
+++ b/crates/decide/nickelshed-settings/src/lib.rs
@@ -23,6 +23,7 @@
         Err(format!("{} {problem}", self.path))
     }
 
+    /// A required number that is at least `min` and, as a time in nanoseconds, fits into an `i64`.
     fn number(&self, min: f64) -> Result<f64, String> {
         match self.value.as_f64() {
             Some(n) if n >= min && n < 9e18 => Ok(n),
@@ -43,6 +44,7 @@
         Ok(self.number_or(0.0, 0.0)?.min(MAX_TIME_NS) as Ns)
     }
 
+    /// Like `number`, with a default for an absent value.
     fn number_or(&self, min: f64, default: f64) -> Result<f64, String> {
         if self.value.is_null() {
             Ok(default)
@@ -51,6 +53,7 @@
         }
     }
 
+    /// A boolean, false if absent.
     fn flag(&self) -> Result<bool, String> {
         match self.value {
             Value::Null => Ok(false),
@@ -67,6 +70,7 @@
         }
     }
 
+    /// The items of an array, none if absent.
     fn list(&self) -> Result<Vec<Node<'a>>, String> {
         match self.value {
             Value::Null => Ok(Vec::new()),
@@ -97,10 +101,11 @@
     pub discovery_mode: DiscoveryMode,
     /// Whether senders may exchange datagrams.
     pub peer_datagrams: bool,
-    /// Positions of the fields `x0` and `x1` in a load report; `None` if the report lacks them.
+    /// Positions of the fields `x0` (remaining fraction of the limit) and `x1` (the limit) in a load report;
+    /// `None` if the report lacks them.
     pub x0_column: Option<usize>,
     pub x1_column: Option<usize>,
-    /// Names of the classes by the index that the policy uses; tenants, kinds and zones alike.
+    /// Names by the index that the policy uses: of the classes, and below of tenants, kinds and zones.
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub kinds: Vec<String>,
@@ -110,7 +115,8 @@
 /// Returns the names of a list's items: the items themselves, or their value for `key`. A name that is not a
 /// string is read as empty.
 fn names(items: Vec<Node>, key: Option<&str>) -> Vec<String> {
-    let name = |i: &Node| key.map_or(i.value, |k| i.get(k).value).as_str().unwrap_or_default().to_string();
+    let name =
+        |item: &Node| key.map_or(item.value, |k| item.get(k).value).as_str().unwrap_or_default().to_string();
     items.iter().map(name).collect()
 }
 
--- a/crates/serve/nickelshed-host/src/lib.rs
+++ b/crates/serve/nickelshed-host/src/lib.rs
@@ -21,7 +21,7 @@
     ///
     /// # Errors
     /// If the connection is refused. If nothing answers, the future never completes, so the caller needs a
-    /// time-out.
+    /// timeout.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 
     /// Listens for connections at an address.
@@ -46,6 +46,7 @@
     fn wall_ms(&self) -> i64;
 }
 
+/// A socket that accepts connections.
 pub trait Listener: 'static {
     type Stream: Stream;
 
@@ -76,11 +77,12 @@
     /// `buffer` is empty. Only the task that polled last is woken.
     fn poll_read(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>>;
 
-    /// Writes a part of the bytes and returns how many. Only the task that polled last is woken.
-    fn poll_write(&self, cx: &mut Context<'_>, parts: &[IoSlice<'_>]) -> Poll<io::Result<usize>>;
+    /// Writes some or all of the bytes, in order, and returns how many. Only the task that polled last is
+    /// woken.
+    fn poll_write(&self, cx: &mut Context<'_>, buffers: &[IoSlice<'_>]) -> Poll<io::Result<usize>>;
 
-    /// Whether unread bytes or the end of the connection are pending. Asks the machine, since the runtime may
-    /// not have been told yet.
+    /// Whether unread bytes or the end of the connection are pending. Asks the operating system, because the
+    /// runtime may not know yet.
     fn has_readable_data(&self) -> bool;
 
     /// Shuts down the sending side; reading remains possible.
--- a/crates/serve/nickelshed-host/src/system.rs
+++ b/crates/serve/nickelshed-host/src/system.rs
@@ -9,6 +9,7 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::time::Instant;
 
+/// The machine that this process runs on.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemHost;
 
@@ -73,10 +74,10 @@
         }
     }
 
-    fn poll_write(&self, cx: &mut Context<'_>, parts: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
+    fn poll_write(&self, cx: &mut Context<'_>, buffers: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.poll_write_ready(cx))?;
-            match self.try_write_vectored(parts) {
+            match self.try_write_vectored(buffers) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 result => return Poll::Ready(result),
             }
@@ -84,6 +85,7 @@
     }
 
     fn has_readable_data(&self) -> bool {
+        // Any other error counts as readable too: the next read returns it.
         let mut byte = [MaybeUninit::uninit()];
         !matches!(SockRef::from(self).peek(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
--- a/crates/serve/nickelshed/src/calls.rs
+++ b/crates/serve/nickelshed/src/calls.rs
@@ -22,15 +22,16 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Time limits for the head of an answer, counted from its first byte, and for the body of a batch answer,
-/// which must be read to the end. Some endpoints never finish an answer, and without a limit such a call
-/// would hold its slot until the messages expire.
+/// Time limit for the head of an answer, counted from its first byte. Some endpoints never finish an answer,
+/// and without a limit such a call would hold its slot until the messages expire.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time limit for the body of a batch answer, for the same reason. It is the only body that must be read to
+/// the end to know the outcome.
 const BATCH_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Upper bound, in seconds, of a `Retry-After` value; no message lives as long.
+/// Upper bound, in seconds, of a `Retry-After` value; no message lives that long.
 const MAX_RETRY_AFTER_S: f64 = 1e6;
 
-/// Cancels a call when the policy cancels an attempt in it.
+/// Shared by the core and one call: cancels the whole call when the policy cancels an attempt in it.
 #[derive(Default)]
 pub struct CancelToken {
     is_cancelled: Cell<bool>,
@@ -71,6 +72,7 @@
     remaining: Option<Incoming>,
 }
 
+/// Makes the calls and probes that the policy decides on, and reports their results to the core.
 pub struct CallExecutor<H: Host> {
     pub core: mpsc::Sender<Input>,
     pub pool: Rc<Pool<H>>,
@@ -92,7 +94,7 @@
         while let Some(chunk) = pending.pop_front() {
             let mut exchange = pin!(self.exchange(endpoint, chunk, &cancel, started_at));
             loop {
-                let earliest = pending.iter().flatten().map(|m| m.deadline).min();
+                let earliest = pending.iter().flatten().map(|entry| entry.deadline).min();
                 tokio::select! {
                     biased;
                     () = &mut exchange => break,
@@ -104,13 +106,17 @@
                     pending.iter_mut().flat_map(|chunk| take_expired(chunk, None)).collect();
                 pending.retain(|chunk| !chunk.is_empty());
                 self.report(
-                    expired.iter().map(|m| attempt_end(m, endpoint, Outcome::NotSent, started_at)).collect(),
+                    expired
+                        .iter()
+                        .map(|entry| attempt_end(entry, endpoint, Outcome::NotSent, started_at))
+                        .collect(),
                 )
                 .await;
             }
         }
     }
 
+    /// Sends one request with these messages and reports how each of them ended.
     async fn exchange(
         &self,
         endpoint: EndpointId,
@@ -118,17 +124,22 @@
         cancel: &CancelToken,
         started_at: Instant,
     ) {
-        let attempt_end_of = |outcome| move |m: &CallEntry| attempt_end(m, endpoint, outcome, started_at);
-        // The message with the latest deadline comes first in the request, so that the first one never leaves
-        // the call early by itself: where it did, the platform was observed to ignore what the answer said
-        // about the others.
-        entries.sort_by_key(|m| std::cmp::Reverse(m.deadline));
+        let attempt_end_of =
+            |outcome| move |entry: &CallEntry| attempt_end(entry, endpoint, outcome, started_at);
+        // The message with the latest deadline comes first in the request, so that the first message in it
+        // never leaves the call before the others. When it did, the platform was observed to ignore what the
+        // answer said about the others.
+        entries.sort_by_key(|entry| std::cmp::Reverse(entry.deadline));
         // An attempt that times out while its message may still be retried must not stay open on the
         // connection, or the retry would be a second copy of the message. The whole call is closed at that
         // time. A message that expires can leave the call by itself, because it is not retried.
-        let earliest_retry =
-            entries.iter().filter(|m| m.attempt_deadline < m.deadline).map(|m| m.attempt_deadline).min();
-        let close_at = earliest_retry.or(entries.iter().map(|m| m.deadline).max()).unwrap_or(started_at);
+        let earliest_retry = entries
+            .iter()
+            .filter(|entry| entry.attempt_deadline < entry.deadline)
+            .map(|entry| entry.attempt_deadline)
+            .min();
+        let close_at =
+            earliest_retry.or(entries.iter().map(|entry| entry.deadline).max()).unwrap_or(started_at);
         let (mut connection, answer) = loop {
             let connected = {
                 let mut connecting = pin!(self.pool.connect(endpoint));
@@ -154,14 +165,14 @@
                     return self.report(entries.iter().map(attempt_end_of(outcome)).collect()).await
                 }
             };
-            // A drain, a retry-after or the end of a send window may have arrived while the connection was
-            // made or while the process was stalled.
+            // While the connection was made or the process was stalled, a drain or a retry-after may have
+            // arrived, or the time until which a message may be sent may have passed.
             self.stall_detector.caught_up().await;
             let now = Instant::now();
             let may_write = self.pool.may_write(endpoint);
             let (sendable, unsendable): (Vec<_>, Vec<_>) = entries
                 .into_iter()
-                .partition(|m| may_write && now < m.send_by && now < m.deadline.min(close_at));
+                .partition(|entry| may_write && now < entry.send_by && now < entry.deadline.min(close_at));
             entries = sendable;
             self.report(unsendable.iter().map(attempt_end_of(Outcome::NotSent)).collect()).await;
             if entries.is_empty() {
@@ -175,7 +186,7 @@
             let served =
                 |connection: &Connection<H>| !is_batch && is_status_200(&connection.socket.received_head());
             let answer = {
-                let mut answer = pin!(self.answer(&mut connection, request, endpoint, is_batch));
+                let mut answer = pin!(self.send_and_read(&mut connection, request, endpoint, is_batch));
                 loop {
                     tokio::select! {
                         biased;
@@ -220,9 +231,9 @@
                     if let Some(idle) = reused_idle.filter(|_| outcome == Outcome::ConnectionLost) {
                         self.pool.limit_idle_time(endpoint, idle);
                     }
-                    let to_lost_end = |m| AttemptEnd {
+                    let to_lost_end = |entry| AttemptEnd {
                         reused_connection: reused_idle.is_some(),
-                        ..attempt_end(m, endpoint, outcome, started_at)
+                        ..attempt_end(entry, endpoint, outcome, started_at)
                     };
                     return self.report(entries.iter().map(to_lost_end).collect()).await;
                 }
@@ -240,7 +251,9 @@
         self.report(ends).await;
     }
 
-    async fn answer(
+    /// Writes a request and reads its answer as far as the outcome needs: the head, and the body of a batch
+    /// answer.
+    async fn send_and_read(
         &self,
         connection: &mut Connection<H>,
         request: Request<Full<Bytes>>,
@@ -279,6 +292,7 @@
         }
     }
 
+    /// Makes one health check of an endpoint for the policy, and reports the outcome to the core.
     pub async fn probe(self: Rc<Self>, endpoint: EndpointId) {
         let Ok(mut connection) = self.pool.connect(endpoint).await else {
             return self.report_probe(endpoint, Outcome::NoConnection, None).await;
@@ -309,16 +323,19 @@
 
 /// Returns when the next message leaves the call, at the latest when the call is closed.
 fn next_deadline(entries: &[CallEntry], close_at: Instant) -> Instant {
-    entries.iter().map(|m| m.deadline).fold(close_at, Instant::min)
+    entries.iter().map(|entry| entry.deadline).fold(close_at, Instant::min)
 }
 
 /// Removes and returns the expired messages, or all of them once the call is due to be closed.
 fn take_expired(entries: &mut Vec<CallEntry>, close_at: Option<Instant>) -> Vec<CallEntry> {
     let now = Instant::now();
     let is_closing = close_at.is_some_and(|at| now >= at);
-    entries.extract_if(.., |m| is_closing || now >= m.deadline).collect()
+    entries.extract_if(.., |entry| is_closing || now >= entry.deadline).collect()
 }
 
+/// Splits the messages of a call into chunks whose request bodies stay within `MAX_BODY_BYTES`. The size of
+/// an entry is an upper bound: the body in base64, the texts with every character escaped, and the JSON
+/// around them.
 fn split_by_size(entries: Vec<CallEntry>) -> Vec<Vec<CallEntry>> {
     let mut chunks: Vec<Vec<CallEntry>> = Vec::new();
     let mut chunk_size = 0;
@@ -338,17 +355,18 @@
     chunks
 }
 
+/// Builds the request of a call: a single message as the body itself, several as a JSON array.
 fn build_request(entries: &[CallEntry], to: SocketAddr, time_left: Duration) -> Request<Full<Bytes>> {
     let time_left = time_left.as_millis().max(1).to_string();
     let mut headers = vec![("x-expires-in-ms", time_left.as_str())];
     let [only] = entries else {
         let messages: Vec<Value> = entries
             .iter()
-            .map(|m| {
-                let body = base64::engine::general_purpose::STANDARD.encode(&m.message.body);
-                match &m.message.key {
-                    Some(key) => json!({"id": m.message.trace, "key": key, "body": body}),
-                    None => json!({"id": m.message.trace, "body": body}),
+            .map(|entry| {
+                let body = base64::engine::general_purpose::STANDARD.encode(&entry.message.body);
+                match &entry.message.key {
+                    Some(key) => json!({"id": entry.message.trace, "key": key, "body": body}),
+                    None => json!({"id": entry.message.trace, "body": body}),
                 }
             })
             .collect();
@@ -363,13 +381,14 @@
     request("POST", "/v1/messages", to, &headers, message.body.clone())
 }
 
+/// The end of an attempt without a readable answer. What an answer reports is filled in by `attempt_ends`.
 pub fn attempt_end(
     entry: &CallEntry,
     endpoint: EndpointId,
     outcome: Outcome,
     started_at: Instant,
 ) -> AttemptEnd {
-    let done = outcome == Outcome::Served;
+    let is_finished = outcome == Outcome::Served;
     let took = started_at.elapsed().as_nanos() as Ns;
     let (id, attempt) = (entry.message.id, entry.attempt);
     AttemptEnd {
@@ -378,7 +397,7 @@
         endpoint,
         outcome,
         took,
-        finished: done,
+        finished: is_finished,
         retry_after: 0,
         report: None,
         reused_connection: false,
@@ -399,22 +418,23 @@
     }
 }
 
+/// Maps an answer to the end of each attempt in the call.
 fn attempt_ends(
     entries: &[CallEntry],
     answer: &Answer,
     endpoint: EndpointId,
     started_at: Instant,
 ) -> Vec<AttemptEnd> {
-    let wait = retry_after(&answer.headers).map_or(0, |w| w.as_nanos() as Ns);
+    let retry_after_ns = retry_after(&answer.headers).map_or(0, |w| w.as_nanos() as Ns);
     let report = load_report(&answer.headers);
     let results: Option<Vec<Value>> =
         answer.batch_body.as_ref().map(|b| serde_json::from_slice(b).unwrap_or_default());
     let text = |v: &Value, key: &str| v.get(key).and_then(Value::as_str).map(str::to_string);
     let states: Option<HashMap<String, String>> =
         results.map(|l| l.iter().filter_map(|v| Some((text(v, "id")?, text(v, "state")?))).collect());
-    let state = |m: &CallEntry| {
+    let outcome_of = |entry: &CallEntry| {
         let Some(states) = &states else { return outcome_of_status(answer.status, &answer.headers) };
-        match states.get(&m.message.trace).map(String::as_str) {
+        match states.get(&entry.message.trace).map(String::as_str) {
             Some("done") => (Outcome::Served, true),
             Some("busy") => (Outcome::TurnedAway, false),
             Some("void") => (Outcome::NotSent, true),
@@ -423,13 +443,13 @@
             _ => (Outcome::ServerError, false),
         }
     };
-    let to_end = |m: &CallEntry| {
-        let (outcome, done) = state(m);
+    let to_end = |entry: &CallEntry| {
+        let (outcome, is_finished) = outcome_of(entry);
         AttemptEnd {
-            finished: done,
-            retry_after: wait,
+            finished: is_finished,
+            retry_after: retry_after_ns,
             report,
-            ..attempt_end(m, endpoint, outcome, started_at)
+            ..attempt_end(entry, endpoint, outcome, started_at)
         }
     };
     entries.iter().map(to_end).collect()
--- a/crates/serve/nickelshed/src/config/mod.rs
+++ b/crates/serve/nickelshed/src/config/mod.rs
@@ -29,6 +29,7 @@
     Sidecar(PathBuf),
 }
 
+/// Resource limits of the process, in megabytes of 10^6 bytes and in file descriptors.
 #[derive(Deserialize)]
 pub struct Limits {
     pub memory_mb: f64,
@@ -56,16 +57,20 @@
     File(PathBuf),
 }
 
+/// The complete configuration of a sender, from either source.
 pub struct Config {
     /// The application that this sidecar serves; None on the platform.
     pub application: Option<String>,
     pub listen: SocketAddr,
     pub endpoint_source: EndpointSource,
     pub notices: Vec<Sink>,
+    /// The folder for the journal and other persisted state.
     pub state: PathBuf,
+    /// Seed of the random draws of the policy, discovery and the fleet.
     pub seed: u64,
     pub limits: Limits,
     pub durability: Durability,
+    /// The endpoints known at startup, before discovery answers; may be empty.
     pub initial_list: EndpointList,
     pub settings: Settings,
     pub context: DeploymentContext,
@@ -75,7 +80,9 @@
 
 /// The part of a configuration that takes effect without a restart.
 pub struct ReloadableConfig {
+    /// The address of discovery; None if the configuration lists the endpoints.
     pub discovery: Option<SocketAddr>,
+    /// The listed endpoints; None if they come from discovery.
     pub list: Option<EndpointList>,
 }
 
--- a/crates/serve/nickelshed/src/config/settings_digest.rs
+++ b/crates/serve/nickelshed/src/config/settings_digest.rs
@@ -1,4 +1,4 @@
-//! Digest of a sidecar's settings, by which members of a fleet show whether they run with the same ones.
+//! Digest of a sidecar's settings. Members of a fleet publish it, so that different settings are noticed.
 
 #[cfg(test)]
 mod tests;
@@ -6,10 +6,10 @@
 use nickelshed_policy::api::{Class, Settings};
 use std::fmt;
 
-/// Returns the CRC-32 of the settings as text.
+/// Returns the CRC-32 of a text form of the settings.
 ///
-/// The text has the field names of the first release, whatever the fields are called in the code now: members
-/// of different builds that run with the same settings must show the same digest.
+/// The text keeps the field names of the first release, although some fields are named differently now:
+/// members of different builds that run with the same settings must show the same digest.
 pub(super) fn settings_digest(settings: &Settings) -> u32 {
     crc32fast::hash(format!("{:?}", SettingsText(settings)).as_bytes())
 }
--- a/crates/serve/nickelshed/src/config/settings_digest/tests.rs
+++ b/crates/serve/nickelshed/src/config/settings_digest/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use nickelshed_config::{compile, load};
 
-/// A digest that changed with the names of fields would make members of two builds look differently configured.
+/// A digest that changed with the names of fields would make members of two builds look differently
+/// configured.
 #[test]
 fn the_digest_of_the_example_is_that_of_the_first_release() {
     let example = include_str!("../../../../../../deploy/sidecar.toml");
@@ -11,7 +12,7 @@
 }
 
 #[test]
-fn each_setting_of_a_class_counts() {
+fn changed_setting_changes_the_digest() {
     let example = include_str!("../../../../../../deploy/sidecar.toml");
     let sidecar = load(example.as_bytes()).into_valid().expect("the example is valid");
     let (settings, _) = compile::settings(&sidecar);
--- a/crates/serve/nickelshed/src/config/sidecar.rs
+++ b/crates/serve/nickelshed/src/config/sidecar.rs
@@ -11,7 +11,7 @@
 /// Returns all errors in the file, one per line.
 fn load(path: &Path) -> Result<Sidecar, String> {
     let mut bytes = Vec::new();
-    // Limits the read, since the path may lead to a file of any size, or to a device.
+    // The read is limited because the path may lead to a file of any size or to a device.
     let read =
         std::fs::File::open(path).and_then(|f| f.take(MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes));
     read.map_err(|e| format!("cannot read {}: {e}", path.display()))?;
--- a/crates/serve/nickelshed/src/connections.rs
+++ b/crates/serve/nickelshed/src/connections.rs
@@ -1,6 +1,6 @@
 //! Connections to endpoints, discovery and the platform: the connection pool, its limits, and which endpoints
 //! may currently be written to.
-use crate::socket::{Socket, SocketIo, MAX_HEAD, MAX_HEADERS};
+use crate::socket::{Socket, SocketIo, MAX_HEADERS, MAX_HEAD_BYTES};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -42,7 +42,7 @@
     }
 }
 
-/// One HTTP/1.1 connection. Dropping it closes the socket immediately, also in the middle of an exchange.
+/// One HTTP/1.1 connection. Dropping it closes the socket immediately, even in the middle of an exchange.
 pub struct Connection<H: Host> {
     pub address: SocketAddr,
     request_sender: SendRequest<Full<Bytes>>,
@@ -61,11 +61,13 @@
 }
 
 impl<H: Host> Connection<H> {
+    /// # Errors
+    /// If the connection is refused or not established within `dial_timeout`.
     pub async fn open(host: &H, address: SocketAddr, dial_timeout: Duration) -> io::Result<Connection<H>> {
         let socket = Socket::new(timeout(dial_timeout, host.connect(address)).await??);
         let handshake_result = http1::Builder::new()
             .title_case_headers(true)
-            .max_buf_size(MAX_HEAD)
+            .max_buf_size(MAX_HEAD_BYTES)
             .max_headers(MAX_HEADERS)
             .handshake(TokioIo::new(SocketIo(socket.clone())))
             .await;
@@ -121,6 +123,7 @@
         self.request_sender.is_ready() && !self.task.is_finished() && !self.socket.has_unread_data()
     }
 
+    /// Writes a request and waits for the head of its answer, without a time limit.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Fault> {
         let bytes_before = self.socket.bytes_written();
         let was_used = std::mem::replace(&mut self.was_used, true);
@@ -167,6 +170,7 @@
     }
 }
 
+/// Builds a request to `to` and adds its `Host` header.
 pub fn request(
     method: &str,
     path: &str,
@@ -190,16 +194,19 @@
 
 struct EndpointState {
     address: SocketAddr,
+    /// What a retry-after applies to: the destination, or this endpoint alone if it is a route of its own.
     route: (DestId, Option<EndpointId>),
+    /// Whether the current list names it as ready.
     is_usable: bool,
     /// Connections idle for at least this time are not reused there, until the given instant.
     short_idle: Option<(Duration, Instant)>,
 }
 
-/// Some endpoints close idle connections earlier than configured, which shows as a reset of the next request.
-/// `SHORT_IDLE_RETENTION` is how long an observed shorter idle time is applied. A reset after less than
-/// `MIN_SHORT_IDLE` of idling is not taken as a sign of it.
+/// How long a shorter idle time is applied to an endpoint. Some endpoints close idle connections earlier than
+/// configured, which shows as a reset of the next request.
 const SHORT_IDLE_RETENTION: Duration = Duration::from_secs(30);
+/// The lowest idle time that is applied. A reset after less idling than this is not taken as a sign of an
+/// early close.
 const MIN_SHORT_IDLE: Duration = Duration::from_millis(50);
 
 pub struct Pool<H: Host> {
@@ -279,8 +286,8 @@
         self.idle_connections.borrow_mut().remove(&endpoint);
     }
 
-    /// Closes connections that were idle too long or closed by the endpoint, and drops expired retry-after
-    /// times.
+    /// Runs forever. Closes connections that were idle too long or closed by the endpoint, and drops expired
+    /// retry-after times.
     pub async fn run_maintenance(self: Rc<Self>) {
         let mut ticker = tokio::time::interval(Duration::from_millis(100));
         loop {
@@ -294,12 +301,14 @@
         }
     }
 
+    /// Whether the endpoint is listed as ready and no retry-after applies to it.
     pub fn may_write(&self, endpoint: EndpointId) -> bool {
         let endpoints = self.endpoints.borrow();
         let Some(state) = endpoints.get(&endpoint).filter(|e| e.is_usable) else { return false };
         self.retry_after_until.borrow().get(&state.route).is_none_or(|&until| until <= Instant::now())
     }
 
+    /// Blocks writes to the endpoint's route for `wait`. A later end that is already set stays.
     pub fn apply_retry_after(&self, endpoint: EndpointId, wait: Duration) {
         let endpoints = self.endpoints.borrow();
         let Some(state) = endpoints.get(&endpoint) else { return };
@@ -309,8 +318,9 @@
         *current = until.max(*current);
     }
 
-    /// A reused connection was reset on a request after this idle time; connections idle for longer are not
-    /// trusted either.
+    /// Records that a connection to this endpoint was reset by a request after it had been idle for `idle`.
+    /// Closes the idle ones and, for `SHORT_IDLE_RETENTION`, reuses none that was idle for three quarters of
+    /// that time.
     pub fn limit_idle_time(&self, endpoint: EndpointId, idle: Duration) {
         self.close_idle(endpoint);
         if let Some(state) = self.endpoints.borrow_mut().get_mut(&endpoint).filter(|_| idle >= MIN_SHORT_IDLE)
@@ -349,6 +359,11 @@
         idle_connections.get_mut(&endpoint).map(|connections| connections.remove(0)).is_some()
     }
 
+    /// Takes an idle connection to the endpoint, or opens a new one.
+    ///
+    /// # Errors
+    /// `NotSent` if the endpoint is not listed as ready or the connection limit is reached, `NoConnection` if
+    /// the endpoint cannot be reached.
     pub async fn connect(&self, endpoint: EndpointId) -> Result<Connection<H>, Outcome> {
         if let Some(connection) = self.take_idle(endpoint) {
             return Ok(connection);
@@ -372,7 +387,7 @@
         }
     }
 
-    /// Returns an idle connection to the pool.
+    /// Returns an idle connection to the pool, or closes it if its endpoint has changed or is not ready.
     pub fn release(&self, endpoint: EndpointId, mut connection: Connection<H>) {
         if self
             .endpoints
--- a/crates/serve/nickelshed/src/core.rs
+++ b/crates/serve/nickelshed/src/core.rs
@@ -39,6 +39,7 @@
     not_ready_since: Option<Instant>,
 }
 
+/// A submitted message whose clients have not been answered yet.
 struct Submission {
     message: Rc<AcceptedMessage>,
     /// More than one if the same message was submitted again before it was decided on.
@@ -67,9 +68,9 @@
     settings: Settings,
     context: DeploymentContext,
     journal: Journal<S>,
-    /// Queue of the sync thread; None if records need not be synced.
+    /// Queue of the sync thread; None if records count as durable without a sync.
     sync_jobs: Option<std::sync::mpsc::Sender<SyncTask<S::File>>>,
-    /// Iterations whose records are not durable yet, in order, with what they may do once they are.
+    /// Iterations whose records are not durable yet, in order, with the effects to carry out once they are.
     uncommitted: VecDeque<(CommitSeq, Effects)>,
     executor: Rc<CallExecutor<H>>,
     inbox: mpsc::Receiver<Input>,
@@ -85,29 +86,33 @@
     open_messages: BTreeMap<u64, OpenMessage>,
     /// Ids of the open messages by the id that the client gave (`X-Trace-Id`).
     ids_by_trace: HashMap<String, u64>,
+    /// Ids of the messages whose notice has not reached every sink.
     undelivered_notices: HashSet<u64>,
     /// Submissions that the policy has neither accepted nor rejected yet. Their clients wait for a reply, and
     /// the journal has no record of them.
     undecided: BTreeMap<u64, Submission>,
-    /// By message id and attempt number.
+    /// By message id and attempt number: the endpoint, and the token that cancels the call.
     attempts_in_flight: HashMap<(u64, u32), (EndpointId, Rc<CancelToken>)>,
     /// Events produced by the core itself, for the next iteration.
     next_events: Vec<Event>,
-    /// When the policy asked for its next timer event.
+    /// The time at which the policy wants its next timer event.
     timer: Option<Ns>,
     next_id: u64,
+    /// Set during a shutdown: no call is started after this time.
     shutdown_deadline: Option<Instant>,
     outage_store: outages::OutageStore,
     unattempted: unattempted::UnattemptedMessages,
+    /// Whether the last journal write failed. Stays set until a write succeeds and the ballast exists again.
     is_write_failing: bool,
     /// Where the remaining headroom of limits, as endpoints report it, is recorded for the fleet's limit
     /// quota; None outside a fleet.
     pub headroom: Option<Rc<crate::fleet::Headroom>>,
 }
 
-/// Start of the policy's clock. It is far above zero because attempts of earlier process runs lie before it.
+/// Start of the policy's clock. It is far above zero so that the times of attempts in earlier process runs,
+/// which lie before it, are still positive.
 const CLOCK_ORIGIN: Ns = 1_000_000 * SECOND;
-/// Limit of the inputs of one iteration, so that a flood of inputs does not delay the replies.
+/// Maximum number of inputs in one iteration, so that a flood of inputs does not delay the replies.
 const MAX_INPUTS_PER_ITERATION: usize = 512;
 /// How long an endpoint that is no longer ready is remembered; the policy remembers it for as long. Endpoints
 /// are replaced all day, so without a limit their number would grow with the age of the process.
@@ -266,11 +271,12 @@
             self.known_dests.insert(dest);
             entries.push(Entry { endpoint, dest, kind, zone, condition, rate_hint: hint });
         }
-        self.forget_closed_endpoints(now);
+        self.forget_unready_endpoints(now);
         Event::List { full: is_full, entries }
     }
 
-    fn forget_closed_endpoints(&mut self, now: Instant) {
+    /// Forgets the endpoints that have not been ready for `ENDPOINT_RETENTION` and that no call uses.
+    fn forget_unready_endpoints(&mut self, now: Instant) {
         let pool = &self.executor.pool;
         let in_use: HashSet<EndpointId> =
             self.attempts_in_flight.values().map(|(endpoint, _)| *endpoint).collect();
@@ -339,7 +345,7 @@
                     self.journal.finish_sync(synced, wall_ms);
                     self.run_durable_effects();
                 }
-                Input::SenderCount(senders) => iteration.events.push(Event::SenderCount(senders)),
+                Input::SenderCount(count) => iteration.events.push(Event::SenderCount(count)),
                 Input::StartNumber(start) => {
                     let persisted = self
                         .journal
@@ -485,9 +491,9 @@
         iteration: &mut Iteration,
     ) {
         if let Some(id) = self.ids_by_trace.get(&message.trace) {
-            // A message with the id of an open one: the same message has been accepted already, or gets the
-            // same reply as the first submission. A different message under that id is told nothing about the
-            // first one.
+            // An open message has this id. A repeated submission of the same message gets the same reply as
+            // the first one, or is answered as accepted if that has been decided. A different message with
+            // this id gets a reply that does not depend on what became of the first one.
             match iteration.submissions.get_mut(id) {
                 _ if !self
                     .open_messages
@@ -505,8 +511,8 @@
             }
             return;
         }
-        // No endpoint exists for it. Before the first list no destination is known, so the client is asked to
-        // retry.
+        // No list has named the destination. Before the first list no destination is known at all, so the
+        // client is asked to retry.
         if !self.known_dests.contains(&message.dest) {
             let no_list_yet = self.known_dests.is_empty();
             let _ = reply.send(if no_list_yet { Reply::Rejected(None) } else { Reply::UnknownDestination });
--- a/crates/serve/nickelshed/src/core/effects.rs
+++ b/crates/serve/nickelshed/src/core/effects.rs
@@ -1,5 +1,5 @@
-//! The effects of an iteration: written to the journal, then carried out immediately or once the records are
-//! durable.
+//! The effects of an iteration, carried out once its journal records are durable. Where records need no sync,
+//! that is as soon as they are written.
 use super::*;
 
 /// Retry-after for a client whose message cannot be accepted because the disk is full.
@@ -28,14 +28,14 @@
         attempt_records: Vec<Record>,
         effects: &mut Effects,
     ) {
-        let settled_count = records.len();
+        let end_record_count = records.len();
         let is_new = |id: &u64| submissions.contains_key(id);
         records.extend(
             attempt_records.into_iter().filter(|r| !matches!(r, Record::AttemptStarted(id, _) if is_new(id))),
         );
         let written = self.append_reserved(&records);
         if !written {
-            records.truncate(settled_count);
+            records.truncate(end_record_count);
             self.append_reserved(&records);
         }
         self.retain_calls(&mut effects.calls, |entry| written && !is_new(&entry.message.id));
@@ -100,7 +100,7 @@
     pub(super) fn start_sync(&mut self) {
         let Some(sync_jobs) = &self.sync_jobs else { return };
         if let Some(sync) = self.journal.start_sync() {
-            // The sync thread ends only with this one.
+            // The send fails only if the sync thread has ended, and it ends only with this thread.
             let _ = sync_jobs.send(sync);
         }
     }
@@ -117,6 +117,7 @@
         self.check_write(result)
     }
 
+    /// Tracks whether writes fail, logs when that changes, and returns whether this one succeeded.
     fn check_write(&mut self, result: std::io::Result<CommitSeq>) -> bool {
         match &result {
             Err(error) if !self.is_write_failing => {
--- a/crates/serve/nickelshed/src/core/outages.rs
+++ b/crates/serve/nickelshed/src/core/outages.rs
@@ -14,14 +14,14 @@
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub(super) struct PersistedOutage {
     dest: DestId,
-    /// The endpoint's name if it is a route of its own.
+    /// The endpoint's name if the route is a single endpoint; None if it is the whole destination.
     endpoint: Option<String>,
     suspect: bool,
     /// Unix time in tenths of a second. At a finer resolution the drift between the monotonic and the wall
     /// clock would change the value, and cause a write, at every check.
     last_failure_ds: i64,
     /// Calls per ten seconds that the route was seen to serve.
-    proved_per_10s: u32,
+    proven_per_10s: u32,
 }
 
 /// What was written last, and when the outages were last checked for changes.
@@ -34,14 +34,14 @@
 /// Returns the outages with the newest failures whose encoding fits into `capacity` bytes. Their number and
 /// the length of the names are set by the platform, so they may not all fit.
 fn newest_that_fit(mut all: Vec<PersistedOutage>, capacity: usize) -> Vec<PersistedOutage> {
-    all.sort_by_key(|k| (std::cmp::Reverse(k.last_failure_ds), k.dest));
+    all.sort_by_key(|outage| (std::cmp::Reverse(outage.last_failure_ds), outage.dest));
     // Reserved for the count that precedes the entries.
     let mut capacity = capacity.saturating_sub(8);
     all.into_iter()
-        .map_while(|k| {
-            capacity =
-                capacity.checked_sub(postcard::to_stdvec(&k).map_or(capacity + 1, |bytes| bytes.len()))?;
-            Some(k)
+        .map_while(|outage| {
+            capacity = capacity
+                .checked_sub(postcard::to_stdvec(&outage).map_or(capacity + 1, |bytes| bytes.len()))?;
+            Some(outage)
         })
         .collect()
 }
@@ -55,7 +55,7 @@
 }
 
 impl<S: Storage, H: Host> Core<S, H> {
-    /// Persists the known outages if they have changed.
+    /// Persists the known outages if they have changed, at most once per `MIN_WRITE_INTERVAL`.
     pub(super) fn persist_outages(&mut self, now: Ns, wall_ms: i64) {
         let at = Instant::now();
         if self.outage_store.last_checked.is_some_and(|last_checked| at < last_checked + MIN_WRITE_INTERVAL) {
@@ -68,8 +68,12 @@
         if all == self.outage_store.last_written {
             return;
         }
-        for outage in all.iter().filter(|k| {
-            !self.outage_store.last_written.iter().any(|l| (l.dest, l.suspect) == (k.dest, k.suspect))
+        for outage in all.iter().filter(|new| {
+            !self
+                .outage_store
+                .last_written
+                .iter()
+                .any(|old| (old.dest, old.suspect) == (new.dest, new.suspect))
         }) {
             tracing::debug!(dest = outage.dest, endpoint = outage.endpoint, doubt = outage.suspect, "out");
         }
@@ -81,22 +85,23 @@
         }
     }
 
+    /// Converts an outage to wall-clock time. None if the route is an endpoint that is no longer known.
     fn to_persisted(&self, outage: &Outage, now: Ns, wall_ms: i64) -> Option<PersistedOutage> {
-        let name = |e| self.endpoints.get(&e).map(|known_endpoint| known_endpoint.name.clone());
+        let name_of = |id| self.endpoints.get(&id).map(|known_endpoint| known_endpoint.name.clone());
         let endpoint = match outage.endpoint {
-            Some(e) => Some(name(e)?),
+            Some(id) => Some(name_of(id)?),
             None => None,
         };
         let age = (now - outage.last_failure)
             .clamp(0, if outage.suspect { MAX_SUSPECT_FAILURE_AGE } else { Ns::MAX });
         let last_failure_ds = (wall_ms - age / MS) / 100;
-        let proved_per_10s = (outage.proven_rate.clamp(0.0, 1e6) * 10.0) as u32;
+        let proven_per_10s = (outage.proven_rate.clamp(0.0, 1e6) * 10.0) as u32;
         Some(PersistedOutage {
             dest: outage.dest,
             endpoint,
             suspect: outage.suspect,
             last_failure_ds,
-            proved_per_10s,
+            proven_per_10s,
         })
     }
 
@@ -111,7 +116,7 @@
                 None => None,
             };
             let last_failure = now - age.saturating_mul(MS).min(CLOCK_ORIGIN);
-            let proved = f64::from(stored.proved_per_10s) / 10.0;
+            let proved = f64::from(stored.proven_per_10s) / 10.0;
             let outage = Outage {
                 dest: stored.dest,
                 endpoint,
--- a/crates/serve/nickelshed/src/core/outages/tests.rs
+++ b/crates/serve/nickelshed/src/core/outages/tests.rs
@@ -11,7 +11,7 @@
         endpoint: Some("e".repeat(nickelshed_journal::MAX_ENDPOINT_NAME_BYTES)),
         suspect: true,
         last_failure_ds: i64::MIN,
-        proved_per_10s: u32::MAX,
+        proven_per_10s: u32::MAX,
     };
     let all = newest_that_fit(vec![longest.clone(); 1_000], MIN_CAPACITY);
     let bytes = encode(&all);
@@ -35,7 +35,7 @@
         endpoint: Some(format!("s-{i:08x}.region-3")),
         suspect: i.is_multiple_of(2),
         last_failure_ds: 17_900_000_000 + i as i64,
-        proved_per_10s: 400,
+        proven_per_10s: 400,
     };
     let all = newest_that_fit((0..1_024).map(outage).collect(), CAPACITY_3_MB);
     assert_eq!(all.len(), 1_024);
--- a/crates/serve/nickelshed/src/discovery.rs
+++ b/crates/serve/nickelshed/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Follows the list of endpoints at discovery: a full list first, then a watch (long poll) that is repeated
-//! as soon as it is answered. `schedule` decides how long to pause after a failure.
+//! Follows the list of endpoints at discovery: requests a full list first, then the changes by a watch (long
+//! poll) that is repeated as soon as it is answered. `schedule` decides how long to pause after a failure.
 mod schedule;
 
 use crate::connections::{self, Connection};
@@ -77,6 +77,7 @@
 /// for.
 pub struct CachedList {
     pub generation: u64,
+    /// Delay of the first request after startup.
     pub poll_after: Duration,
 }
 
@@ -141,7 +142,7 @@
                     tracing::info!("discovery answers again");
                 }
                 schedule.succeeded();
-                // Changes apply to a list that is known, so the first answer must be a full list.
+                // Changes can only be applied to a known list, so the first answer must be a full one.
                 if list.reset || generation.is_some() {
                     let is_unchanged =
                         !list.reset && list.instances.is_empty() && generation == Some(list.generation);
--- a/crates/serve/nickelshed/src/discovery/schedule.rs
+++ b/crates/serve/nickelshed/src/discovery/schedule.rs
@@ -22,7 +22,8 @@
 /// The time that each sender adds to a polling cycle, in which the whole fleet asks a shared discovery once.
 const CYCLE_TIME_PER_SENDER: Duration = Duration::from_millis(50);
 const MAX_POLLING_CYCLE: Duration = Duration::from_secs(20);
-/// The lowest backoff ceiling, and the highest in each mode. Updates are expected to be known within seconds.
+/// The lowest backoff ceiling, and the highest in each mode. They are low because a sender is expected to
+/// know an update within seconds.
 const MIN_BACKOFF_CEILING: Duration = Duration::from_millis(100);
 const MAX_BACKOFF_SHARED: Duration = Duration::from_millis(2_800);
 const MAX_BACKOFF_AGENT: Duration = Duration::from_millis(400);
@@ -68,8 +69,8 @@
 }
 
 impl RequestSchedule {
-    pub fn new(mode: DiscoveryMode, senders: usize, seed: u64) -> RequestSchedule {
-        let others = u32::try_from(senders.saturating_sub(1)).unwrap_or(u32::MAX);
+    pub fn new(mode: DiscoveryMode, sender_count: usize, seed: u64) -> RequestSchedule {
+        let others = u32::try_from(sender_count.saturating_sub(1)).unwrap_or(u32::MAX);
         let polling_cycle = match mode {
             DiscoveryMode::Agent => Duration::ZERO,
             DiscoveryMode::Shared => CYCLE_TIME_PER_SENDER.saturating_mul(others).min(MAX_POLLING_CYCLE),
@@ -131,6 +132,7 @@
         }
     }
 
+    /// Records that discovery sent a list.
     pub fn succeeded(&mut self) {
         self.failures = 0;
     }
--- a/crates/serve/nickelshed/src/fleet.rs
+++ b/crates/serve/nickelshed/src/fleet.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep_until, Instant};
 
-/// Limit of the bytes per second that a member sends.
+/// Maximum bytes per second that a member sends.
 const MAX_SEND_BYTES_PER_S: u32 = 8_192;
 /// How often the limit quota is updated if the membership view does not change.
 const QUOTA_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
@@ -30,6 +30,7 @@
 pub struct Headroom(Cell<Option<f64>>);
 
 impl Headroom {
+    /// Records the fraction of a limit that remains, as an answer reports it.
     pub fn record(&self, left: f64) {
         if left.is_finite() {
             self.0.set(Some(self.0.get().map_or(left, |lowest| lowest.min(left))));
@@ -60,6 +61,7 @@
     text.and_then(|t| t.trim().parse::<u32>().ok()).unwrap_or(0).saturating_add(1)
 }
 
+/// The version of this build: major, minor and patch number.
 fn version() -> [u16; 3] {
     let mut parts = env!("CARGO_PKG_VERSION").split('.').map(|p| p.parse().unwrap_or(0));
     std::array::from_fn(|_| parts.next().unwrap_or(0))
@@ -67,8 +69,8 @@
 
 impl FleetConfig {
     /// # Errors
-    /// Returns an error if the key file cannot be read. Without its key the member would communicate with
-    /// nobody, or with anybody.
+    /// Returns an error if the key file cannot be read. Without its key the member could communicate with
+    /// no other member, or with any process.
     pub fn from_sidecar(
         membership: &Membership,
         application: &str,
@@ -157,8 +159,8 @@
     sender_count: usize,
 }
 
-/// Runs the member until `end` fires, then announces that it leaves. `start` counts the process runs of this
-/// member.
+/// Runs the member until the sender of `end` is dropped, then announces that it leaves. `start` counts the
+/// process runs of this member.
 pub async fn run<H: Host>(
     host: H,
     fleet_config: FleetConfig,
@@ -304,9 +306,10 @@
         if let Some(left) = self.headroom.take() {
             self.quota.record_headroom(now, left);
         }
-        let seen = self.fleet.membership_summary();
-        self.quota.update(now, &seen);
-        // Rounded up, so that the share is never larger than the quota allows.
+        let summary = self.fleet.membership_summary();
+        self.quota.update(now, &summary);
+        // Rounded up, so that the share is never larger than the quota allows; 1e-9 absorbs floating-point
+        // errors.
         let senders = (self.quota.sender_count() - 1e-9).ceil().max(1.0) as usize;
         // Not awaited: a member that waits for the core would answer other members late. The next update
         // tries again.
--- a/crates/serve/nickelshed/src/inbox.rs
+++ b/crates/serve/nickelshed/src/inbox.rs
@@ -12,6 +12,7 @@
     Accepted,
     /// Submitting it again is harmless, after the given time if it is known.
     Rejected(Option<Duration>),
+    /// An attempt may have taken effect, so submitting the message again could repeat it.
     Failed,
     /// No endpoint list has named the destination.
     UnknownDestination,
@@ -28,6 +29,7 @@
     },
     EndpointList(EndpointList),
     AttemptsEnded(Vec<AttemptEnd>),
+    /// The result of a health check.
     Probed {
         endpoint: EndpointId,
         outcome: Outcome,
@@ -41,6 +43,6 @@
     SenderCount(usize),
     /// The start number of this fleet member, to be persisted for the next process run.
     StartNumber(u32),
-    /// No further client connects: exit once nothing is left to do, and start no call after this time.
+    /// Clients can no longer connect: exit once nothing is left to do, and start no call after this time.
     Shutdown(Instant),
 }
--- a/crates/serve/nickelshed/src/lib.rs
+++ b/crates/serve/nickelshed/src/lib.rs
@@ -44,7 +44,7 @@
 const EXIT_AFTER: Duration = Duration::from_millis(3_300);
 /// Pause after a failed sync of the journal.
 const SYNC_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Inputs that may be queued for the core. When the queue is full, clients get a 503.
+/// Maximum number of inputs queued for the core. When the queue is full, clients get a 503.
 const INBOX_CAPACITY: usize = 2_048;
 
 /// Applies a changed configuration file on SIGHUP. An invalid file is logged and ignored: it must neither end
@@ -286,14 +286,14 @@
         .map(|fleet_config| (fleet_config, fleet::next_start(journal.read_side_file(fleet::START_FILE))));
     let mut core = core::Core::new(host.clone(), config, journal, sync_jobs, executor, inbox, notice_tx);
     let (leave_tx, leave_rx) = tokio::sync::oneshot::channel();
-    let member = fleet_config.map(|(fleet_config, start)| {
+    let member_start = fleet_config.map(|(fleet_config, start)| {
         let headroom = Rc::new(fleet::Headroom::default());
         core.headroom = Some(headroom.clone());
         (fleet_config, start, headroom)
     });
     core.recover(initial_list, startup_wait).await;
     let core = spawn_local(core.run());
-    let member = member.map(|(fleet_config, start, headroom)| {
+    let member_task = member_start.map(|(fleet_config, start, headroom)| {
         spawn_local(fleet::run(host.clone(), fleet_config, start, core_tx.clone(), headroom, leave_rx))
     });
 
@@ -327,8 +327,8 @@
     let shutdown_began = Instant::now();
     // Announces to the fleet that this member leaves, so that the others take over its share of the limits.
     drop(leave_tx);
-    if let Some(member) = member {
-        let _ = timeout(STOP_ACCEPTING_AFTER, member).await;
+    if let Some(member_task) = member_task {
+        let _ = timeout(STOP_ACCEPTING_AFTER, member_task).await;
     }
     sleep(STOP_ACCEPTING_AFTER.saturating_sub(shutdown_began.elapsed())).await;
     stop_tx.send(true);
--- a/crates/serve/nickelshed/src/list.rs
+++ b/crates/serve/nickelshed/src/list.rs
@@ -5,6 +5,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
+/// One endpoint, as a list names it.
 #[derive(Clone, Debug)]
 pub struct Instance {
     pub name: String,
@@ -13,13 +14,16 @@
     pub kind: String,
     pub dest: u64,
     pub lifecycle: String,
+    /// Rate hint in calls per second, where the settings say so; 0 if absent.
     pub weight: f64,
 }
 
 #[derive(Deserialize, Clone, Debug, Default)]
 pub struct EndpointList {
+    /// Version of the list, which a watch names to get the changes since then.
     #[serde(default)]
     pub generation: u64,
+    /// Whether this is a full list; otherwise it has only the changes since the requested generation.
     #[serde(default)]
     pub reset: bool,
     #[serde(default, deserialize_with = "readable_instances")]
@@ -27,9 +31,9 @@
 }
 
 impl EndpointList {
-    /// The names of listed instances that are not ready. If a list names an instance both as ready and as not
-    /// ready, the instance counts as not ready: new work would violate a drain, while waiting for the next
-    /// list does no harm.
+    /// The names of the listed instances that are not ready. If a list names an instance both as ready and as
+    /// not ready, the instance counts as not ready: new work would violate a drain, while waiting for the
+    /// next list does no harm.
     pub fn not_ready_names(&self) -> HashSet<String> {
         self.instances.iter().filter(|i| i.lifecycle != "Ready").map(|i| i.name.clone()).collect()
     }
--- a/crates/serve/nickelshed/src/notices/http.rs
+++ b/crates/serve/nickelshed/src/notices/http.rs
@@ -8,7 +8,8 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-const MAX_BODY: usize = 60 << 10;
+/// Limit of the bytes in one request, unless a single notice is longer, and in its answer.
+const MAX_BODY_BYTES: usize = 60 << 10;
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
@@ -31,7 +32,7 @@
     let opened = Connection::reuse_or_open(idle_connection, host, address, REQUEST_TIMEOUT).await;
     let mut connection = opened.map_err(|e| e.to_string())?;
     let request = connections::request("POST", path, address, &[], body.into());
-    let (status, ..) = connection.exchange(request, MAX_BODY).await.map_err(|e| e.to_string())?;
+    let (status, ..) = connection.exchange(request, MAX_BODY_BYTES).await.map_err(|e| e.to_string())?;
     *idle_connection = Some(connection);
     Ok(status)
 }
@@ -66,7 +67,7 @@
         let mut count = 0;
         for notice in &pending {
             let line = handle.line(notice);
-            if count > 0 && (body.len() + line.len() > MAX_BODY || singles_left > 0) {
+            if count > 0 && (body.len() + line.len() > MAX_BODY_BYTES || singles_left > 0) {
                 break;
             }
             body.push_str(&line);
--- a/crates/serve/nickelshed/src/notices/mod.rs
+++ b/crates/serve/nickelshed/src/notices/mod.rs
@@ -16,6 +16,7 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
+/// How one message ended.
 #[derive(Clone)]
 pub struct Notice {
     pub id: u64,
@@ -30,7 +31,7 @@
 /// One sink's side of the dispatcher: formats notices for the sink's readers and acknowledges them.
 pub struct SinkHandle {
     sink_index: usize,
-    /// Included in the notices of a sidecar; None on the platform, which knows the sender it hears from.
+    /// Included in the notices of a sidecar; None on the platform, which knows which sender posts a notice.
     application: Option<Rc<str>>,
     acknowledgement_tx: mpsc::Sender<(usize, Vec<u64>)>,
 }
@@ -61,7 +62,7 @@
     }
 }
 
-/// What all sinks need to know.
+/// The configuration that all sinks share.
 pub struct NoticeTargets {
     pub application: Option<String>,
     /// The platform's address; None for a sidecar without discovery.
@@ -82,14 +83,14 @@
     let (acknowledgement_tx, mut acknowledgements) = mpsc::channel(sinks.len().max(1));
     let application: Option<Rc<str>> = targets.application.map(Into::into);
     let mut sink_queues = Vec::new();
-    for (sink_index, to) in sinks.into_iter().enumerate() {
+    for (sink_index, sink) in sinks.into_iter().enumerate() {
         let (sink_tx, notices) = mpsc::unbounded_channel();
         let handle = SinkHandle {
             sink_index,
             application: application.clone(),
             acknowledgement_tx: acknowledgement_tx.clone(),
         };
-        match (to, &targets.platform) {
+        match (sink, &targets.platform) {
             (Sink::Platform, Some(address_rx)) => {
                 let target = http::HttpTarget {
                     address_rx: address_rx.clone(),
--- a/crates/serve/nickelshed/src/notices/pending.rs
+++ b/crates/serve/nickelshed/src/notices/pending.rs
@@ -4,6 +4,7 @@
 /// Sinks are numbered from 0. At most 64 are supported, one bit each; the configuration allows two.
 pub struct PendingNotices {
     all_sinks: u64,
+    /// By notice id: a bit for each sink that has not received the notice.
     missing: HashMap<u64, u64>,
 }
 
@@ -39,7 +40,7 @@
 mod tests {
     use super::*;
 
-    /// In any order of acknowledgements, a notice is finished with the last sink's one, and only once.
+    /// Whatever the order of acknowledgements, the last sink's one completes a notice, and does so only once.
     #[test]
     fn notice_is_delivered_once_every_sink_has_it() {
         let mut rng = fastrand::Rng::with_seed(3);
--- a/crates/serve/nickelshed/src/server.rs
+++ b/crates/serve/nickelshed/src/server.rs
@@ -1,6 +1,6 @@
 //! The HTTP server for clients: accepts connections, validates requests and submits messages to the core.
 use crate::inbox::{Input, Reply};
-use crate::socket::{Socket, SocketIo, MAX_HEAD, MAX_HEADERS};
+use crate::socket::{Socket, SocketIo, MAX_HEADERS, MAX_HEAD_BYTES};
 use crate::watch;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -27,16 +27,18 @@
 /// Time limit to receive a request, head and body together. For the first request it counts from when the
 /// connection was accepted.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a connection may be idle: in general, when a new connection needs its slot, and when a new
-/// connection needs its slot and no first request has been sent. A client that has a request sends it right
-/// after connecting.
+/// How long a connection may be idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// The same once all `max_served` connections are in use and a new one needs a slot.
 const IDLE_TIMEOUT_AT_LIMIT: Duration = Duration::from_secs(2);
+/// The same for a connection that has not sent a request yet. It is shorter because a client that has a
+/// request sends it right after connecting.
 const NO_REQUEST_TIMEOUT_AT_LIMIT: Duration = Duration::from_millis(500);
-/// Limits of what is read and discarded from a closing connection, so that its last answer arrives.
+/// Limits, in time and in bytes, of what is still read from a closing connection, so that its last answer
+/// arrives.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
 const CLOSE_MAX_BYTES: usize = 1 << 20;
-/// How long a rejected client's request is awaited.
+/// Time limit to read and answer the request of a rejected client, and the limit to close its connection.
 const REJECT_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_HEADER_VALUE_LEN: usize = 256;
 
@@ -50,6 +52,7 @@
     pub host: H,
     pub core: mpsc::Sender<Input>,
     pub context: DeploymentContext,
+    /// In the order of `context.classes`.
     pub classes: Vec<Class>,
     pub budget: Budget,
     /// Limit of the connections that are served.
@@ -57,6 +60,7 @@
     /// Limit of the connections beyond `max_served` that are answered 503. Further ones are closed
     /// immediately.
     pub max_rejected: usize,
+    /// Served and rejected connections that are still open.
     pub open_connections: Cell<usize>,
     /// The connections that are served, in the order of acceptance.
     pub clients: RefCell<BTreeMap<u64, Rc<ClientConnection<H::Stream>>>>,
@@ -152,8 +156,8 @@
         client
     }
 
-    /// Closes the connection that has been idle longest, since some clients send one request and stay
-    /// connected. Returns whether one was closed.
+    /// Asks the connection that has been idle longest to close, if it was idle long enough: some clients send
+    /// one request and stay connected. Returns whether its slot is free now.
     fn evict_idle_client(&self) -> bool {
         let mut clients = self.clients.borrow_mut();
         let may_evict = |client: &ClientConnection<H::Stream>| {
@@ -234,8 +238,9 @@
         if path == "/healthz" && matches!(head.method, Method::GET | Method::HEAD) && body.is_end_stream() {
             return text_response(StatusCode::OK, "");
         }
-        // Given both lengths, the HTTP library keeps one and hides the other, so such a request cannot be
-        // told from a chunked one. A Content-Length is therefore required, as RFC 9112 (6.3) allows.
+        // Of a request with both Content-Length and Transfer-Encoding the HTTP library shows only one, so it
+        // cannot be told from a chunked request. Transfer-Encoding is therefore rejected altogether, and a
+        // Content-Length required, as RFC 9112 (6.3) allows.
         if head.headers.contains_key(TRANSFER_ENCODING) {
             return error_and_close(StatusCode::LENGTH_REQUIRED, "a Content-Length is needed");
         }
@@ -354,7 +359,7 @@
 /// An HTTP server with the limits on message heads.
 fn http_builder() -> Builder {
     let mut builder = Builder::new();
-    builder.max_buf_size(MAX_HEAD).max_headers(MAX_HEADERS);
+    builder.max_buf_size(MAX_HEAD_BYTES).max_headers(MAX_HEADERS);
     builder
 }
 
--- a/crates/serve/nickelshed/src/socket.rs
+++ b/crates/serve/nickelshed/src/socket.rs
@@ -13,19 +13,21 @@
 
 /// Maximum size in bytes of a message head in either direction; twice the smallest that the HTTP library
 /// allows.
-pub const MAX_HEAD: usize = 16 << 10;
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// Maximum number of header lines in a head.
 pub const MAX_HEADERS: usize = 64;
 
+/// The owner's side of the socket. An exchange is one request with its answer.
 pub struct Socket<S> {
     stream: S,
     bytes_written: Cell<u64>,
     /// When the first byte of the current exchange arrived.
     first_byte_at: Cell<Option<Instant>>,
+    /// Notified when the first byte of an exchange arrives.
     pub readable: Notify,
-    /// What has been received since `begin_exchange`, up to `MAX_HEAD` bytes.
+    /// What has been received since `begin_exchange`, up to `MAX_HEAD_BYTES` bytes.
     received_head: RefCell<Option<Vec<u8>>>,
-    /// Set until the first byte of a request is written: unread data at that time cannot be the answer to it.
+    /// Set until the first byte of a request is written: data that is unread by then cannot be its answer.
     must_be_idle: Cell<bool>,
 }
 
@@ -41,6 +43,7 @@
         })
     }
 
+    /// Bytes written since the socket was opened.
     pub fn bytes_written(&self) -> u64 {
         self.bytes_written.get()
     }
@@ -108,7 +111,7 @@
             socket.readable.notify_one();
         }
         if let Some(received) = socket.received_head.borrow_mut().as_mut() {
-            let space = MAX_HEAD.saturating_sub(received.len());
+            let space = MAX_HEAD_BYTES.saturating_sub(received.len());
             received.extend_from_slice(&buf.initialize_unfilled()[..n.min(space)]);
         }
         buf.advance(n);
--- a/crates/serve/nickelshed/src/stall_detector.rs
+++ b/crates/serve/nickelshed/src/stall_detector.rs
@@ -1,6 +1,6 @@
 //! Detects that the process has been stalled, by a signal that stopped it or by a disk operation that hung.
-//! After a stall its knowledge is outdated, and a drain or a retry-after that arrived meanwhile is still
-//! unread on its sockets. No call may be started before that has been read.
+//! After a stall, what the process knows is outdated: a drain or a retry-after that arrived meanwhile is
+//! still unread on its sockets. No call may be started before that has been read.
 use nickelshed_host::Host;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,9 +8,9 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
-/// The interval of heartbeats, and the age of the last one at which the process counts as stalled. The
-/// threshold must stay below the 100 ms for which calls are still tolerated after a retry-after was sent.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(40);
+/// The age of the last heartbeat above which the process counts as stalled. Must stay below the 100 ms for
+/// which calls are still tolerated after a retry-after was sent.
 const STALL_THRESHOLD: Duration = Duration::from_millis(90);
 /// Time in which the data that arrived during a stall is read and processed.
 const CATCH_UP_TIME: Duration = Duration::from_millis(20);
--- a/crates/serve/nickelshed/src/watch.rs
+++ b/crates/serve/nickelshed/src/watch.rs
@@ -53,6 +53,7 @@
 }
 
 impl<T: Copy + PartialEq> Receiver<T> {
+    /// Returns the current value and marks it as seen.
     pub fn latest(&mut self) -> T {
         self.seen_version = self.inner.version.get();
         self.inner.value.get()
