--- a/crates/proof/nickelshed-lab/src/main.rs
+++ b/crates/proof/nickelshed-lab/src/main.rs
@@ -221,7 +221,7 @@
     let mut out = String::new();
     let _ = writeln!(
         out,
-        "{name}, seed {seed}: {:.0} s simulated in {:.2} s ({:.0} times real time)",
+        "{name}, seed {seed}: {:.0} s played in {:.2} s ({:.0} times real time)",
         run.length.as_secs_f64(),
         elapsed.as_secs_f64(),
         run.length.as_secs_f64() / elapsed.as_secs_f64().max(1e-9)
