--- a/crates/decide/nickelshed-policy/src/rules.rs
+++ b/crates/decide/nickelshed-policy/src/rules.rs
@@ -18,7 +18,7 @@
 use crate::state::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-mod memory;
+mod retention;
 
 /// How often caps are chosen, queued messages checked and overdue calls detected (the paper's control rate).
 const CONTROL_PERIOD: Ns = 100 * MS;
--- a/crates/tools/nickelshed-config/src/lib.rs
+++ b/crates/tools/nickelshed-config/src/lib.rs
@@ -4,6 +4,7 @@
 pub mod check;
 pub mod code;
 pub mod compile;
+pub mod cross_file;
 pub mod diff;
 pub mod finding;
 pub mod fleet;
@@ -12,7 +13,6 @@
 pub mod schema;
 pub mod sidecar;
 pub mod source;
-pub mod together;
 pub mod units;
 pub mod url;
 pub mod write;
--- a/crates/tools/nickelshed-ctl/src/files.rs
+++ b/crates/tools/nickelshed-ctl/src/files.rs
@@ -1,7 +1,7 @@
 //! Reads files up to a size limit, resolves paths so that two paths to one file compare equal, and writes
 //! files atomically.
 use nickelshed_config::sidecar::MAX_FILE_BYTES;
-use nickelshed_config::{check, load_with_schema, together, Code, Finding, Sidecar, Source, TypeSchema};
+use nickelshed_config::{check, cross_file, load_with_schema, Code, Finding, Sidecar, Source, TypeSchema};
 use std::ffi::OsString;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -69,16 +69,16 @@
     /// Checks all added files for conflicts between them, and sorts the findings.
     pub fn check_conflicts(&mut self) {
         let files = self.parsed.iter().zip(&self.contents).enumerate();
-        let config_files: Vec<together::ConfigFile> = files
+        let config_files: Vec<cross_file::ConfigFile> = files
             .filter_map(|(file, (loaded, content))| {
                 let (sidecar, source) = loaded.as_ref()?;
                 let folder = content.path.parent().unwrap_or(Path::new(""));
                 let state = resolve_path(&folder.join(&sidecar.state));
                 let notices = sidecar.notices.file.as_ref().map(|f| resolve_path(&folder.join(f)));
-                Some(together::ConfigFile { file, sidecar, source, state, notices })
+                Some(cross_file::ConfigFile { file, sidecar, source, state, notices })
             })
             .collect();
-        self.findings.extend(together::check(&config_files));
+        self.findings.extend(cross_file::check(&config_files));
         self.findings.sort_by_key(|f| (f.file, f.span.start));
     }
 
